--- a/src/coordination/front.cpp
+++ b/src/coordination/front.cpp
@@ -6,6 +6,7 @@
 
 #include "protocol/paths.h"
 #include "protocol/worker_codec.h"
+#include "settings/capacity.h"
 
 namespace weirmill {
 
@@ -49,9 +50,9 @@
     door_ = std::make_unique<Door>(io, settings_, properties_, state_, metrics_,
                                    [this] { return leader_ && leader_->ready(); });
     peers_in_ = std::make_unique<PeerServer>(io, settings.peer,
-                                             [this](PeerCall call) { return from_peer(std::move(call)); });
-    // Some sockets are kept for the state service, the cloud, workers and peers.
-    http_ = std::make_unique<HttpServer>(io, settings.api, std::max(16, settings.max_sockets - 64),
+                                             [this](PeerCall call) { return from_peer(std::move(call)); },
+                                             most_peer_bytes(settings));
+    http_ = std::make_unique<HttpServer>(io, settings.api, most_connections(settings),
                                          [this](HttpRequest r) { return handle(std::move(r)); });
     asio::co_spawn(io, ping_loop(), asio::detached);
     spdlog::info("node: {} in {} serving {} peers={}", settings.name, settings.zone, settings.api.text(),
@@ -84,7 +85,11 @@
 PeerClient* Front::link_to(const std::string& name) {
     if (auto it = links_.find(name); it != links_.end()) return it->second.get();
     for (auto& p : settings_.peers)
-        if (p.name == name) return (links_[name] = std::make_unique<PeerClient>(io_, p.addr)).get();
+        if (p.name == name) {
+            auto& link = links_[name];
+            link = std::make_unique<PeerClient>(io_, p.addr, most_peer_bytes(settings_));
+            return link.get();
+        }
     return nullptr;
 }
 
@@ -330,7 +335,9 @@
     if (path == paths::kReport) {
         if (r.method != "POST") co_return HttpReply{405, "{}"};
         kind = "report";
-        co_return co_await handle_report(std::move(r));
+        auto reply = co_await handle_report(std::move(r));
+        reply.from_machine = true;
+        co_return reply;
     }
     if (path == paths::kMetrics) co_return metrics_page();
     if (path == paths::kHealth) co_return healthy() ? HttpReply{200, "{}"} : HttpReply{503, "{}"};
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -9,6 +9,7 @@
 #include "coordination/starved.h"
 #include "protocol/cloud_codec.h"
 #include "protocol/worker_codec.h"
+#include "settings/capacity.h"
 
 namespace weirmill {
 
@@ -16,7 +17,8 @@
 
 namespace {
 
-constexpr size_t kMailbox = 4096;
+// What comes back from outside has as much room again: none of that may be lost.
+constexpr size_t kMailbox = 2 * kMostAsked;
 constexpr int kSegmentsAPage = 50;
 const std::string kOldJobs = "j/";
 constexpr double kAsk_s = 2.0;
@@ -62,12 +64,14 @@
 }
 
 asio::awaitable<PeerReply> Leader::ask(PeerCall call) {
-    // Half of the mailbox is kept for what comes back from outside: none of that may be lost.
     if (!ready_) co_return undecided();
-    if (queued_ > kMailbox / 2) co_return come_back();
+    size_t bytes = call.body.size();
+    if (asked_ >= kMostAsked || asked_bytes_ + bytes > most_asked_bytes(settings_)) co_return come_back();
     Reply reply(io_.get_executor());
     bool is_report = call.op == PeerOp::Report;
-    post(Asked{std::move(call), reply});
+    ++asked_;
+    asked_bytes_ += bytes;
+    post(Asked{std::move(call), reply, bytes});
     auto answer = co_await reply.wait(kAsk_s);
     if (answer) co_return *answer;
     co_return is_report ? PeerReply{503, "{}"} : come_back();
@@ -109,7 +113,6 @@
 void Leader::post(Message m) {
     if (stopped_) return;
     if (mailbox_.try_send(boost::system::error_code(), std::move(m))) {
-        ++queued_;
         return;
     }
     // Without an outcome that was lost, this leader would wait for ever: the next one starts afresh.
@@ -148,7 +151,6 @@
     while (!stopped_) {
         auto [ec, message] = co_await mailbox_.async_receive(asio::as_tuple(asio::use_awaitable));
         if (ec) break;
-        --queued_;
         now_ = steady_now();
         std::visit([this](auto& m) { handle(m); }, message);
         if (stopped_) break;
--- a/src/coordination/leader.h
+++ b/src/coordination/leader.h
@@ -62,6 +62,7 @@
     struct Asked {
         PeerCall call;
         Reply reply;
+        size_t bytes = 0;  // of the body, as counted in asked_bytes_
     };
     struct FinalRead {
         PeerCall call;
@@ -250,7 +251,7 @@
     Ledger ledger_;
     Forecast forecast_;
     std::mt19937_64 random_;
-    size_t queued_ = 0;  // messages in the mailbox
+    size_t asked_ = 0, asked_bytes_ = 0;  // requests in the mailbox
     bool ready_ = false, stopped_ = false;
     double now_ = 0;
     std::function<void()> settled_;  // handing over: called once nothing is under way
--- a/src/coordination/leader_tasks.cpp
+++ b/src/coordination/leader_tasks.cpp
@@ -6,13 +6,13 @@
 #include "coordination/leader.h"
 #include "protocol/paths.h"
 #include "protocol/worker_codec.h"
+#include "settings/capacity.h"
 
 namespace weirmill {
 
 namespace asio = boost::asio;
 
 namespace {
-constexpr size_t kStopsRepeated = 64;     // machines at once
 constexpr double kMissedReports = 1.5;    // without a report for so many of their intervals, a machine is told by itself
 }  // namespace
 
@@ -165,7 +165,7 @@
 void Leader::repeat_stops() {
     if (now_ < next_stops_) return;
     next_stops_ = now_ + settings_.report_s;
-    size_t count = tables_.machines.size(), left = kStopsRepeated;
+    size_t count = tables_.machines.size(), left = static_cast<size_t>(stop_sockets(settings_));
     for (size_t n = 0; n < count && left > 0; ++n) {
         stops_cursor_ = (stops_cursor_ + 1) % count;
         auto* m = tables_.machines[stops_cursor_].get();
--- a/src/coordination/leader_users.cpp
+++ b/src/coordination/leader_users.cpp
@@ -25,6 +25,8 @@
 const PeerReply Leader::kTooLong{400, R"({"error":"the job's description is too long"})"};
 
 void Leader::handle(Asked& m) {
+    --asked_;
+    asked_bytes_ -= m.bytes;
     switch (m.call.op) {
         case PeerOp::Submit:
             return submit(m.call, m.reply);
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -14,7 +14,13 @@
 using tcp = asio::ip::tcp;
 
 namespace {
-constexpr auto kIdle = 75s;     // a silent keep-alive connection
+constexpr auto kIdle = 75s;     // a silent keep-alive connection, while there are few
+constexpr auto kIdleNear = 5s;  // near the limit
+// Shares of the limit: from the first on, silent connections are kept for a shorter time; from the second on, those of
+// machines are closed with their answers. The rest is for users, and for machines that come one after another.
+constexpr double kMany = 0.5, kNear = 0.75;
+constexpr auto kLeastSilent = 1s;  // one silent for less may have a request on its way
+constexpr auto kRoomPause = 100ms;
 constexpr auto kRequest = 10s;  // from the first byte of a request to its last
 constexpr auto kWrite = 10s;
 constexpr auto kQuiet = asio::as_tuple(asio::use_awaitable);
@@ -28,17 +34,18 @@
 }
 
 HttpServer::HttpServer(asio::io_context& io, const Endpoint& at, int max_connections, HttpHandler handler)
-    : acceptor_(io), max_connections_(max_connections), handler_(std::move(handler)) {
+    : acceptor_(io), max_connections_(max_connections), connections_(std::make_shared<Connections>(io)), handler_(std::move(handler)) {
     auto endpoint = resolve(at);
     acceptor_.open(endpoint.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
     acceptor_.bind(endpoint);
-    acceptor_.listen(256);
+    acceptor_.listen(asio::socket_base::max_listen_connections);
     asio::co_spawn(io, accept_loop(), asio::detached);
 }
 
 asio::awaitable<void> HttpServer::accept_loop() {
     for (;;) {
+        co_await wait_for_room();
         auto [ec, socket] = co_await acceptor_.async_accept(kQuiet);
         if (ec == asio::error::operation_aborted) co_return;
         if (ec) {
@@ -47,16 +54,43 @@
             co_await pause.async_wait(kQuiet);
             continue;
         }
-        if (connections_ >= max_connections_) continue;  // closes it
+        ++connections_->count;
         asio::co_spawn(acceptor_.get_executor(), serve(std::move(socket)), asio::detached);
     }
 }
 
+asio::awaitable<void> HttpServer::wait_for_room() {
+    while (connections_->count >= max_connections_) {
+        close_longest_silent();
+        connections_->room.expires_after(kRoomPause);
+        co_await connections_->room.async_wait(kQuiet);
+    }
+}
+
+// Its coroutine ends a little later, and wakes the accept loop.
+void HttpServer::close_longest_silent() {
+    auto now = std::chrono::steady_clock::now();
+    for (auto* silent : {&silent_machines_, &silent_users_}) {
+        if (silent->empty() || now - silent->front().since < kLeastSilent) continue;
+        silent->front().stream->close();
+        return;
+    }
+}
+
+std::chrono::duration<double> HttpServer::idle_time() const {
+    std::chrono::duration<double> few = kIdle, near = kIdleNear;
+    double used = static_cast<double>(connections_->count) / max_connections_;
+    double share = std::clamp((used - kMany) / (kNear - kMany), 0.0, 1.0);
+    return few + (near - few) * share;
+}
+
 asio::awaitable<void> HttpServer::serve(tcp::socket socket) {
-    ++connections_;
     struct Leave {
-        int& n;
-        ~Leave() { --n; }
+        std::shared_ptr<Connections> connections;
+        ~Leave() {
+            --connections->count;
+            connections->room.cancel();
+        }
     } leave{connections_};
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
@@ -64,12 +98,17 @@
     std::string from = ignored ? "?" : peer.address().to_string() + ":" + std::to_string(peer.port());
     beast::tcp_stream stream(std::move(socket));
     beast::flat_buffer buffer(kMaxBody + 16 * 1024);
+    bool from_machine = false;
     for (;;) {
         http::request_parser<http::string_body> parser;
         parser.body_limit(kMaxBody);
         parser.header_limit(8 * 1024);
-        stream.expires_after(buffer.size() ? kRequest : kIdle);
+        auto idle = std::chrono::duration_cast<std::chrono::steady_clock::duration>(idle_time());
+        stream.expires_after(buffer.size() ? kRequest : idle);
+        auto& silent = from_machine ? silent_machines_ : silent_users_;
+        auto entry = silent.insert(silent.end(), {&stream, std::chrono::steady_clock::now()});
         auto [head_ec, head_n] = co_await http::async_read_header(stream, buffer, parser, kQuiet);
+        silent.erase(entry);
         (void)head_n;
         auto ec = head_ec;
         if (!ec && !parser.is_done()) {
@@ -101,6 +140,8 @@
                 reply = {500, R"({"error":"internal"})"};
             }
         }
+        from_machine = reply.from_machine;
+        if (from_machine && connections_->count > kNear * max_connections_) keep = false;
         http::response<http::string_body> out(static_cast<http::status>(reply.status), version);
         out.set(http::field::content_type, reply.content_type);
         if (reply.retry_after_s > 0) out.set(http::field::retry_after, std::to_string(reply.retry_after_s));
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -3,7 +3,12 @@
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/steady_timer.hpp>
+#include <boost/beast/core/tcp_stream.hpp>
+#include <chrono>
 #include <functional>
+#include <list>
+#include <memory>
 #include <string>
 
 #include "settings/settings.h"
@@ -20,12 +25,16 @@
     std::string body;
     int retry_after_s = 0;  // 0: no header
     const char* content_type = "application/json";
+    bool from_machine = false;  // asked by one of many that each ask rarely: closed first when sockets run short
 };
 
 using HttpHandler = std::function<boost::asio::awaitable<HttpReply>(HttpRequest)>;
 
 inline constexpr size_t kMaxBody = 64 * 1024;
 
+// Connections are kept between requests while there are few. Near the limit they are kept for a shorter time, and
+// those of machines are closed with their answers. At the limit the one that has been silent the longest makes room,
+// machines' first; where each is being answered, further ones wait in the listen backlog.
 class HttpServer {
   public:
     HttpServer(boost::asio::io_context& io, const Endpoint& at, int max_connections, HttpHandler handler);
@@ -34,10 +43,26 @@
   private:
     boost::asio::awaitable<void> accept_loop();
     boost::asio::awaitable<void> serve(boost::asio::ip::tcp::socket socket);
+    struct SilentConnection {
+        boost::beast::tcp_stream* stream;
+        std::chrono::steady_clock::time_point since;
+    };
+    using Silent = std::list<SilentConnection>;  // the longest silent first
+    // Outlives the server where connections do.
+    struct Connections {
+        explicit Connections(boost::asio::io_context& io) : room(io) {}
+        int count = 0;
+        boost::asio::steady_timer room;  // cancelled when a connection ends
+    };
+    // Waits until a further connection may be served.
+    boost::asio::awaitable<void> wait_for_room();
+    void close_longest_silent();
+    std::chrono::duration<double> idle_time() const;
 
     boost::asio::ip::tcp::acceptor acceptor_;
     int max_connections_;
-    int connections_ = 0;
+    std::shared_ptr<Connections> connections_;
+    Silent silent_machines_, silent_users_;
     HttpHandler handler_;
 };
 
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -13,7 +13,7 @@
 using tcp = asio::ip::tcp;
 constexpr auto kQuiet = asio::as_tuple(asio::use_awaitable);
 constexpr uint32_t kMaxFrame = 160 * 1024;
-constexpr size_t kMaxQueued = 256;  // frames waiting to be written to one peer
+constexpr double kConnect_s = 1.0;
 
 namespace {
 
@@ -60,10 +60,12 @@
 
 // One connection, either side: a reader hands frames on, a writer drains the queue.
 struct Wire : std::enable_shared_from_this<Wire> {
-    explicit Wire(tcp::socket s) : socket(std::move(s)) {}
+    Wire(tcp::socket s, size_t queue_limit) : socket(std::move(s)), most_queued_bytes(queue_limit) {}
 
     tcp::socket socket;
     std::deque<std::string> queue;
+    size_t queued_bytes = 0;
+    size_t most_queued_bytes;
     bool writing = false, dead = false;
 
     void close() {
@@ -74,7 +76,11 @@
 
     void send(std::string frame) {
         if (dead) return;
-        if (queue.size() >= kMaxQueued) return close();
+        if (queued_bytes + frame.size() > most_queued_bytes) {
+            spdlog::error("peer: link closed, {} bytes wait to be written", queued_bytes);
+            return close();
+        }
+        queued_bytes += frame.size();
         queue.push_back(std::move(frame));
         if (!writing) {
             writing = true;
@@ -86,6 +92,7 @@
         while (!self->queue.empty() && !self->dead) {
             std::string frame = std::move(self->queue.front());
             self->queue.pop_front();
+            self->queued_bytes -= frame.size();
             auto [ec, n] = co_await asio::async_write(self->socket, asio::buffer(frame), kQuiet);
             (void)n;
             if (ec) self->close();
@@ -123,8 +130,8 @@
     }
 };
 
-PeerServer::PeerServer(asio::io_context& io, const Endpoint& at, PeerHandler handler)
-    : acceptor_(io, resolve(at), true), handler_(std::move(handler)) {
+PeerServer::PeerServer(asio::io_context& io, const Endpoint& at, PeerHandler handler, size_t queue_bytes)
+    : acceptor_(io, resolve(at), true), handler_(std::move(handler)), queue_bytes_(queue_bytes) {
     asio::co_spawn(io, accept_loop(), asio::detached);
 }
 
@@ -138,7 +145,7 @@
         }
         boost::system::error_code ignored;
         socket.set_option(tcp::no_delay(true), ignored);
-        auto wire = std::make_shared<Wire>(std::move(socket));
+        auto wire = std::make_shared<Wire>(std::move(socket), queue_bytes_);
         auto on_frame = [this, wire = wire.get()](peer::Frame::Reader frame) {
             if (!frame.isCall()) return;
             auto in = frame.getCall();
@@ -171,48 +178,67 @@
 struct PeerClient::Link {
     std::shared_ptr<Wire> wire;
     std::map<uint64_t, OneShot<PeerReply>> waiting;
+    double answered_at = 0;  // when the last answer came
 };
 
-PeerClient::PeerClient(asio::io_context& io, Endpoint to) : io_(io), to_(std::move(to)) {}
+PeerClient::PeerClient(asio::io_context& io, Endpoint to, size_t queue_bytes)
+    : io_(io), to_(std::move(to)), queue_bytes_(queue_bytes) {}
+
+bool PeerClient::connected() const { return link_ && !link_->wire->dead; }
+
+// A socket for each call that found no link, in a burst of them, once took all the sockets there are.
+asio::awaitable<bool> PeerClient::connect(double timeout_s) {
+    if (connected()) co_return true;
+    if (connecting_) {
+        OneShot<bool> opened(io_.get_executor());
+        waiting_for_link_.push_back(opened);
+        auto result = co_await opened.wait(timeout_s);
+        co_return result.value_or(false);
+    }
+    connecting_ = true;
+    bool opened = co_await open_link(std::min(timeout_s, kConnect_s));
+    connecting_ = false;
+    for (auto& waiter : std::exchange(waiting_for_link_, {})) waiter.set(opened);
+    co_return opened;
+}
+
+asio::awaitable<bool> PeerClient::open_link(double timeout_s) {
+    tcp::socket socket(io_);
+    auto over = std::make_shared<bool>(false);
+    asio::steady_timer limit(io_);
+    limit.expires_after(std::chrono::milliseconds(static_cast<int>(timeout_s * 1000)));
+    limit.async_wait([&socket, over](boost::system::error_code ec) {
+        if (ec || *over) return;
+        boost::system::error_code ignored;
+        socket.close(ignored);
+    });
+    auto [ec] = co_await socket.async_connect(resolve(to_), kQuiet);
+    *over = true;
+    limit.cancel();
+    if (ec || !socket.is_open()) co_return false;
+    boost::system::error_code ignored;
+    socket.set_option(tcp::no_delay(true), ignored);
+    auto link = std::make_shared<Link>();
+    link->wire = std::make_shared<Wire>(std::move(socket), queue_bytes_);
+    auto on_frame = [weak = std::weak_ptr<Link>(link)](peer::Frame::Reader frame) {
+        auto link = weak.lock();
+        if (!link || !frame.isReply()) return;
+        link->answered_at = steady_now();
+        auto it = link->waiting.find(frame.getSeq());
+        if (it == link->waiting.end()) return;
+        auto in = frame.getReply();
+        it->second.set(PeerReply{in.getStatus(), text_of(in.getBody()), in.getRetryAfterS(), in.getToken(),
+                                 in.getUndecided(), read_links(in)});
+    };
+    asio::co_spawn(io_, Wire::read_loop(link->wire, on_frame), asio::detached);
+    link_ = link;
+    co_return true;
+}
 
 asio::awaitable<std::optional<PeerReply>> PeerClient::call(PeerCall call, double timeout_s) {
     double until = steady_now() + timeout_s;
-    if (!link_ || link_->wire->dead) {
-        tcp::socket socket(io_);
-        auto connected = std::make_shared<bool>(false);
-        asio::steady_timer limit(io_);
-        limit.expires_after(std::chrono::milliseconds(static_cast<int>(std::min(timeout_s, 1.0) * 1000)));
-        limit.async_wait([&socket, connected](boost::system::error_code ec) {
-            if (ec || *connected) return;
-            boost::system::error_code ignored;
-            socket.close(ignored);
-        });
-        auto [ec] = co_await socket.async_connect(resolve(to_), kQuiet);
-        *connected = true;
-        limit.cancel();
-        if (ec || !socket.is_open()) co_return std::nullopt;
-        if (!link_ || link_->wire->dead) {  // another call may have connected meanwhile
-            boost::system::error_code ignored;
-            socket.set_option(tcp::no_delay(true), ignored);
-            auto link = std::make_shared<Link>();
-            link->wire = std::make_shared<Wire>(std::move(socket));
-            std::weak_ptr<Link> weak = link;
-            asio::co_spawn(io_,
-                           Wire::read_loop(link->wire,
-                                           [weak](peer::Frame::Reader frame) {
-                                               auto link = weak.lock();
-                                               if (!link || !frame.isReply()) return;
-                                               auto it = link->waiting.find(frame.getSeq());
-                                               if (it == link->waiting.end()) return;
-                                               auto in = frame.getReply();
-                                               it->second.set(PeerReply{in.getStatus(), text_of(in.getBody()),
-                                                                        in.getRetryAfterS(), in.getToken(),
-                                                                        in.getUndecided(), read_links(in)});
-                                           }),
-                           asio::detached);
-            link_ = link;
-        }
-    }
+    bool opened = co_await connect(timeout_s);
+    if (!opened || !connected()) co_return std::nullopt;
     auto link = link_;
     uint64_t seq = next_seq_++;
     capnp::MallocMessageBuilder message;
@@ -227,11 +253,13 @@
     if (call.links.told) write_links(c.initLinks(), call.links);
     OneShot<PeerReply> answer(io_.get_executor());
     link->waiting.emplace(seq, answer);
+    double sent_at = steady_now();
     link->wire->send(frame_text(message));
     auto reply = co_await answer.wait(std::max(0.01, until - steady_now()));
     link->waiting.erase(seq);
-    // A link that lost an answer may be held by a cut: the next call opens a fresh one.
-    if (!reply && link_ == link) {
+    // A link on which nothing was answered since may be held by a cut: the next call opens a fresh one. Where
+    // others were answered, the peer is busy, and all that is on its way would be lost with the link.
+    if (!reply && link_ == link && link->answered_at < sent_at) {
         link->wire->close();
         link_.reset();
     }
--- a/src/transport/peer_link.h
+++ b/src/transport/peer_link.h
@@ -6,6 +6,7 @@
 #include <memory>
 #include <optional>
 #include <string>
+#include <vector>
 
 #include "protocol/links.h"
 #include "settings/settings.h"
@@ -34,28 +35,43 @@
 
 using PeerHandler = std::function<boost::asio::awaitable<PeerReply>(PeerCall)>;
 
+// Bytes that may wait to be written to one peer, unless told otherwise (settings/capacity.h).
+inline constexpr size_t kPeerQueueBytes = 16 * 1024 * 1024;
+
 class PeerServer {
   public:
-    PeerServer(boost::asio::io_context& io, const Endpoint& at, PeerHandler handler);
+    // `queue_bytes`: answers that may wait to be written to one peer. Beyond it the connection is closed.
+    PeerServer(boost::asio::io_context& io, const Endpoint& at, PeerHandler handler,
+               size_t queue_bytes = kPeerQueueBytes);
     uint16_t port() const { return acceptor_.local_endpoint().port(); }
 
   private:
     boost::asio::awaitable<void> accept_loop();
     boost::asio::ip::tcp::acceptor acceptor_;
     PeerHandler handler_;
+    size_t queue_bytes_;
 };
 
 class PeerClient {
   public:
-    PeerClient(boost::asio::io_context& io, Endpoint to);
+    // `queue_bytes`: calls that may wait to be written. Beyond it the link is closed.
+    PeerClient(boost::asio::io_context& io, Endpoint to, size_t queue_bytes = kPeerQueueBytes);
     // Nothing: the peer did not answer in time.
     boost::asio::awaitable<std::optional<PeerReply>> call(PeerCall call, double timeout_s);
 
   private:
     struct Link;
+    bool connected() const;
+    // Opens the link, once for all calls that wait for it.
+    boost::asio::awaitable<bool> connect(double timeout_s);
+    boost::asio::awaitable<bool> open_link(double timeout_s);
+
     boost::asio::io_context& io_;
     Endpoint to_;
+    size_t queue_bytes_;
     std::shared_ptr<Link> link_;
+    bool connecting_ = false;
+    std::vector<OneShot<bool>> waiting_for_link_;
     uint64_t next_seq_ = 1;
 };
 
--- /dev/null
+++ b/tests/limits_test.cpp
@@ -0,0 +1,217 @@
+// Limits at 4,000 machines that all report within the same second; see docs/limits.md.
+#include <gtest/gtest.h>
+
+#include <boost/asio.hpp>
+
+#include "coordination/leader.h"
+#include "fixtures.h"
+#include "protocol/paths.h"
+#include "service.h"
+#include "settings/capacity.h"
+#include "transport/http_client.h"
+#include "transport/http_server.h"
+#include "transport/peer_link.h"
+
+namespace weirmill::test {
+namespace {
+
+constexpr int kMachines = 4000;
+constexpr size_t kReportBytes = 1000;
+constexpr double kPatienceOfWorker_s = 4;  // Settings::worker_patience_s
+
+bool turn_until(asio::io_context& io, const std::function<bool()>& condition, double patience_s) {
+    for (double end = steady_now() + patience_s; steady_now() < end;) {
+        if (condition()) return true;
+        io.run_one_for(std::chrono::milliseconds(10));
+    }
+    return condition();
+}
+
+// Answers of a burst, by status; 0: none came.
+struct Burst {
+    int over = 0;
+    std::map<int, int> statuses;
+    void count(int status) {
+        ++over;
+        ++statuses[status];
+    }
+};
+
+// As a worker sends it whose last answer came from the leader with this token.
+std::string report_of(int machine, uint64_t token) {
+    json::object report{{"millstone", "machine-" + std::to_string(machine)},
+                        {"addr", "127.0.0.1:1"},
+                        {"rig", "std"},
+                        {"yard", "a"},
+                        {"loaners", false},
+                        {"shift", 1},
+                        {"tick", 1},
+                        {"gavel", token},
+                        {"recall_s", nullptr},
+                        {"lots", json::array()}};
+    return json::serialize(report);
+}
+
+asio::awaitable<void> relay_report(PeerClient& link, Burst& burst) {
+    PeerCall call{PeerOp::Report, "machine", std::string(kReportBytes, 'r')};
+    auto reply = co_await link.call(std::move(call), 5);
+    burst.count(reply ? reply->status : 0);
+}
+
+asio::awaitable<void> send_report(asio::io_context& io, Endpoint to, std::string body, Burst& burst) {
+    HttpClient client(io, to, 1024 * 1024);
+    auto answer = co_await client.request("POST", std::string(paths::kReport), std::move(body), kPatienceOfWorker_s);
+    burst.count(answer ? answer->status : 0);
+}
+
+const std::map<int, int> kAllTaken{{200, kMachines}};
+
+TEST(Limits, AFollowerRelaysReportsOfFourThousandMachinesAtOnce) {
+    asio::io_context io{1};
+    PeerServer server(io, {"127.0.0.1", 0}, [](PeerCall) -> asio::awaitable<PeerReply> {
+        co_return PeerReply{200, std::string(200, 'a')};
+    });
+    PeerClient link(io, {"127.0.0.1", server.port()});
+    Burst burst;
+    for (int i = 0; i < kMachines; ++i) asio::co_spawn(io, relay_report(link, burst), asio::detached);
+    ASSERT_TRUE(turn_until(io, [&] { return burst.over == kMachines; }, 10));
+    EXPECT_EQ(burst.statuses, kAllTaken);
+}
+
+TEST(Limits, ABurstOfCallsOpensOneLink) {
+    asio::io_context io{1};
+    asio::ip::tcp::acceptor acceptor(io, {asio::ip::make_address("127.0.0.1"), 0});
+    std::vector<asio::ip::tcp::socket> accepted;
+    asio::co_spawn(
+        io,
+        [&]() -> asio::awaitable<void> {
+            for (;;) accepted.push_back(co_await acceptor.async_accept(asio::use_awaitable));
+        },
+        asio::detached);
+    PeerClient link(io, {"127.0.0.1", acceptor.local_endpoint().port()});
+    Burst burst;
+    for (int i = 0; i < 400; ++i) asio::co_spawn(io, relay_report(link, burst), asio::detached);
+    turn_until(io, [] { return false; }, 0.5);
+    EXPECT_EQ(accepted.size(), 1u);
+}
+
+TEST(Limits, AnAnswerThatIsLateLeavesTheLinkUpWhileOthersAreAnswered) {
+    asio::io_context io{1};
+    PeerServer server(io, {"127.0.0.1", 0}, [](PeerCall call) -> asio::awaitable<PeerReply> {
+        if (call.op == PeerOp::Submit) co_await sleep_s(1);
+        if (call.op == PeerOp::Status) co_await sleep_s(0.6);
+        co_return PeerReply{200, "{}"};
+    });
+    PeerClient link(io, {"127.0.0.1", server.port()});
+    std::optional<PeerReply> status;
+    bool over = false;
+    auto call = [&](PeerOp op, double timeout_s) -> asio::awaitable<void> {
+        PeerCall c{op, "", ""};
+        auto reply = co_await link.call(std::move(c), timeout_s);
+        if (op != PeerOp::Status) co_return;
+        status = reply;
+        over = true;
+    };
+    asio::co_spawn(io, call(PeerOp::Submit, 0.4), asio::detached);
+    asio::co_spawn(io, call(PeerOp::Status, 3), asio::detached);
+    asio::co_spawn(io, call(PeerOp::Report, 3), asio::detached);
+    ASSERT_TRUE(turn_until(io, [&] { return over; }, 5));
+    EXPECT_TRUE(status.has_value());
+}
+
+// As after an outage: all come within a second, each with a connection of its own.
+TEST(Limits, FourThousandMachinesConnectAtOnceWithFewerSocketsThanMachines) {
+    constexpr int kConnections = 400;
+    asio::io_context server_io{1}, io{1};
+    HttpServer server(server_io, {"127.0.0.1", 0}, kConnections, [](HttpRequest) -> asio::awaitable<HttpReply> {
+        HttpReply reply{200, "{}"};
+        reply.from_machine = true;
+        co_return reply;
+    });
+    Endpoint at{"127.0.0.1", server.port()};
+    Burst burst;
+    for (int i = 0; i < kMachines; ++i) asio::co_spawn(io, send_report(io, at, std::string(kReportBytes, 'r'), burst), asio::detached);
+    for (double end = steady_now() + 9; burst.over < kMachines && steady_now() < end;) {
+        server_io.poll();
+        io.run_one_for(std::chrono::milliseconds(1));
+    }
+    EXPECT_EQ(burst.statuses, kAllTaken);
+}
+
+// The leader's actor alone: all reports wait before it takes in the first.
+TEST(Limits, ANewLeaderHasRoomForReportsOfFourThousandMachines) {
+    asio::io_context io{1};
+    auto settings = small_settings();
+    settings.report_s = 60;  // nothing but this burst
+    standin::State state_service(io);
+    standin::Cloud cloud(io, settings);
+    settings.state = state_service.door(0);
+    settings.cloud = cloud.at();
+    Properties properties;
+    Metrics metrics;
+    StateClient state(io, settings);
+    auto tenure = std::make_shared<Tenure>();
+    tenure->token = 1;
+    tenure->won = steady_now();
+    tenure->sure_until = steady_now() + 60;
+    auto leader = std::make_shared<Leader>(io, settings, properties, state, metrics, tenure);
+    leader->start();
+    ASSERT_TRUE(turn_until(io, [&] { return leader->ready(); }, 5));
+    Burst burst;
+    auto report = [&](int machine) -> asio::awaitable<void> {
+        PeerCall call{PeerOp::Report, "machine", report_of(machine, 0)};
+        auto reply = co_await leader->ask(std::move(call));
+        burst.count(reply.status);
+    };
+    for (int i = 0; i < kMachines; ++i) asio::co_spawn(io, report(i), asio::detached);
+    ASSERT_TRUE(turn_until(io, [&] { return burst.over == kMachines; }, 5));
+    EXPECT_EQ(burst.statuses, kAllTaken);
+    EXPECT_FALSE(tenure->ended);
+    leader->stop();
+    turn_until(io, [] { return false; }, 0.3);
+}
+
+// Every machine reports to this controller within the same second, each over a connection of its own.
+Burst report_all(Service& s, size_t node, uint64_t token) {
+    Burst burst;
+    Endpoint at{"127.0.0.1", s.nodes[node]->api_port()};
+    for (int i = 0; i < kMachines; ++i)
+        asio::co_spawn(s.io, send_report(s.io, at, report_of(i, token), burst), asio::detached);
+    for (double end = steady_now() + 8; burst.over < kMachines && steady_now() < end;) {
+        for (size_t i = 0; i < s.node_io.size(); ++i)
+            if (s.alive[i]) s.node_io[i]->poll();
+        s.io.poll();
+    }
+    return burst;
+}
+
+bool ready(Service& s) { return s.submit("req-1", "array", 1) == 201; }
+
+TEST(Limits, ANewLeaderAnswersFourThousandMachinesAtOnce) {
+    Service s(2);
+    ASSERT_TRUE(s.until([&] { return !s.leader().empty(); }));
+    s.crash_leader();
+    ASSERT_TRUE(ready(s));
+    EXPECT_EQ(report_all(s, static_cast<size_t>(s.leader().back() - '0'), 0).statuses, kAllTaken);
+}
+
+TEST(Limits, AFollowerPassesOnWhatFourThousandMachinesReportAtOnce) {
+    Service s(2);
+    ASSERT_TRUE(s.until([&] { return !s.leader().empty(); }));
+    ASSERT_TRUE(ready(s));
+    size_t follower = s.leader() == "node-0" ? 1 : 0;
+    auto first = s.ask_node(1 - follower, "POST", std::string(paths::kReport), report_of(kMachines, 0));
+    ASSERT_TRUE(first && first->status == 200);
+    auto token = json::parse(first->body).at("gavel").to_number<uint64_t>();
+    bool relays = false;  // once it has learnt who leads
+    for (int i = 1; i <= 200 && !relays; ++i) {
+        auto reply = s.ask_node(follower, "POST", std::string(paths::kReport), report_of(kMachines + i, token));
+        relays = reply && reply->status == 200;
+        s.turn();
+    }
+    ASSERT_TRUE(relays);
+    EXPECT_EQ(report_all(s, follower, token).statuses, kAllTaken);
+}
+
+}  // namespace
+}  // namespace weirmill::test
