--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -72,7 +72,10 @@
     ++asked_;
     asked_bytes_ += bytes;
     post(Asked{std::move(call), reply, bytes});
-    auto answer = co_await reply.wait(kAsk_s);
+    // A worker waits for as long as its own patience: with a burst of reports on a small share of a core, some are
+    // answered late.
+    double wait_s = is_report ? std::max(kAsk_s, settings_.worker_patience_s) : kAsk_s;
+    auto answer = co_await reply.wait(wait_s);
     if (answer) co_return *answer;
     co_return is_report ? PeerReply{503, "{}"} : come_back();
 }
