--- a/bench/meetings.py
+++ b/bench/meetings.py
@@ -11,7 +11,8 @@
 a job may go without an answer. The same seed and site write the same file. `play` prints a line for each day: seed,
 meeting, rules broken (a forgotten job is one), least share served by class and team. `gap` plays the operators' gap day
 in variants, each with all seeds, and tells from the logs on how many of them the meeting came about. `pairs` plays each of
-the newer troubles alone and each two of them at once, on short days of many one-task jobs. Exit codes: 0 all well, 1 a rule was broken or a day failed, 2 usage, a wrong site or day file, 3 the bench did not end as it
+the newer troubles alone and each two of them at once, on short days of many one-task jobs. Exit codes: 0 all well, 1 a rule
+was broken or a day failed, 2 usage, a wrong site or day file, 3 the bench did not end as it
 should. All figures are of simulated machines. Journal entries are left to be committed as they are.
 """
 
@@ -681,9 +682,11 @@
         thin += served < 0.5
         bad += wrong
         first_broken = "; ".join(str(x) for x in rules["first"][:2])
-        print(f"{seed} {file.stem}: {'BROKEN ' + json.dumps(rules['by_kind']) + ' ' + first_broken if rules['total'] else 'no rule broken'}"
+        told = 'BROKEN ' + json.dumps(rules['by_kind']) + ' ' + first_broken if rules['total'] else 'no rule broken'
+        print(f"{seed} {file.stem}: {told}"
               f", least served {served:.2f} ({where})", flush=True)
-    print(f"{len(days)} days on {site.name}, {bad} with a rule broken, {thin} with under half of a class or team served, {played.lost} not played; files in {work}")
+    print(f"{len(days)} days on {site.name}, {bad} with a rule broken, {thin} with under half of a class or team served, "
+          f"{played.lost} not played; files in {work}")
     return 3 if played.lost else 1 if bad else 0
 
 
--- a/bench/regression.sh
+++ b/bench/regression.sh
@@ -51,6 +51,7 @@
 [ "$full" -eq 1 ] || args+=(--quick)
 
 # Quick and full scores are not comparable: only entries of the same kind count.
+# shellcheck disable=SC2016  # $quick is one of jq's
 select_kind='select(.cmd=="score" and .score!=null and .ok==true) | select((.argv|index("--quick")!=null)==$quick)'
 quick=$([ "$full" -eq 1 ] && echo false || echo true)
 committed=$(mktemp)
