--- a/bench/pass_bench.cpp
+++ b/bench/pass_bench.cpp
@@ -38,8 +38,8 @@
 
 bool up(const Machine& m) { return m.up; }
 
-// Machines that are mostly full, and jobs that wait: 2 for each 10 machines, of which 5 in 8 are placed
-// first.
+// Machines that are mostly full, and jobs that wait: 2 for each 10 machines, of which 5 in 8 are
+// placed first.
 struct Site {
     Settings settings = large_site();
     Tables tables{settings};
@@ -113,7 +113,8 @@
             ledger.committed(b, revision);
         }
         for (auto& [key, value] : store)
-            if (key.starts_with(kSegments)) segments.push_back({key, boost::json::parse(value), 50, 0});
+            if (key.starts_with(kSegments))
+                segments.push_back({key, boost::json::parse(value), 50, 0});
     }
 };
 
@@ -131,14 +132,9 @@
 };
 const Decision kDecisions[] = {
     {"place", [](Tables& t) { return place_waiting(t, up, kNow).size(); }},
-    {"rent",
-     [](Tables& t) {
-         return plan_rentals(t, up, {0.3, 8}, kNow).size();
-     }},
+    {"rent", [](Tables& t) { return plan_rentals(t, up, {0.3, 8}, kNow).size(); }},
     {"rent_distinct",  // as where every job's tasks are of another size
-     [](Tables& t) {
-         return plan_rentals(t, up, {0.3, 8, 0}, kNow).size();
-     }},
+     [](Tables& t) { return plan_rentals(t, up, {0.3, 8, 0}, kNow).size(); }},
     {"preempt", [](Tables& t) { return plan_preemption(t, up, kNow).clearings.size(); }},
     {"close", [](Tables& t) { return size_t{plan_closing(t, up, kNow) != kNone}; }},
     {"forecast",
@@ -147,23 +143,22 @@
          f.observe(t, kNow);
          return f.queues().size();
      }},
-    {"return",
-     [](Tables& t) {
-         return plan_returns(t, {0.3, 8}, kNow).size();
-     }},
+    {"return", [](Tables& t) { return plan_returns(t, {0.3, 8}, kNow).size(); }},
 };
 
 int count(const std::string& what, size_t size, size_t jobs) {
     if (what == "load") {
         Log log(size);
-        std::cout << what << ": " << load(log) << " tasks in " << log.segments.size() << " segments\n";
+        std::cout << what << ": " << load(log) << " tasks in " << log.segments.size()
+                  << " segments\n";
         return 0;
     }
     for (auto& d : kDecisions) {
         if (what != d.name) continue;
         Site site(size, jobs);
         size_t waiting = waiting_jobs(site.tables, kNow).size();
-        std::cout << what << ": " << d.decide(site.tables) << " decided, " << waiting << " jobs waiting\n";
+        std::cout << what << ": " << d.decide(site.tables) << " decided, " << waiting
+                  << " jobs waiting\n";
         return 0;
     }
     std::cerr << "pass_bench: no decision named " << what << "\n";
--- a/bench/trace_fuzz.cpp
+++ b/bench/trace_fuzz.cpp
@@ -1,10 +1,10 @@
-// libFuzzer on the import of one format: whatever the bytes, every record is told of once, and the account
-// holds.
+// libFuzzer on the import of one format: whatever the bytes, every record is told of once, and the
+// account holds.
 //
-//   cmake -S . -B target/fuzz -DCMAKE_CXX_COMPILER=clang++-14 -DWEIRMILL_FUZZ=ON -DWEIRMILL_TESTS=OFF
-//   cmake --build target/fuzz --target trace_fuzz
-//   WEIRMILL_SAMPLES_TO=corpus target/ci/weirmill_tests --gtest_filter='Traces.EveryRecord*'
-//   WEIRMILL_FUZZ_FORMAT=swf target/fuzz/trace_fuzz -max_total_time=600 corpus/swf
+//   cmake -S . -B target/fuzz -DCMAKE_CXX_COMPILER=clang++-14 -DWEIRMILL_FUZZ=ON
+//   -DWEIRMILL_TESTS=OFF cmake --build target/fuzz --target trace_fuzz WEIRMILL_SAMPLES_TO=corpus
+//   target/ci/weirmill_tests --gtest_filter='Traces.EveryRecord*' WEIRMILL_FUZZ_FORMAT=swf
+//   target/fuzz/trace_fuzz -max_total_time=600 corpus/swf
 //
 // The input is one file, or several with the byte 0x1e between them.
 #include <sys/mman.h>
@@ -37,8 +37,9 @@
         if (!f) std::abort();
         return f;
     }();
-    static const std::vector<MachineType> types{{"c16", {16000, 0, 64000}, 50, 1, 1, 1, 30, {"a"}},
-                                                {"g8", {96000, 8000, 768000}, 200, 1, 12, 4, 45, {"a"}}};
+    static const std::vector<MachineType> types{
+        {"c16", {16000, 0, 64000}, 50, 1, 1, 1, 30, {"a"}},
+        {"g8", {96000, 8000, 768000}, 200, 1, 12, 4, 45, {"a"}}};
     std::string_view rest(reinterpret_cast<const char*>(data), size);
     std::vector<int> files;
     std::vector<std::string> paths;
--- a/src/bookkeeping/dependencies.cpp
+++ b/src/bookkeeping/dependencies.cpp
@@ -35,7 +35,7 @@
     return out;
 }
 
-void Dependencies::unlink(Index job, std::vector<Index> Node::*side, Index other) {
+void Dependencies::unlink(Index job, std::vector<Index> Node::* side, Index other) {
     auto it = nodes_.find(job);
     if (it == nodes_.end()) return;
     auto& list = it->second.*side;
--- a/src/bookkeeping/dependencies.h
+++ b/src/bookkeeping/dependencies.h
@@ -1,5 +1,6 @@
-// Which jobs wait for which. A dependency has to be done before any task of its dependant starts; a job is
-// ready once none is left. Links join jobs that are both in the tables; jobs outside pipelines take no room.
+// Which jobs wait for which. A dependency has to be done before any task of its dependant starts; a
+// job is ready once none is left. Links join jobs that are both in the tables; jobs outside
+// pipelines take no room.
 #pragma once
 #include <unordered_map>
 #include <vector>
@@ -27,7 +28,7 @@
     struct Node {
         std::vector<Index> on, dependants;
     };
-    void unlink(Index job, std::vector<Index> Node::*side, Index other);
+    void unlink(Index job, std::vector<Index> Node::* side, Index other);
     std::unordered_map<Index, Node> nodes_;
     size_t waiting_ = 0;
 };
--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -14,7 +14,8 @@
 
 namespace {
 constexpr size_t kMaxTxnBytes = 56 * 1024;  // of the 64 KiB that a transaction may have
-// A segment is written again with every flush until it is full: more than this costs more than it saves.
+// A segment is written again with every flush until it is full: more than this costs more than it
+// saves.
 constexpr size_t kFull = 8 * 1024;
 constexpr size_t kEntryBytes = 700;  // rows of one entry, about
 constexpr size_t kRetoldAtOnce = 3 * 1024;
@@ -64,16 +65,17 @@
 
 std::string final_key(const std::string& id) { return "f/" + id; }
 
-// Entries of a segment: ["j", {job, at, ready, cancelled}] a job, ["c", id] its cancellation, ["e", id, when]
-// its end, ["t", id, row...] its tasks. Rows: [task, attempt] waiting, [task, attempt, session, machine]
-// placed, [first, last, "d"] done. A job too long for one entry: ["p", id, number, text] the pieces of `job`,
-// then ["j", {id, pieces, at, ready, cancelled}]. `ready`, `when` and pieces appear with pipelines only:
-// versions without them read the rest.
+// Entries of a segment: ["j", {job, at, ready, cancelled}] a job, ["c", id] its cancellation, ["e",
+// id, when] its end, ["t", id, row...] its tasks. Rows: [task, attempt] waiting, [task, attempt,
+// session, machine] placed, [first, last, "d"] done. A job too long for one entry: ["p", id,
+// number, text] the pieces of `job`, then ["j", {id, pieces, at, ready, cancelled}]. `ready`,
+// `when` and pieces appear with pipelines only: versions without them read the rest.
 namespace {
 
-// A cancellation that was asked for goes into every record that is written from then on: its own entry may stand in front
-// of the job told anew, by the same transaction even, and is passed over once the segments with the job's first record
-// are gone. A job whose user had been told that it is cancelled was once brought back so.
+// A cancellation that was asked for goes into every record that is written from then on: its own
+// entry may stand in front of the job told anew, by the same transaction even, and is passed over
+// once the segments with the job's first record are gone. A job whose user had been told that it is
+// cancelled was once brought back so.
 json::object job_head(const Job& job) {
     json::object o{{"at", job.submitted}};
     if (job.ready > 0) o["ready"] = job.ready;
@@ -107,7 +109,8 @@
 }
 
 std::string final_record(JobState state, uint32_t done) {
-    return json::serialize(json::object{{"cancelled", state == JobState::Cancelled}, {"done", done}});
+    return json::serialize(
+        json::object{{"cancelled", state == JobState::Cancelled}, {"done", done}});
 }
 
 FinalState parse_final(const json::value& v) {
@@ -135,7 +138,8 @@
 }
 
 // One row; a run of done tasks is one. Returns the task after it.
-uint32_t add_row(std::string& text, const Job& job, uint32_t t, uint32_t end, const Tables& tables) {
+uint32_t add_row(std::string& text, const Job& job, uint32_t t, uint32_t end,
+                 const Tables& tables) {
     auto& task = job.tasks[t];
     auto out = std::back_inserter(text);
     if (task.state == TaskState::Done) {
@@ -154,7 +158,8 @@
 
 }  // namespace
 
-// What a transaction will write to the log: the open segment with more entries, and further ones after it.
+// What a transaction will write to the log: the open segment with more entries, and further ones
+// after it.
 struct Ledger::Staged {
     std::vector<LedgerBatch::Written> segments;
     bool open_untouched = false;  // the first of them is the open one, as it stands
@@ -171,7 +176,8 @@
         size_t more = entry.size() + 300;
         if (fits && segments.size() == 1 && open_untouched) more += segments.back().text.size();
         bool costs = !fits || (segments.size() == 1 && open_untouched);
-        if ((costs && ops < 1) || bytes + more > kMaxTxnBytes || entry.size() + 2 > hard) return false;
+        if ((costs && ops < 1) || bytes + more > kMaxTxnBytes || entry.size() + 2 > hard)
+            return false;
         if (!fits) {
             segments.push_back({next_number++, "["});
         } else if (costs) {
@@ -191,7 +197,8 @@
     uint64_t number() const { return segments.back().number; }
 };
 
-Ledger::Ledger(Tables& tables, uint64_t token, LedgerLimits limits) : tables_(tables), token_(token) {
+Ledger::Ledger(Tables& tables, uint64_t token, LedgerLimits limits)
+    : tables_(tables), token_(token) {
     set_limits(limits.txn_ops, static_cast<size_t>(limits.value_kb * 1024));
 }
 
@@ -207,7 +214,8 @@
     size_t now = hard_limit_ + kSpare, bytes = std::max(kLeastValue, now / 2);
     if (ops >= txn_ops_ && bytes >= now) return false;
     set_limits(ops, bytes);
-    // What was cut for the larger limits is cut anew. Pieces already recorded are told again from the first.
+    // What was cut for the larger limits is cut anew. Pieces already recorded are told again from
+    // the first.
     telling_.clear();
     cursor_job_ = kNone;
     return true;
@@ -216,7 +224,8 @@
 void Ledger::note(const std::string& key, std::string record) {
     if (record.size() > hard_limit_) {
         // It would never be taken, and all else in its transaction with it.
-        spdlog::error("state: a record of {} bytes for {} is too long, not written", record.size(), key);
+        spdlog::error("state: a record of {} bytes for {} is too long, not written", record.size(),
+                      key);
         return;
     }
     notes_[key].record = std::move(record);
@@ -225,9 +234,10 @@
 bool Ledger::can_hold(Index index) const {
     auto& job = *tables_.jobs[index];
     auto record = json::serialize(json::array{
-        "j", json::object{{"job", submission_json(job.spec, tables_.names)}, {"at", job.submitted}}});
-    // And its cancellation, and when it became ready. Pieces are not written while a version that can't read
-    // them may still lead; with pipelines all are new.
+        "j",
+        json::object{{"job", submission_json(job.spec, tables_.names)}, {"at", job.submitted}}});
+    // And its cancellation, and when it became ready. Pieces are not written while a version that
+    // can't read them may still lead; with pipelines all are new.
     return record.size() + 60 <= hard_limit_ || pipelines_used();
 }
 
@@ -242,9 +252,10 @@
     const size_t most = hard_limit_ / 2 - 60;
     for (size_t at = 0; at < body.size();) {
         size_t n = std::min(most, body.size() - at);
-        while (at + n < body.size() && (body[at + n] & 0xC0) == 0x80) --n;  // not within a character
-        out.push_back(
-            fmt::format("[\"p\",{},{},{}]", quoted(job.spec.id), out.size(), quoted(body.substr(at, n))));
+        while (at + n < body.size() && (body[at + n] & 0xC0) == 0x80)
+            --n;  // not within a character
+        out.push_back(fmt::format("[\"p\",{},{},{}]", quoted(job.spec.id), out.size(),
+                                  quoted(body.substr(at, n))));
         at += n;
     }
     out.push_back(record_head(job, out.size()));
@@ -252,9 +263,10 @@
 }
 
 bool Ledger::waiting() const {
-    return !new_jobs_.empty() || !cancels_.empty() || !finishes_.empty() || !tables_.changes.empty() ||
-           !forgets_.empty() || retelling_ != 0 ||
-           std::any_of(notes_.begin(), notes_.end(), [](auto& n) { return !n.second.record.empty(); });
+    return !new_jobs_.empty() || !cancels_.empty() || !finishes_.empty() ||
+           !tables_.changes.empty() || !forgets_.empty() || retelling_ != 0 ||
+           std::any_of(notes_.begin(), notes_.end(),
+                       [](auto& n) { return !n.second.record.empty(); });
 }
 
 LedgerBatch Ledger::next(int ops) {
@@ -264,7 +276,9 @@
     b.first = first_;
     Staged s{{}, !open_.empty(), soft_limit_, hard_limit_, 0, ops, next_number_};
     if (!open_.empty()) s.segments.push_back({segments_.back().number, open_});
-    auto condition = [&](std::string key, uint64_t version) { s.condition(b, std::move(key), version); };
+    auto condition = [&](std::string key, uint64_t version) {
+        s.condition(b, std::move(key), version);
+    };
     auto change = [&](std::string key, std::string value) {
         s.bytes += key.size() + value.size() + 40;
         b.txn.changes.push_back({std::move(key), std::move(value), 0});
@@ -299,7 +313,8 @@
     tell_tasks(s, b);
     retell(s, b);
     for (auto& [key, note] : notes_) {
-        if (note.record.empty() || s.ops < 1 || s.bytes + note.record.size() > kMaxTxnBytes) continue;
+        if (note.record.empty() || s.ops < 1 || s.bytes + note.record.size() > kMaxTxnBytes)
+            continue;
         condition(key, note.version);
         change(key, std::move(note.record));
         note.record.clear();
@@ -322,11 +337,12 @@
     return b;
 }
 
-// A job whose record takes several entries lets those behind it go first: it takes a few transactions.
+// A job whose record takes several entries lets those behind it go first: it takes a few
+// transactions.
 void Ledger::tell_new_jobs(Staged& s, LedgerBatch& b) {
     for (auto it = new_jobs_.begin(); it != new_jobs_.end();) {
-        // A condition for each change, for the leadership and for the head; the rest is for new jobs, two
-        // each.
+        // A condition for each change, for the leadership and for the head; the rest is for new
+        // jobs, two each.
         if (2 * b.bases.size() + 4 > 3 * static_cast<size_t>(txn_ops_)) return;
         Index index = *it;
         auto& job = *tables_.jobs[index];
@@ -388,10 +404,11 @@
     }
 }
 
-// Half of what a transaction may have is left for users who come next; but one goes with each that has room,
-// as on a busy day there is never more.
+// Half of what a transaction may have is left for users who come next; but one goes with each that
+// has room, as on a busy day there is never more.
 void Ledger::tell_forgets(Staged& s, LedgerBatch& b) {
-    for (int n = std::max(1, s.ops - txn_ops_ / 2); n > 0 && s.ops > 0 && !forgets_.empty(); --n, --s.ops) {
+    for (int n = std::max(1, s.ops - txn_ops_ / 2); n > 0 && s.ops > 0 && !forgets_.empty();
+         --n, --s.ops) {
         auto& [key, version] = forgets_.front();
         s.condition(b, key, version);
         b.txn.changes.push_back({key, "", 0});
@@ -421,12 +438,13 @@
                 continue;  // one after the other
             cursor_job_ = kNone;
         }
-        if (std::any_of(b.bases.begin(), b.bases.end(), [&](auto& x) { return x.first == j; })) continue;
+        if (std::any_of(b.bases.begin(), b.bases.end(), [&](auto& x) { return x.first == j; }))
+            continue;
         if (cursor_job_ == kNone) {
             auto entries = record_entries(j);
             if (entries.size() > 1 && !pipelines_used()) {
-                // Of a version that wrote longer values, and told in pieces it could not be read by that
-                // version: its segment stays. Nothing else has to wait for that.
+                // Of a version that wrote longer values, and told in pieces it could not be read by
+                // that version: its segment stays. Nothing else has to wait for that.
                 retelling_ = 0;
                 retell_above_ = 2 * segments_.size();
                 return;
@@ -505,7 +523,8 @@
     for (auto& [j, base] : batch.bases)
         if (tables_.jobs[j]) tables_.jobs[j]->base = base;
     for (auto& [j, n, base] : batch.told)
-        if (auto it = telling_.find(j); it != telling_.end()) it->second.told = n, it->second.base = base;
+        if (auto it = telling_.find(j); it != telling_.end())
+            it->second.told = n, it->second.base = base;
     for (auto& e : batch.entries) {
         auto* job = e.job == kNone ? nullptr : tables_.jobs[e.job].get();
         if (e.kind == EntryKind::Cancel) job->cancel_recorded = job->cancel_logged = true;
@@ -524,10 +543,11 @@
         if (segments_.empty() || segments_.front().number > retelling_) retelling_ = 0;
         if (segments_.empty()) open_.clear();
     }
-    // The oldest, and never the open one. As many at once as one transaction can drop beside the new head:
-    // where values are short, a transaction for each took a third of all changes.
+    // The oldest, and never the open one. As many at once as one transaction can drop beside the
+    // new head: where values are short, a transaction for each took a third of all changes.
     size_t at_once = std::clamp<size_t>(static_cast<size_t>(txn_ops_) - 1, 1, kDroppedAtOnce);
-    if (retelling_ == 0 && segments_.size() > std::max(retell_above_, wanted_segments() + at_once)) {
+    if (retelling_ == 0 &&
+        segments_.size() > std::max(retell_above_, wanted_segments() + at_once)) {
         retelling_ = segments_[at_once - 1].number;
         retell_above_ = 0;
         cursor_job_ = kNone;
@@ -599,8 +619,10 @@
         if (read::field(o, "pieces")) {
             pipelines_ = true;
             auto found = loading_pieces_.find(read::text(o, "id"));
-            // Its first pieces stood in a segment that is gone by now: it has ended, or is told anew.
-            if (found == loading_pieces_.end() || found->second.next != read::count(o, "pieces")) return;
+            // Its first pieces stood in a segment that is gone by now: it has ended, or is told
+            // anew.
+            if (found == loading_pieces_.end() || found->second.next != read::count(o, "pieces"))
+                return;
             auto pieces = std::move(found->second);
             loading_pieces_.erase(found);
             return load_job(o, read::parse(pieces.body), pieces.base, now);
@@ -630,7 +652,8 @@
         loading_ended_[id] = entry[2].to_number<double>();
     }
     auto it = tables_.job_index.find(id);
-    // A job of which an earlier segment told that is gone by now: it has ended, or is told anew further on.
+    // A job of which an earlier segment told that is gone by now: it has ended, or is told anew
+    // further on.
     if (it == tables_.job_index.end()) return;
     Index index = it->second;
     auto& job = *tables_.jobs[index];
@@ -659,15 +682,16 @@
     }
 }
 
-void Ledger::load_job(const json::object& record, const json::value& body, uint64_t base, double now) {
+void Ledger::load_job(const json::object& record, const json::value& body, uint64_t base,
+                      double now) {
     auto spec = parse_submission(body, tables_.names);
     if (spec.team == kNone) read::bad("job.team");
     bool cancelled = read::flag(record, "cancelled", false);
     double ready = read::number(record, "ready", 0, 1e12);
     pipelines_ = pipelines_ || ready > 0 || !spec.dependencies.empty();
     auto it = tables_.job_index.find(spec.id);
-    // Told anew: what came before stands, and what follows repeats it. Only what it waits for may have
-    // become less.
+    // Told anew: what came before stands, and what follows repeats it. Only what it waits for may
+    // have become less.
     if (it != tables_.job_index.end())
         tables_.jobs[it->second]->spec.dependencies = std::move(spec.dependencies);
     auto index = it != tables_.job_index.end()
@@ -682,8 +706,9 @@
     if (cancelled) job.cancelled = job.cancel_recorded = job.cancel_logged = true;
 }
 
-// A dependency that is not alive once the whole log is read has ended as done: its dependants were accepted
-// after it, and a cancelled job leaves the log only after the cancellations of all that wait for it.
+// A dependency that is not alive once the whole log is read has ended as done: its dependants were
+// accepted after it, and a cancelled job leaves the log only after the cancellations of all that
+// wait for it.
 void Ledger::load_dependencies(double now) {
     for (Index j = 0; j < tables_.jobs.size(); ++j) {
         auto* job = tables_.jobs[j].get();
@@ -716,7 +741,8 @@
         for (uint32_t t = 0; t < names.size(); ++t) {
             if (names[t].empty()) continue;
             auto& task = tables_.jobs[j]->tasks[t];
-            tables_.restore_placed(j, t, tables_.add_machine(names[t], now), task.attempt, task.session);
+            tables_.restore_placed(j, t, tables_.add_machine(names[t], now), task.attempt,
+                                   task.session);
         }
     loading_.clear();
 }
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -1,10 +1,11 @@
 // The tables' records in the state service, write-ahead: a log of events in segments, each one key.
 //
-// One change to the state service carries all events since the last: new jobs, placements, outcomes, ends.
-// The newest segment is rewritten until it is full. The oldest is dropped once whatever it told of jobs that
-// still run has been told anew further on. Keys: `w/<number>` a segment, `log` its first number, `f/<id>` the
-// final state of a job. docs/design.md has the argument why late or repeated copies of a write do nothing,
-// and why a leader that reads the log knows which jobs still wait for others.
+// One change to the state service carries all events since the last: new jobs, placements,
+// outcomes, ends. The newest segment is rewritten until it is full. The oldest is dropped once
+// whatever it told of jobs that still run has been told anew further on. Keys: `w/<number>` a
+// segment, `log` its first number, `f/<id>` the final state of a job. docs/design.md has the
+// argument why late or repeated copies of a write do nothing, and why a leader that reads the log
+// knows which jobs still wait for others.
 #pragma once
 #include <deque>
 #include <map>
@@ -85,13 +86,14 @@
   public:
     Ledger(Tables& tables, uint64_t token, LedgerLimits limits);
 
-    // `door`: the version of its door record (doors/records.h), which it replaces; 0: there must be none.
+    // `door`: the version of its door record (doors/records.h), which it replaces; 0: there must be
+    // none.
     void new_job(Index job, uint64_t door = 0) {
         new_jobs_.push_back(job);
         if (door != 0) doors_[job] = door;
     }
-    // A door record that the log, or a final state, stands for by now: deleted when there are changes to
-    // spare.
+    // A door record that the log, or a final state, stands for by now: deleted when there are
+    // changes to spare.
     void forget(const std::string& key, uint64_t version) { forgets_.emplace_back(key, version); }
     // All controllers can read records in pieces.
     void allow_pieces() { pipelines_ = true; }
@@ -102,21 +104,23 @@
     bool urgent() const { return !new_jobs_.empty() || !cancels_.empty(); }
     bool waiting() const;
     size_t submissions() const { return new_jobs_.size(); }
-    // Whether the job can be recorded at all. What it waits for does not count: that may be told in pieces.
+    // Whether the job can be recorded at all. What it waits for does not count: that may be told in
+    // pieces.
     bool can_hold(Index job) const;
-    // The state service does not take a transaction of this size: the next ones are smaller. False: they are
-    // as small as they get.
+    // The state service does not take a transaction of this size: the next ones are smaller. False:
+    // they are as small as they get.
     bool shrink();
 
     // The next transaction of at most `ops` changes; every one is conditional on the leadership.
     LedgerBatch next(int ops);
     // It was applied at `revision`. Finished jobs are left in the tables for the caller to remove.
     void committed(const LedgerBatch& batch, uint64_t revision);
-    // It was not, and never will be: its entries wait again. New jobs do not: their users are told to return.
+    // It was not, and never will be: its entries wait again. New jobs do not: their users are told
+    // to return.
     void rejected(const LedgerBatch& batch);
 
-    // Rebuilding the tables of a fresh leader: the head, all segments in order, then `loaded`. Each throws
-    // BadMessage.
+    // Rebuilding the tables of a fresh leader: the head, all segments in order, then `loaded`. Each
+    // throws BadMessage.
     void clear();
     void load_head(const StateItem& item);
     void load_segment(const StateItem& item, double now);
@@ -149,7 +153,8 @@
     size_t entry_limit_;              // bytes of one entry's rows, about
     bool pipelines_ = false;          // the log holds what versions without pipelines can't read
     std::deque<Index> new_jobs_, cancels_, finishes_;
-    std::map<Index, uint64_t> doors_;  // of new jobs that doors accepted: the versions of their records
+    std::map<Index, uint64_t>
+        doors_;  // of new jobs that doors accepted: the versions of their records
     std::deque<std::pair<std::string, uint64_t>> forgets_;
     struct Note {
         std::string record;  // empty: nothing to write
@@ -175,8 +180,8 @@
         uint64_t base = 0;  // from this segment on
     };
     std::map<Index, Telling> telling_;
-    // While loading: machine names by task; pieces of records, and in which segment the first is; when jobs
-    // that others waited for ended.
+    // While loading: machine names by task; pieces of records, and in which segment the first is;
+    // when jobs that others waited for ended.
     std::map<Index, std::vector<std::string>> loading_;
     struct LoadedPieces {
         std::string body;
--- a/src/bookkeeping/metrics.cpp
+++ b/src/bookkeeping/metrics.cpp
@@ -25,17 +25,20 @@
     out += "# TYPE weirmill_requests_total counter\n";
     for (auto& [kind, k] : requests_)
         for (auto& [status, n] : k.by_status)
-            fmt::format_to(to, "weirmill_requests_total{{kind=\"{}\",status=\"{}\"}} {}\n", kind, status, n);
+            fmt::format_to(to, "weirmill_requests_total{{kind=\"{}\",status=\"{}\"}} {}\n", kind,
+                           status, n);
     out += "# TYPE weirmill_request_seconds histogram\n";
     for (auto& [kind, k] : requests_) {
         double below = 0;
         for (size_t i = 0; i + 1 < kBounds.size(); ++i) {
             below += static_cast<double>(k.seconds.at(static_cast<int>(i)));
-            fmt::format_to(to, "weirmill_request_seconds_bucket{{kind=\"{}\",le=\"{}\"}} {}\n", kind,
-                           kBounds[i + 1], below);
+            fmt::format_to(to, "weirmill_request_seconds_bucket{{kind=\"{}\",le=\"{}\"}} {}\n",
+                           kind, kBounds[i + 1], below);
         }
-        double all = below + static_cast<double>(k.seconds.at(static_cast<int>(kBounds.size()) - 1));
-        fmt::format_to(to, "weirmill_request_seconds_bucket{{kind=\"{}\",le=\"+Inf\"}} {}\n", kind, all);
+        double all =
+            below + static_cast<double>(k.seconds.at(static_cast<int>(kBounds.size()) - 1));
+        fmt::format_to(to, "weirmill_request_seconds_bucket{{kind=\"{}\",le=\"+Inf\"}} {}\n", kind,
+                       all);
         fmt::format_to(to, "weirmill_request_seconds_sum{{kind=\"{}\"}} {}\n", kind, k.sum);
         fmt::format_to(to, "weirmill_request_seconds_count{{kind=\"{}\"}} {}\n", kind, all);
     }
--- a/src/bookkeeping/state_client.cpp
+++ b/src/bookkeeping/state_client.cpp
@@ -12,11 +12,14 @@
 constexpr size_t kMaxWatch = 4 * 1024 * 1024;
 
 StateClient::StateClient(asio::io_context& io, const Settings& s)
-    : calls_(io, s.state, kMaxPage), leases_(io, s.state, kMaxPage), watches_(io, s.state, kMaxWatch) {}
+    : calls_(io, s.state, kMaxPage),
+      leases_(io, s.state, kMaxPage),
+      watches_(io, s.state, kMaxWatch) {}
 
 template <class F>
 asio::awaitable<StateResult<std::invoke_result_t<F, std::string_view>>> StateClient::ask(
-    HttpClient& via, const char* method, std::string target, std::string body, double timeout_s, F parse) {
+    HttpClient& via, const char* method, std::string target, std::string body, double timeout_s,
+    F parse) {
     StateResult<std::invoke_result_t<F, std::string_view>> out;
     auto answer = co_await via.request(method, target, std::move(body), timeout_s);
     if (!answer) co_return out;
@@ -56,9 +59,10 @@
     return ask(calls_, "GET", state_key_target(key), "", timeout_s, parse_state_item);
 }
 
-asio::awaitable<StateResult<StatePage>> StateClient::list(std::string prefix, std::string after, int limit,
-                                                          double timeout_s) {
-    return ask(calls_, "GET", state_list_target(prefix, after, limit), "", timeout_s, parse_state_page);
+asio::awaitable<StateResult<StatePage>> StateClient::list(std::string prefix, std::string after,
+                                                          int limit, double timeout_s) {
+    return ask(calls_, "GET", state_list_target(prefix, after, limit), "", timeout_s,
+               parse_state_page);
 }
 
 asio::awaitable<StateResult<uint64_t>> StateClient::txn(StateTxn t, double timeout_s) {
@@ -66,19 +70,19 @@
 }
 
 asio::awaitable<StateResult<uint64_t>> StateClient::grant(double ttl_s, double timeout_s) {
-    return ask(leases_, "POST", paths::kLeases, lease_json(static_cast<int64_t>(ttl_s * 1000)), timeout_s,
-               parse_lease);
+    return ask(leases_, "POST", paths::kLeases, lease_json(static_cast<int64_t>(ttl_s * 1000)),
+               timeout_s, parse_lease);
 }
 
 asio::awaitable<StateResult<bool>> StateClient::renew(uint64_t lease, double timeout_s) {
-    return ask(leases_, "POST", fmt::format("{}/{}{}", paths::kLeases, lease, paths::kRenew), "", timeout_s,
-               [](std::string_view) { return true; });
+    return ask(leases_, "POST", fmt::format("{}/{}{}", paths::kLeases, lease, paths::kRenew), "",
+               timeout_s, [](std::string_view) { return true; });
 }
 
 asio::awaitable<StateResult<StateWatch>> StateClient::watch(std::string prefix, uint64_t after,
                                                             double wait_s) {
-    return ask(watches_, "GET", state_watch_target(prefix, after, static_cast<int>(wait_s * 1000)), "",
-               wait_s + 3, parse_watch);
+    return ask(watches_, "GET", state_watch_target(prefix, after, static_cast<int>(wait_s * 1000)),
+               "", wait_s + 3, parse_watch);
 }
 
 }  // namespace weirmill
--- a/src/bookkeeping/state_client.h
+++ b/src/bookkeeping/state_client.h
@@ -26,8 +26,8 @@
     explicit operator bool() const { return outcome == StateOutcome::Ok; }
 };
 
-// A rate with bursts. Where it proves too high, it falls at once and comes back in some minutes: a limit that
-// was not announced would else refuse transactions all the time.
+// A rate with bursts. Where it proves too high, it falls at once and comes back in some minutes: a
+// limit that was not announced would else refuse transactions all the time.
 class RateBudget {
   public:
     RateBudget(double per_s, double burst_s)
@@ -58,12 +58,13 @@
     StateClient(boost::asio::io_context& io, const Settings& settings);
 
     boost::asio::awaitable<StateResult<StateItem>> get(std::string key, double timeout_s);
-    boost::asio::awaitable<StateResult<StatePage>> list(std::string prefix, std::string after, int limit,
-                                                        double timeout_s);
+    boost::asio::awaitable<StateResult<StatePage>> list(std::string prefix, std::string after,
+                                                        int limit, double timeout_s);
     boost::asio::awaitable<StateResult<uint64_t>> txn(StateTxn txn, double timeout_s);
     boost::asio::awaitable<StateResult<uint64_t>> grant(double ttl_s, double timeout_s);
     boost::asio::awaitable<StateResult<bool>> renew(uint64_t lease, double timeout_s);
-    boost::asio::awaitable<StateResult<StateWatch>> watch(std::string prefix, uint64_t after, double wait_s);
+    boost::asio::awaitable<StateResult<StateWatch>> watch(std::string prefix, uint64_t after,
+                                                          double wait_s);
 
     // When the state service last answered this controller, refusals aside; steady clock, seconds.
     double answered_at() const { return answered_at_; }
@@ -71,7 +72,8 @@
   private:
     template <class F>
     boost::asio::awaitable<StateResult<std::invoke_result_t<F, std::string_view>>> ask(
-        HttpClient& via, const char* method, std::string target, std::string body, double timeout_s, F parse);
+        HttpClient& via, const char* method, std::string target, std::string body, double timeout_s,
+        F parse);
 
     HttpClient calls_, leases_, watches_;
     double answered_at_ = -1e9;
--- a/src/bookkeeping/tables.cpp
+++ b/src/bookkeeping/tables.cpp
@@ -31,7 +31,8 @@
         if (classes.size() <= index) classes.resize(index + 1);
         auto& c = classes[index];
         if (o.kind == "wait")
-            c.start_within_s = c.start_within_s > 0 ? std::min(c.start_within_s, o.within_s) : o.within_s;
+            c.start_within_s =
+                c.start_within_s > 0 ? std::min(c.start_within_s, o.within_s) : o.within_s;
         if (o.kind == "finished") c.done_within_s.push_back(o.within_s);
         if (deadline) c.deadline_times.push_back(o.times);
     }
@@ -73,8 +74,9 @@
 }
 
 namespace {
-// Whether a guarantee covers what is used, tasks that need `each` among it. A team that is guaranteed GPUs and has
-// no figure for CPUs was once owed nothing, as each of its tasks takes some.
+// Whether a guarantee covers what is used, tasks that need `each` among it. A team that is
+// guaranteed GPUs and has no figure for CPUs was once owed nothing, as each of its tasks takes
+// some.
 bool covers(const Resources& owed, const Resources& use, const Resources& each) {
     bool with_gpus = owed.cpu == 0 && owed.gpu > 0 && each.gpu > 0;
     return use.gpu <= owed.gpu && (use.cpu <= owed.cpu || with_gpus);
@@ -150,13 +152,15 @@
 bool Tables::cancellation_logged(Index index) const {
     auto& dependants = dependencies_.dependants(index);
     return jobs[index]->cancel_logged &&
-           std::all_of(dependants.begin(), dependants.end(), [&](Index d) { return jobs[d]->cancel_logged; });
+           std::all_of(dependants.begin(), dependants.end(),
+                       [&](Index d) { return jobs[d]->cancel_logged; });
 }
 
 bool Tables::settled(Index index) const {
     auto& own = *jobs[index];
     if (own.end_sent || own.cancelled != own.cancel_recorded) return false;
-    if (dependencies_.of(index).empty()) return true;  // asked with every poll: nearly all need no other job
+    if (dependencies_.of(index).empty())
+        return true;  // asked with every poll: nearly all need no other job
     std::vector<Index> left{index};
     std::set<Index> seen{index};
     for (size_t i = 0; i < left.size(); ++i) {
@@ -188,8 +192,9 @@
     return changed;
 }
 
-// From a job up to all that it needs, as far as anything changes there. First come, first served, each once
-// in the queue: taken depth first, a tower of diamonds would be walked once for each path through it.
+// From a job up to all that it needs, as far as anything changes there. First come, first served,
+// each once in the queue: taken depth first, a tower of diamonds would be walked once for each path
+// through it.
 void Tables::spread_needs_from(Index index) {
     std::deque<Index> left{index};
     std::set<Index> queued{index};
@@ -259,7 +264,8 @@
     return it == machine_index.end() ? kNone : it->second;
 }
 
-void Tables::describe_machine(Machine& m, const std::string& type, const std::string& zone, bool spot) {
+void Tables::describe_machine(Machine& m, const std::string& type, const std::string& zone,
+                              bool spot) {
     m.type = names.types.intern(type);
     m.zone = names.zones.intern(zone);
     m.spot = spot;
@@ -275,7 +281,8 @@
     }
     types_known = true;
     for (auto& m : machines)
-        if (m && m->type < types.size() && types[m->type].offered) m->size = types[m->type].type.size;
+        if (m && m->type < types.size() && types[m->type].offered)
+            m->size = types[m->type].type.size;
 }
 
 void Tables::touch(Index index, uint32_t task) {
@@ -297,12 +304,14 @@
     auto kept = m.images.rbegin();
     for (; kept != m.images.rend(); ++kept) {
         held += image_gb_[*kept];
-        if (kept != m.images.rbegin() && (held > cache || kept - m.images.rbegin() >= kMostImages)) break;
+        if (kept != m.images.rbegin() && (held > cache || kept - m.images.rbegin() >= kMostImages))
+            break;
     }
     m.images.erase(m.images.begin(), kept.base());
 }
 
-void Tables::restore_placed(Index index, uint32_t t, Index machine, uint32_t attempt, uint32_t session) {
+void Tables::restore_placed(Index index, uint32_t t, Index machine, uint32_t attempt,
+                            uint32_t session) {
     auto& job = *jobs[index];
     auto& task = job.tasks[t];
     task.state = TaskState::Placed;
@@ -474,7 +483,8 @@
 
 bool Tables::type_fits(const JobSpec& spec, Index type) const {
     if (type >= types.size() || !types[type].offered) return false;
-    if (!spec.types.empty() && std::find(spec.types.begin(), spec.types.end(), type) == spec.types.end())
+    if (!spec.types.empty() &&
+        std::find(spec.types.begin(), spec.types.end(), type) == spec.types.end())
         return false;
     return spec.need.fits_in(types[type].type.size);
 }
@@ -507,7 +517,9 @@
 }
 }  // namespace
 
-bool Tables::below_limit(const Team& team, const Resources& use) const { return under(team.limit, use); }
+bool Tables::below_limit(const Team& team, const Resources& use) const {
+    return under(team.limit, use);
+}
 
 bool Tables::within_limit(const Team& team, const Resources& extra) const {
     return below_limit(team, team.used + extra);
--- a/src/coordination/account.h
+++ b/src/coordination/account.h
@@ -1,5 +1,5 @@
-// Where the fleet's room is: what every CPU and GPU that is paid for does at one moment. Pure functions of
-// the tables and a given time; they decide nothing.
+// Where the fleet's room is: what every CPU and GPU that is paid for does at one moment. Pure
+// functions of the tables and a given time; they decide nothing.
 #pragma once
 #include <array>
 #include <map>
@@ -27,7 +27,8 @@
 };
 inline constexpr size_t kRoomKinds = static_cast<size_t>(RoomIs::Fragment) + 1;
 
-// By kind: the sum over all machines whose type is known. What runs adds up with the rest to all there is.
+// By kind: the sum over all machines whose type is known. What runs adds up with the rest to all
+// there is.
 struct RoomAccount {
     std::array<Resources, kRoomKinds> room{};
     Resources& operator[](RoomIs is) { return room[static_cast<size_t>(is)]; }
--- a/src/coordination/begin/begin.cpp
+++ b/src/coordination/begin/begin.cpp
@@ -6,9 +6,9 @@
 namespace weirmill {
 
 namespace {
-// Of the bound: what is left is for machines to come free, reports and fetches. From half of it on, gangs
-// that would have begun in time by themselves held up others: on a day with a zone lost 0.83 began in time
-// instead of 0.92.
+// Of the bound: what is left is for machines to come free, reports and fetches. From half of it on,
+// gangs that would have begun in time by themselves held up others: on a day with a zone lost 0.83
+// began in time instead of 0.92.
 constexpr double kLate = 0.7;
 }  // namespace
 
@@ -17,7 +17,8 @@
     if (within_s <= 0) return out;
     for (Index j = 0; j < tables.jobs.size(); ++j) {
         auto* job = tables.jobs[j].get();
-        if (!job || !job->active() || job->waits || job->placed + job->done > 0 || job->not_before > now)
+        if (!job || !job->active() || job->waits || job->placed + job->done > 0 ||
+            job->not_before > now)
             continue;
         if (now - job->came_at() > kLate * within_s) out.push_back(j);
     }
@@ -28,7 +29,8 @@
     return out;
 }
 
-std::vector<Index> gather_machines(const Tables& tables, const Usable& usable, Index j, double now) {
+std::vector<Index> gather_machines(const Tables& tables, const Usable& usable, Index j,
+                                   double now) {
     auto& job = *tables.jobs[j];
     auto& need = job.spec.need;
     if (!tables.within_limit(tables.teams[job.spec.team], need * job.pending)) return {};
@@ -36,8 +38,10 @@
     ZoneRule rule(tables, job);
     for (Index i = 0; i < tables.machines.size(); ++i) {
         auto* m = tables.machines[i].get();
-        if (!m || !m->tasks.empty() || !usable(*m) || !tables.machine_allowed(job.spec, *m)) continue;
-        if (tables.spares_gpus(job.spec, m->type) || need.times_in(m->size) != 1 || !rule.allows(m->zone))
+        if (!m || !m->tasks.empty() || !usable(*m) || !tables.machine_allowed(job.spec, *m))
+            continue;
+        if (tables.spares_gpus(job.spec, m->type) || need.times_in(m->size) != 1 ||
+            !rule.allows(m->zone))
             continue;
         if (m->reserved(now) && m->reserved_for != j) continue;
         by_zone[job.spec.one_zone ? m->zone : 0].push_back(i);
--- a/src/coordination/begin/begin.h
+++ b/src/coordination/begin/begin.h
@@ -1,6 +1,7 @@
-// A bound on the wait until a job begins. Shorter work first, times past saving and small gangs that fit into
-// any gap all pass large jobs by; near the bound a job that has not begun goes first within what its priority
-// and its team's guarantee and limit command. Pure functions of the tables and a given time.
+// A bound on the wait until a job begins. Shorter work first, times past saving and small gangs
+// that fit into any gap all pass large jobs by; near the bound a job that has not begun goes first
+// within what its priority and its team's guarantee and limit command. Pure functions of the tables
+// and a given time.
 #pragma once
 #include <vector>
 
@@ -8,12 +9,14 @@
 
 namespace weirmill {
 
-// Waiting jobs of which no task has run or is placed, and that came 0.7 of the bound ago or more; the oldest
-// first. `within_s`: the bound, seconds; 0: there is none.
+// Waiting jobs of which no task has run or is placed, and that came 0.7 of the bound ago or more;
+// the oldest first. `within_s`: the bound, seconds; 0: there is none.
 std::vector<Index> late_to_begin(const Tables& tables, double within_s, double now);
 
-// Machines to be kept empty for the gang until there are enough in one zone, if each of its tasks takes one
-// whole: those in the zone where most are. Fewer than it needs, as it would have been placed otherwise.
-std::vector<Index> gather_machines(const Tables& tables, const Usable& usable, Index job, double now);
+// Machines to be kept empty for the gang until there are enough in one zone, if each of its tasks
+// takes one whole: those in the zone where most are. Fewer than it needs, as it would have been
+// placed otherwise.
+std::vector<Index> gather_machines(const Tables& tables, const Usable& usable, Index job,
+                                   double now);
 
 }  // namespace weirmill
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -49,9 +49,9 @@
             continue;
         }
         pause = 0;
-        // The key names this controller, which does not lead: a life of it before this one did, or a campaign
-        // that it had given up was executed late. Nobody else can lead before that lease is over, and nobody
-        // does.
+        // The key names this controller, which does not lead: a life of it before this one did, or
+        // a campaign that it had given up was executed late. Nobody else can lead before that lease
+        // is over, and nobody does.
         if (!tenure_ && leader_ == settings_.name && !co_await drop_own_leadership())
             pause = jitter(0.1, 0.3);
         if (!tenure_ && leader_.empty()) {
@@ -62,7 +62,8 @@
             co_await hold();
             events_.lost();
             learn("", 0);
-            // The tenure has ended before the state service hears of it, and is never taken up again.
+            // The tenure has ended before the state service hears of it, and is never taken up
+            // again.
             auto tenure = std::exchange(tenure_, nullptr);
             if (tenure->yields) co_await give_up_leadership(tenure->token, *tenure->yields);
             pause = jitter(0.2, 0.6);
@@ -76,8 +77,8 @@
     }
 }
 
-// Of a process that was back within its lease, users and workers once waited until that was over. The
-// transaction is conditional on the key's version, so that it can end no other tenure.
+// Of a process that was back within its lease, users and workers once waited until that was over.
+// The transaction is conditional on the key's version, so that it can end no other tenure.
 asio::awaitable<bool> Election::drop_own_leadership() {
     StateTxn txn;
     txn.conditions.push_back({kLeaderKey, token_});
@@ -126,9 +127,11 @@
 asio::awaitable<void> Election::campaign() {
     double wait = events_.campaign_wait ? co_await events_.campaign_wait() : 0;
     if (wait >= 0)
-        co_await sleep_s(wait + campaign_delay(steady_now() - started_) + jitter(0.0, kCampaignSpread_s));
-    // A campaign without an answer may yet be carried out: its lease is kept alive for that, and the next one goes with
-    // it. Each with a lease of its own, where every transaction took longer than a lease nobody was ever elected.
+        co_await sleep_s(wait + campaign_delay(steady_now() - started_) +
+                         jitter(0.0, kCampaignSpread_s));
+    // A campaign without an answer may yet be carried out: its lease is kept alive for that, and
+    // the next one goes with it. Each with a lease of its own, where every transaction took longer
+    // than a lease nobody was ever elected.
     double started = steady_now();
     auto lease = unsure_lease_;
     if (lease != 0 && !co_await state_.renew(lease, kCall_s)) {
@@ -142,7 +145,8 @@
     }
     StateTxn txn;
     txn.conditions.push_back({kLeaderKey, 0});
-    txn.changes.push_back({kLeaderKey, json::serialize(json::object{{"name", settings_.name}}), lease});
+    txn.changes.push_back(
+        {kLeaderKey, json::serialize(json::object{{"name", settings_.name}}), lease});
     auto won = co_await state_.txn(std::move(txn), std::min(kCall_s, lease_s_ / 2));
     if (won) {
         tenure_ = std::make_shared<Tenure>();
@@ -157,9 +161,9 @@
     }
 }
 
-// An answer is of use for as long as the lease counts from its request, while the next renewals are on their way.
-// Given up on after a quarter of the lease, a state service that took 0.7 s for each answer kept its leader unsure,
-// and nobody else could lead.
+// An answer is of use for as long as the lease counts from its request, while the next renewals are
+// on their way. Given up on after a quarter of the lease, a state service that took 0.7 s for each
+// answer kept its leader unsure, and nobody else could lead.
 asio::awaitable<void> Election::renew(std::shared_ptr<Tenure> tenure, OneShot<bool> renewed) {
     double started = steady_now();
     auto result = co_await state_.renew(tenure->lease, std::max(0.3, lease_s_));
@@ -186,10 +190,11 @@
         if (co_await renewed.wait(std::max(0.3, lease_s_ / 4)) == true) {
             pause = lease_s_ / 4;
         } else {
-            // Down or unanswered: again soon, without adding to a flood. The lease may come back to life
-            // with the service, as it has its full time again after an outage.
+            // Down or unanswered: again soon, without adding to a flood. The lease may come back to
+            // life with the service, as it has its full time again after an outage.
             pause = jitter(0.2, 0.5);
-            if (steady_now() > tenure->sure_until + answering_grace(settings_) + 600) tenure->ended = true;
+            if (steady_now() > tenure->sure_until + answering_grace(settings_) + 600)
+                tenure->ended = true;
         }
     }
     tenure->ended = true;
--- a/src/coordination/election.h
+++ b/src/coordination/election.h
@@ -1,5 +1,5 @@
-// One leader at a time: a lease of the state service holds the key `leader`; the key's version when it was
-// won is the token that every answer and every transaction carries.
+// One leader at a time: a lease of the state service holds the key `leader`; the key's version when
+// it was won is the token that every answer and every transaction carries.
 #pragma once
 #include <fmt/format.h>
 
@@ -20,9 +20,9 @@
 struct Tenure {
     uint64_t token = 0;
     uint64_t lease = 0;
-    double won = 0;         // no earlier leader held the lease after this
-    double sure_until = 0;  // before this no other leader can exist
-    bool ended = false;     // another leader may exist, for good
+    double won = 0;                   // no earlier leader held the lease after this
+    double sure_until = 0;            // before this no other leader can exist
+    bool ended = false;               // another leader may exist, for good
     std::optional<HandOvers> yields;  // it ends as another is to lead
 };
 
@@ -35,9 +35,9 @@
     return request_started + lease_s * (1 - kDrift) - kMargin_s;
 }
 
-// How long a leader unsure of its lease goes on answering reports, so that work outlives an outage of
-// the state service. A cancellation told by the next leader must still end in time:
-// grace + lease_s + margins < cancel_s.
+// How long a leader unsure of its lease goes on answering reports, so that work outlives an outage
+// of the state service. A cancellation told by the next leader must still end in time: grace +
+// lease_s + margins < cancel_s.
 inline double answering_grace(const Settings& s) {
     return std::max(0.0, (s.cancel_s - s.lease_s * (1 + kDrift) - 1.5 * s.report_s - 1.0) * 0.85);
 }
@@ -46,8 +46,10 @@
 inline std::string grace_warning(const Settings& s) {
     if (answering_grace(s) > 0) return "";
     return fmt::format(
-        "settings: deployment.workers.cancel_s = {} is not above workers.lease_s = {} with margins (1.5 times "
-        "workers.report_s = {}, and a second): an outage of the state service that outlasts the leader's lease ends the workers' tasks",
+        "settings: deployment.workers.cancel_s = {} is not above workers.lease_s = {} with margins "
+        "(1.5 times "
+        "workers.report_s = {}, and a second): an outage of the state service that outlasts the "
+        "leader's lease ends the workers' tasks",
         s.cancel_s, s.lease_s, s.report_s);
 }
 
@@ -61,17 +63,19 @@
     return last_answer + s.lease_s * (1 + 2 * kDrift) + 4 * kMargin_s;
 }
 
-// When all that may be on a machine is surely gone, unless it reports again. A report that waits for its
-// answer counts like an answered one: a machine used to be taken for gone while its first report was held.
+// When all that may be on a machine is surely gone, unless it reports again. A report that waits
+// for its answer counts like an answered one: a machine used to be taken for gone while its first
+// report was held.
 inline double lease_end(const Settings& s, const Machine& m, double won) {
     double heard = std::max(m.last_answer, m.last_report);
     double end = heard > 0 ? answered_expiry(s, heard) : 0;
     return m.saw_token ? end : std::max(end, earlier_leader_expiry(s, won));
 }
 
-// How long a controller waits before it campaigns, some randomness aside. When all are restarted one after
-// the other, one that has just been is the last to be restarted again: it goes first. Led by one whose turn
-// was still to come, a roll of three controllers took two elections where one would do.
+// How long a controller waits before it campaigns, some randomness aside. When all are restarted
+// one after the other, one that has just been is the last to be restarted again: it goes first. Led
+// by one whose turn was still to come, a roll of three controllers took two elections where one
+// would do.
 inline double campaign_delay(double uptime_s) { return 0.1 * (1 - std::exp(-uptime_s / 60)); }
 inline constexpr double kCampaignSpread_s = 0.03;
 
@@ -80,7 +84,8 @@
     struct Events {
         std::function<void(std::shared_ptr<Tenure>)> won;
         std::function<void()> lost;
-        // How long this controller lets others go first in a campaign, seconds; negative: it waits for nobody.
+        // How long this controller lets others go first in a campaign, seconds; negative: it waits
+        // for nobody.
         std::function<boost::asio::awaitable<double>()> campaign_wait;
     };
     Election(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
--- a/src/coordination/fit_queues.cpp
+++ b/src/coordination/fit_queues.cpp
@@ -8,8 +8,8 @@
 namespace weirmill {
 
 namespace {
-// Queues kept at once. A site on which more kinds wait makes some of them anew, as it would for every job
-// without any; what they take is bounded by this and the machines.
+// Queues kept at once. A site on which more kinds wait makes some of them anew, as it would for
+// every job without any; what they take is bounded by this and the machines.
 constexpr size_t kKept = 64;
 
 // It loses the work of all its machines with any one of them: spot machines are for others first.
@@ -22,16 +22,11 @@
     bool wasted_gpus = job.spec.need.gpu == 0 && m.size.gpu > 0;
     int64_t rest = job.spec.need.gpu > 0 ? left.gpu : left.cpu;
     bool whole = together(job.spec);
-    return {wasted_gpus,
-            job.failed_on.size() && job.failed_on.count(index) > 0,
-            m.tasks.empty(),
-            rest,
-            whole && m.spot,
-            !m.has_image(job.spec.image),
-            !whole && !m.spot,
-            left.cpu,
-            left.mem,
-            tables.report_due_s(m, now)};
+    return {wasted_gpus,       job.failed_on.size() && job.failed_on.count(index) > 0,
+            m.tasks.empty(),   rest,
+            whole && m.spot,   !m.has_image(job.spec.image),
+            !whole && !m.spot, left.cpu,
+            left.mem,          tables.report_due_s(m, now)};
 }
 
 int64_t FitQueue::room(Index zone) const {
@@ -45,8 +40,8 @@
     return sum;
 }
 
-FitQueues::FitQueues(const Tables& tables, std::vector<Index> open, const std::vector<Index>& waiting,
-                     double now)
+FitQueues::FitQueues(const Tables& tables, std::vector<Index> open,
+                     const std::vector<Index>& waiting, double now)
     : tables_(tables),
       now_(now),
       open_(std::move(open)),
@@ -54,7 +49,8 @@
       kind_of_(tables.jobs.size(), 0) {
     std::map<Kind, uint32_t> kinds;
     for (auto j : waiting) {
-        auto [it, added] = kinds.emplace(kind(tables.jobs[j]->spec), static_cast<uint32_t>(asking_.size()));
+        auto [it, added] =
+            kinds.emplace(kind(tables.jobs[j]->spec), static_cast<uint32_t>(asking_.size()));
         if (added) asking_.push_back(0);
         kind_of_[j] = it->second;
         ++asking_[it->second];
@@ -114,7 +110,8 @@
 }
 
 void FitQueues::catch_up(FitQueue& queue, const Job& job) const {
-    // Entries out of date stay until they come up: more of them than others, and the queue is made anew.
+    // Entries out of date stay until they come up: more of them than others, and the queue is made
+    // anew.
     if (log_.size() - queue.read_ > open_.size()) return build(queue, job);
     for (; queue.read_ < log_.size(); ++queue.read_) {
         auto i = log_[queue.read_];
@@ -122,7 +119,8 @@
         auto& zone = queue.zones_[tables_.machines[i]->zone];
         auto before = zone.heap.size();
         admit(queue, job, i);
-        if (zone.heap.size() > before) std::push_heap(zone.heap.begin(), zone.heap.end(), std::greater<>());
+        if (zone.heap.size() > before)
+            std::push_heap(zone.heap.begin(), zone.heap.end(), std::greater<>());
     }
     size_t entries = 0;
     for (auto& [z, zone] : queue.zones_) entries += zone.heap.size();
--- a/src/coordination/fit_queues.h
+++ b/src/coordination/fit_queues.h
@@ -1,10 +1,11 @@
 // Machines in the order in which tasks of one kind fit them, kept by one scheduling pass.
 //
-// Owns: for each kind of task that the pass meets, a queue of the machines with room, best fit first, and the
-// log of machines whose room the pass has taken. Tasks are of one kind if the same machines may run them, as
-// many on each, and they use the same image; most of a site's jobs are of a few kinds. A queue learns of the
-// room taken since it was last asked, not of every machine again: what a pass costs grows with its placements
-// and its kinds, no longer with jobs times machines.
+// Owns: for each kind of task that the pass meets, a queue of the machines with room, best fit
+// first, and the log of machines whose room the pass has taken. Tasks are of one kind if the same
+// machines may run them, as many on each, and they use the same image; most of a site's jobs are of
+// a few kinds. A queue learns of the room taken since it was last asked, not of every machine
+// again: what a pass costs grows with its placements and its kinds, no longer with jobs times
+// machines.
 //
 // During a pass room only shrinks, and images, reports and reservations stand still.
 #pragma once
@@ -21,8 +22,8 @@
 namespace weirmill {
 
 // Smaller is a better fit. GPUs are not spent on tasks that need none while there is another place.
-// Among equals, one that reports soon: until then a task can't start, and a gang waits for the last of its
-// own.
+// Among equals, one that reports soon: until then a task can't start, and a gang waits for the last
+// of its own.
 using Fit = std::tuple<bool, bool, bool, int64_t, bool, bool, bool, int64_t, int64_t, double>;
 Fit fit(const Tables& tables, const Job& job, Index machine, double now);
 
@@ -32,7 +33,9 @@
         Fit fit;
         Index machine;
         uint32_t stamp;  // of the machine's room, see FitQueues
-        bool operator>(const Entry& o) const { return std::tie(fit, machine) > std::tie(o.fit, o.machine); }
+        bool operator>(const Entry& o) const {
+            return std::tie(fit, machine) > std::tie(o.fit, o.machine);
+        }
     };
     // The machines of one zone.
     struct Zone {
@@ -58,12 +61,13 @@
 
 class FitQueues {
   public:
-    // `open`: machines that may be given tasks, ascending; `waiting`: the jobs that will ask, whose kinds are
-    // counted.
-    FitQueues(const Tables& tables, std::vector<Index> open, const std::vector<Index>& waiting, double now);
+    // `open`: machines that may be given tasks, ascending; `waiting`: the jobs that will ask, whose
+    // kinds are counted.
+    FitQueues(const Tables& tables, std::vector<Index> open, const std::vector<Index>& waiting,
+              double now);
 
-    // The queue for tasks of the job as room stands now. `near`: only of machines where the image is, or is
-    // being fetched. Valid until the next call.
+    // The queue for tasks of the job as room stands now. `near`: only of machines where the image
+    // is, or is being fetched. Valid until the next call.
     FitQueue& of(Index job, bool near);
     // Room was taken on the machine.
     void taken(Index machine);
@@ -72,18 +76,20 @@
     const FitQueue::Entry* top(FitQueue::Zone& zone) const;
     // An entry that was popped, unless room was taken there since.
     void put_back(FitQueue::Zone& zone, const FitQueue::Entry& entry) const;
-    // The machine with the lowest index that has room in the zone and that `may` accepts; kNone: there is
-    // none.
+    // The machine with the lowest index that has room in the zone and that `may` accepts; kNone:
+    // there is none.
     template <class May>
     static Index lowest(FitQueue& queue, FitQueue::Zone& zone, May may) {
-        while (zone.first < zone.members.size() && !queue.has_room(zone.members[zone.first])) ++zone.first;
+        while (zone.first < zone.members.size() && !queue.has_room(zone.members[zone.first]))
+            ++zone.first;
         for (size_t k = zone.first; k < zone.members.size(); ++k)
             if (auto i = zone.members[k]; queue.has_room(i) && may(i)) return i;
         return kNone;
     }
 
   private:
-    using Kind = std::tuple<int64_t, int64_t, int64_t, Index, bool, bool, Index, std::vector<Index>>;
+    using Kind =
+        std::tuple<int64_t, int64_t, int64_t, Index, bool, bool, Index, std::vector<Index>>;
     struct Kept {
         uint32_t kind;
         FitQueue queue;
--- a/src/coordination/front.cpp
+++ b/src/coordination/front.cpp
@@ -14,19 +14,24 @@
 
 namespace {
 constexpr double kForward_s = 2.2;
-constexpr double kAsked_s = 0.7;  // a leader that has not answered a question by then is not waited for
-constexpr double kBusy_s = 1.0;   // nor is one for a submission, although it is heard of
+constexpr double kAsked_s =
+    0.7;  // a leader that has not answered a question by then is not waited for
+constexpr double kBusy_s = 1.0;  // nor is one for a submission, although it is heard of
 constexpr double kProbe_s = 0.05;
 constexpr double kDeaf_s = 6;      // a follower this long without its leader sends users elsewhere
 constexpr double kSlow_s = 0.15;   // answers later than this are logged at debug
 constexpr double kWorker_s = 1.5;  // for commands that are passed on to a worker
 
-// Arguments of awaited calls are named variables throughout: GCC 12 destroys aggregates that are written
-// in place inside a co_await expression twice.
+// Arguments of awaited calls are named variables throughout: GCC 12 destroys aggregates that are
+// written in place inside a co_await expression twice.
 }  // namespace
 
 Front::Front(asio::io_context& io, const Settings& settings, const Properties& properties)
-    : io_(io), settings_(settings), properties_(properties), state_(io, settings), roster_(settings) {
+    : io_(io),
+      settings_(settings),
+      properties_(properties),
+      state_(io, settings),
+      roster_(settings) {
     heard_leader_ = steady_now();
     Election::Events events;
     events.won = [this](std::shared_ptr<Tenure> tenure) {
@@ -49,14 +54,14 @@
     election_ = std::make_unique<Election>(io, settings_, properties_, state_, std::move(events));
     door_ = std::make_unique<Door>(io, settings_, properties_, state_, metrics_,
                                    [this] { return leader_ && leader_->ready(); });
-    peers_in_ = std::make_unique<PeerServer>(io, settings.peer,
-                                             [this](PeerCall call) { return from_peer(std::move(call)); },
-                                             most_peer_bytes(settings));
+    peers_in_ = std::make_unique<PeerServer>(
+        io, settings.peer, [this](PeerCall call) { return from_peer(std::move(call)); },
+        most_peer_bytes(settings));
     http_ = std::make_unique<HttpServer>(io, settings.api, most_connections(settings),
                                          [this](HttpRequest r) { return handle(std::move(r)); });
     asio::co_spawn(io, ping_loop(), asio::detached);
-    spdlog::info("node: {} in {} serving {} peers={}", settings.name, settings.zone, settings.api.text(),
-                 settings.peers.size());
+    spdlog::info("node: {} in {} serving {} peers={}", settings.name, settings.zone,
+                 settings.api.text(), settings.peers.size());
 }
 
 void Front::set_up_membership() {
@@ -78,8 +83,8 @@
             if (auto held = tenure.lock(); held && held == tenure_) election_->yield(to);
         });
     };
-    membership_ =
-        std::make_unique<Membership>(io_, settings_, properties_, state_, metrics_, std::move(hooks));
+    membership_ = std::make_unique<Membership>(io_, settings_, properties_, state_, metrics_,
+                                               std::move(hooks));
 }
 
 PeerClient* Front::link_to(const std::string& name) {
@@ -112,19 +117,21 @@
     if (auto leader = leader_; leader && (leader->sure(steady_now()) || !call.via))
         co_return co_await leader->ask(std::move(call));
     if (call.via) {
-        // Who asks can't reach the leader, and may not reach the state service: nobody passes it on again.
+        // Who asks can't reach the leader, and may not reach the state service: nobody passes it on
+        // again.
         if (call.op == PeerOp::Report) co_return co_await to_leader(std::move(call));
         co_return co_await serve(std::move(call));
     }
     co_return PeerReply{503, "{}", 1, 0, true};
 }
 
-// Stops for a worker that the leader can't reach. Like any that it sends itself they name token, session and
-// attempt, so a late or second copy does no harm.
+// Stops for a worker that the leader can't reach. Like any that it sends itself they name token,
+// session and attempt, so a late or second copy does no harm.
 asio::awaitable<PeerReply> Front::pass_command(PeerCall call) {
     metrics_.count("stops_passed_on_total");
     std::string body = call.body;
-    if (co_await send_commands(io_, call.subject, std::move(body), kWorker_s)) co_return PeerReply{200, "{}"};
+    if (co_await send_commands(io_, call.subject, std::move(body), kWorker_s))
+        co_return PeerReply{200, "{}"};
     if (!call.via) {
         auto from = call.sender;
         call.via = true;
@@ -197,11 +204,11 @@
     out.set(std::move(reply));
 }
 
-// The leader's answer, for as long as it is heard of at all, and at most `most_s`. One that is busy answers
-// pings: taken for gone after a time alone, a leader with a burst of submissions had the doors' writes on top
-// of its own.
-asio::awaitable<std::optional<PeerReply>> Front::while_heard(OneShot<PeerReply> forwarded, double started,
-                                                             double most_s) {
+// The leader's answer, for as long as it is heard of at all, and at most `most_s`. One that is busy
+// answers pings: taken for gone after a time alone, a leader with a burst of submissions had the
+// doors' writes on top of its own.
+asio::awaitable<std::optional<PeerReply>> Front::while_heard(OneShot<PeerReply> forwarded,
+                                                             double started, double most_s) {
     bool probed = false;
     for (;;) {
         double quiet_until = std::max(started, heard_leader_) + patience_.seconds();
@@ -229,8 +236,8 @@
         co_return co_await door_->serve(std::move(again));
     }
     if (!leader_link() || leader_silent()) co_return co_await door_->serve(std::move(again));
-    // The leader goes on while the door begins: what both take is one job, as their records exclude each
-    // other.
+    // The leader goes on while the door begins: what both take is one job, as their records exclude
+    // each other.
     bool submits = call.op == PeerOp::Submit;
     double started = steady_now();
     OneShot<PeerReply> forwarded(io_.get_executor());
@@ -259,8 +266,8 @@
         told_leader_ = reply->body;
         told_token_ = reply->token;
     }
-    // A leader unsure of its lease counts as heard: in an outage of the state service no other node would
-    // serve better, and nodes that left the load balancer for it came back late.
+    // A leader unsure of its lease counts as heard: in an outage of the state service no other node
+    // would serve better, and nodes that left the load balancer for it came back late.
     if (name == leader_name() && reply->body == name) {
         heard_leader_ = steady_now();
         silent_token_ = 0;
@@ -272,8 +279,8 @@
     for (;;) {
         co_await sleep_s(settings_.ping_s);
         if (tenure_ && told_token_ > tenure_->token) {
-            // The state service refuses this node alone, and another leads by now. This node used to go on as
-            // an unsure leader and turn its users away for as long as that lasted.
+            // The state service refuses this node alone, and another leads by now. This node used
+            // to go on as an unsure leader and turn its users away for as long as that lasted.
             spdlog::info("node: gives up token={}: {} leads", tenure_->token, told_leader_);
             tenure_->ended = true;
             continue;
@@ -285,7 +292,8 @@
         }
         if (leader_ && leader_->sure(steady_now())) continue;
         if (!leader_link() && !leader_)
-            heard_leader_ = steady_now();  // an election: soon over, and no other node would serve better
+            heard_leader_ =
+                steady_now();  // an election: soon over, and no other node would serve better
         // The leader first; the others only where it can't be asked or does not say that it leads.
         if (!leader_ && leader_link() && co_await ask_peer(leader_name())) continue;
         for (auto& p : settings_.peers) asio::co_spawn(io_, ask_peer(p.name), asio::detached);
@@ -293,8 +301,8 @@
 }
 
 bool Front::healthy() const {
-    // A leader that the state service refuses alone, while its peers refuse it too, is of use to nobody: it
-    // used to keep its users for as long as that lasted.
+    // A leader that the state service refuses alone, while its peers refuse it too, is of use to
+    // nobody: it used to keep its users for as long as that lasted.
     if (membership_->enabled() && leader_ && !leader_->sure(steady_now())) {
         double now = steady_now();
         bool alone = membership_->views(now).empty() && !settings_.peers.empty();
@@ -348,8 +356,8 @@
         auto reply = co_await serve(std::move(call));
         co_return answer(std::move(reply));
     }
-    if (path.size() > paths::kJobs.size() + 1 && path.substr(0, paths::kJobs.size()) == paths::kJobs &&
-        path[paths::kJobs.size()] == '/') {
+    if (path.size() > paths::kJobs.size() + 1 &&
+        path.substr(0, paths::kJobs.size()) == paths::kJobs && path[paths::kJobs.size()] == '/') {
         std::string id(path.substr(paths::kJobs.size() + 1));
         PeerCall call;
         call.op = PeerOp::Status;
@@ -358,7 +366,8 @@
             call.op = PeerOp::Cancel;
         }
         kind = call.op == PeerOp::Cancel ? "cancel" : "status";
-        if (r.method != (call.op == PeerOp::Cancel ? "POST" : "GET")) co_return HttpReply{405, "{}"};
+        if (r.method != (call.op == PeerOp::Cancel ? "POST" : "GET"))
+            co_return HttpReply{405, "{}"};
         call.subject = std::move(id);
         auto reply = co_await serve(std::move(call));
         co_return answer(std::move(reply));
@@ -387,8 +396,10 @@
     if (relay) {
         PeerCall call{PeerOp::Report, std::move(r.from), std::move(r.body)};
         auto reply = co_await to_leader(std::move(call));
-        // An answer of an older leader than the worker knows would be dropped, and its lease run out here.
-        if (reply.status == 200 && reply.token >= head.token) co_return HttpReply{200, std::move(reply.body)};
+        // An answer of an older leader than the worker knows would be dropped, and its lease run
+        // out here.
+        if (reply.status == 200 && reply.token >= head.token)
+            co_return HttpReply{200, std::move(reply.body)};
         roster_.gave_up(head.machine);
         co_return HttpReply{421, redirect_answer("")};
     }
--- a/src/coordination/front.h
+++ b/src/coordination/front.h
@@ -1,5 +1,5 @@
-// The node's doors: users, workers and health checks over HTTP, the other controllers over the peer link.
-// The leader answers; the others forward users to it and send workers on.
+// The node's doors: users, workers and health checks over HTTP, the other controllers over the peer
+// link. The leader answers; the others forward users to it and send workers on.
 #pragma once
 #include <map>
 #include <memory>
@@ -36,8 +36,8 @@
     // Far too few workers come to the leader themselves: one that comes here is not sent there.
     bool leader_deaf() const;
     boost::asio::awaitable<void> forward(PeerCall call, OneShot<PeerReply> out);
-    boost::asio::awaitable<std::optional<PeerReply>> while_heard(OneShot<PeerReply> forwarded, double started,
-                                                                 double most_s);
+    boost::asio::awaitable<std::optional<PeerReply>> while_heard(OneShot<PeerReply> forwarded,
+                                                                 double started, double most_s);
     // What users ask for: from the leader, or from this node's own door where no leader answers.
     boost::asio::awaitable<PeerReply> serve(PeerCall call);
     boost::asio::awaitable<void> ping_loop();
@@ -46,10 +46,12 @@
     bool healthy() const;
     PeerClient* link_to(const std::string& name);
     PeerClient* leader_link();
-    // Who leads as far as this node knows, from the state service or, should that be refused to this node
-    // alone, from the other controllers; the newer word counts.
+    // Who leads as far as this node knows, from the state service or, should that be refused to
+    // this node alone, from the other controllers; the newer word counts.
     bool told_newer() const { return told_token_ > election_->as_of(); }
-    const std::string& leader_name() const { return told_newer() ? told_leader_ : election_->leader(); }
+    const std::string& leader_name() const {
+        return told_newer() ? told_leader_ : election_->leader();
+    }
     uint64_t leader_token() const { return told_newer() ? told_token_ : election_->token(); }
 
     boost::asio::io_context& io_;
--- a/src/coordination/gangs/gather.cpp
+++ b/src/coordination/gangs/gather.cpp
@@ -3,13 +3,14 @@
 namespace weirmill {
 
 namespace {
-constexpr double kSlowFetch = 1.5;    // protocol, "GET /machine_types": the rate, give or take a third
+constexpr double kSlowFetch =
+    1.5;  // protocol, "GET /machine_types": the rate, give or take a third
 constexpr double kLateReport = 1.25;  // protocol, "Workers": the interval, give or take a quarter
 constexpr double kSpare_s = 1;
 }  // namespace
 
-bool may_launch(const Tables& tables, const Job& job, uint32_t task, double gang_wait_s, double report_s,
-                double now) {
+bool may_launch(const Tables& tables, const Job& job, uint32_t task, double gang_wait_s,
+                double report_s, double now) {
     auto& spec = job.spec;
     if (spec.kind != JobKind::Gang || spec.tasks < 2 || spec.image_gb <= 0) return true;
     auto lacks = [&](const Task& t) { return !tables.machines[t.machine]->has_image(spec.image); };
--- a/src/coordination/hearing/hearing.cpp
+++ b/src/coordination/hearing/hearing.cpp
@@ -8,15 +8,18 @@
 constexpr uint32_t kMissed = 2;  // one answer may be lost, or come too late
 constexpr uint32_t kSteady = 2;
 constexpr uint32_t kBacks = 3;
-constexpr double kPace = 0.4;     // of the time between reports, at least
-constexpr uint64_t kTicks = 20;   // between two reports in a row: /commands and /status count as well
+constexpr double kPace = 0.4;  // of the time between reports, at least
+constexpr uint64_t kTicks =
+    20;  // between two reports in a row: /commands and /status count as well
 constexpr double kMargin = 0.02;  // of a lease: drift, and reports that come late
 constexpr double kMargin_s = 0.5;
 
 // Unanswered, it would have gone to every other controller before it came back to this one.
 bool stays(const Hearing& h, const Heard& r, const Settings& s, double now) {
-    double around = static_cast<double>(s.peers.size() + 1) * (s.worker_patience_s + s.worker_next_s);
-    return !s.peers.empty() && r.direct && h.direct_at > 0 && now - h.direct_at < around - kMargin_s;
+    double around =
+        static_cast<double>(s.peers.size() + 1) * (s.worker_patience_s + s.worker_next_s);
+    return !s.peers.empty() && r.direct && h.direct_at > 0 &&
+           now - h.direct_at < around - kMargin_s;
 }
 
 }  // namespace
@@ -25,8 +28,8 @@
     if (r.start_taken || (h.told_token && r.our_token)) return Evidence::Hears;
     bool newer_session = r.order.session > h.answered.session;
     if (h.answered_at > 0 && newer_session) {
-        // Had it taken that answer, its lease would still stand: it was sent no earlier than its patience
-        // before.
+        // Had it taken that answer, its lease would still stand: it was sent no earlier than its
+        // patience before.
         double stands = h.answered_at - s.worker_patience_s + s.lease_s * (1 - kMargin) - kMargin_s;
         return now < stands ? Evidence::Deaf : Evidence::Nothing;
     }
@@ -62,7 +65,8 @@
     if (report > h.former) return true;
     double gap = now - h.back_at;
     bool near = report.session - h.back.session <= 1 && report.seq - h.back.seq <= kTicks;
-    bool next = h.backs > 0 && report > h.back && near && gap > kPace * s.report_s && gap < s.lease_s;
+    bool next =
+        h.backs > 0 && report > h.back && near && gap > kPace * s.report_s && gap < s.lease_s;
     h.backs = next ? h.backs + 1 : 1;
     h.back = report;
     h.back_at = now;
@@ -75,8 +79,8 @@
     h.former = former;
 }
 
-bool give_back_deaf(const Hearing& h, double replacement_s, size_t deaf, size_t up, const Settings& s,
-                    double now) {
+bool give_back_deaf(const Hearing& h, double replacement_s, size_t deaf, size_t up,
+                    const Settings& s, double now) {
     return h.deaf() && 2 * deaf <= up && now - h.deaf_since > s.lease_s + replacement_s;
 }
 
--- a/src/coordination/hearing/hearing.h
+++ b/src/coordination/hearing/hearing.h
@@ -1,6 +1,7 @@
-// Whether a worker hears this leader. Its reports may arrive while answers and commands do not: then what it
-// is told to start never starts, and its lease runs out although each report was answered. Pure functions of
-// what its reports show and a given time; they never say that anything is gone (docs/failures.md).
+// Whether a worker hears this leader. Its reports may arrive while answers and commands do not:
+// then what it is told to start never starts, and its lease runs out although each report was
+// answered. Pure functions of what its reports show and a given time; they never say that anything
+// is gone (docs/failures.md).
 #pragma once
 #include <cstdint>
 #include <utility>
@@ -26,7 +27,8 @@
     double answered_at = 0;
     bool told_token = false;  // that report showed an older token than ours
     double direct_at = 0;     // the last report came without a relay, then; 0: it did not
-    // Since its lease ran out here: reports that are no newer than those from before, one after the other.
+    // Since its lease ran out here: reports that are no newer than those from before, one after the
+    // other.
     ReportOrder former, back;
     uint32_t backs = 0;
     double back_at = 0;
@@ -36,9 +38,10 @@
 // What a newer report shows.
 struct Heard {
     ReportOrder order;
-    bool our_token = false;                           // the highest token that the worker has seen is ours
-    bool direct = false;                              // it came to this controller itself
-    bool start_taken = false, start_missing = false;  // of tasks launched with answers to earlier reports
+    bool our_token = false;  // the highest token that the worker has seen is ours
+    bool direct = false;     // it came to this controller itself
+    bool start_taken = false,
+         start_missing = false;  // of tasks launched with answers to earlier reports
 };
 
 enum class Evidence : uint8_t { Nothing, Hears, Missed, Deaf };
@@ -50,15 +53,16 @@
 // An answer with 200 goes out.
 void note_answer(Hearing& hearing, const ReportOrder& report, bool our_token, double now);
 
-// Of a machine whose lease ran out: whether the report is one of a worker that is there. One that is newer
-// than all from before is; else it may be a late copy, or the worker has begun its counts anew: some in a
-// row, in order and at the pace of reports, tell. Until then a machine is not up for it.
+// Of a machine whose lease ran out: whether the report is one of a worker that is there. One that
+// is newer than all from before is; else it may be a late copy, or the worker has begun its counts
+// anew: some in a row, in order and at the pace of reports, tell. Until then a machine is not up
+// for it.
 bool is_back(Hearing& hearing, const ReportOrder& report, const Settings& settings, double now);
 // The lease has run out, after this report: nothing else is remembered.
 void forget_worker(Hearing& hearing, const ReportOrder& last);
 
-// A deaf machine is given back once it has cost what a new one would, unless so many are deaf that it is
-// rather this controller's link.
+// A deaf machine is given back once it has cost what a new one would, unless so many are deaf that
+// it is rather this controller's link.
 bool give_back_deaf(const Hearing& hearing, double replacement_s, size_t deaf, size_t up,
                     const Settings& settings, double now);
 
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -23,7 +23,7 @@
 const std::string kOldJobs = "j/";
 constexpr double kAsk_s = 2.0;
 constexpr double kSettle_s = 0.6;
-constexpr double kGather_s = 5;  // renewed with each pass
+constexpr double kGather_s = 5;       // renewed with each pass
 constexpr size_t kMostPlaced = 4096;  // in one pass
 constexpr double kAccount_s = 5;      // between lines about where the room is
 
@@ -66,14 +66,15 @@
 asio::awaitable<PeerReply> Leader::ask(PeerCall call) {
     if (!ready_) co_return undecided();
     size_t bytes = call.body.size();
-    if (asked_ >= kMostAsked || asked_bytes_ + bytes > most_asked_bytes(settings_)) co_return come_back();
+    if (asked_ >= kMostAsked || asked_bytes_ + bytes > most_asked_bytes(settings_))
+        co_return come_back();
     Reply reply(io_.get_executor());
     bool is_report = call.op == PeerOp::Report;
     ++asked_;
     asked_bytes_ += bytes;
     post(Asked{std::move(call), reply, bytes});
-    // A worker waits for as long as its own patience: with a burst of reports on a small share of a core, some are
-    // answered late.
+    // A worker waits for as long as its own patience: with a burst of reports on a small share of a
+    // core, some are answered late.
     double wait_s = is_report ? std::max(kAsk_s, settings_.worker_patience_s) : kAsk_s;
     auto answer = co_await reply.wait(wait_s);
     if (answer) co_return *answer;
@@ -118,7 +119,8 @@
     if (mailbox_.try_send(boost::system::error_code(), std::move(m))) {
         return;
     }
-    // Without an outcome that was lost, this leader would wait for ever: the next one starts afresh.
+    // Without an outcome that was lost, this leader would wait for ever: the next one starts
+    // afresh.
     spdlog::error("leader: mailbox full, giving up the leadership");
     tenure_->ended = true;
 }
@@ -136,8 +138,8 @@
     if (!tables_.jobs.empty()) rent_not_before_ = tenure_->won + 2 * settings_.list_lag_s;
     next_round_ = now_ + properties_.preemption_round_s / 2;
     ready_ = true;
-    spdlog::info("leader: ready token={} jobs={} machines={}", tenure_->token, tables_.job_index.size(),
-                 tables_.machine_index.size());
+    spdlog::info("leader: ready token={} jobs={} machines={}", tenure_->token,
+                 tables_.job_index.size(), tables_.machine_index.size());
     for (Index j = 0; j < tables_.jobs.size(); ++j) {
         if (!tables_.jobs[j]) continue;
         auto& job = *tables_.jobs[j];
@@ -146,7 +148,8 @@
         check_job(j);
     }
     tables_.spread_needs();
-    if (!inbox->events.empty()) spdlog::info("leader: {} door records to collect", inbox->events.size());
+    if (!inbox->events.empty())
+        spdlog::info("leader: {} door records to collect", inbox->events.size());
     handle(*inbox);
     asio::co_spawn(io_, tick_loop(self), asio::detached);
     asio::co_spawn(io_, list_loop(self), asio::detached);
@@ -190,17 +193,20 @@
                     } else if (item.key == kTypesKey) {
                         ledger_.load_note(item.key, item.version);
                         recorded_types_ = boost::json::serialize(item.value);
-                        if (!tables_.types_known) tables_.set_types(parse_machine_types(recorded_types_));
+                        if (!tables_.types_known)
+                            tables_.set_types(parse_machine_types(recorded_types_));
                     } else if (item.key == kLogKey) {
                         ledger_.load_head(item);
                     } else if (prefix == kSegments) {
                         ledger_.load_segment(item, steady_now());
                         ++segments;
                     } else if (prefix == kOldJobs) {
-                        throw BadMessage("of a version that kept a key for each job; see docs/operations.md");
+                        throw BadMessage(
+                            "of a version that kept a key for each job; see docs/operations.md");
                     }
                 } catch (const BadMessage& e) {
-                    // Leading without a record could start a task twice: another try, never a guess.
+                    // Leading without a record could start a task twice: another try, never a
+                    // guess.
                     spdlog::error("leader: malformed record {}: {}", item.key, e.what());
                     co_return false;
                 }
@@ -242,11 +248,13 @@
             for (auto& [key, q] : forecast_.queues())
                 if (q.jobs > 0)
                     spdlog::debug(
-                        "queue: {} of {}, {} jobs wait, {} of them give up a time, {:.0f} units in use, "
+                        "queue: {} of {}, {} jobs wait, {} of them give up a time, {:.0f} units in "
+                        "use, "
                         "{:.0f} left, "
                         "drains in {:.0f}s of {:.0f}s",
-                        tables_.names.classes.name(key.job_class), tables_.names.teams.name(key.team), q.jobs,
-                        q.give_up, q.in_use, q.left, q.drain_s, q.within_s);
+                        tables_.names.classes.name(key.job_class),
+                        tables_.names.teams.name(key.team), q.jobs, q.give_up, q.in_use, q.left,
+                        q.drain_s, q.within_s);
         }
         dirty_ = true;  // back-offs and quarantines end with time alone
     }
@@ -262,12 +270,13 @@
 void Leader::handle(HandOver& m) {
     settled_ = std::move(m.settled);
     settle_until_ = now_ + kSettle_s;
-    // What users asked for goes on to the next leader, as at any end of a tenure: it is under way or asked
-    // again.
+    // What users asked for goes on to the next leader, as at any end of a tenure: it is under way
+    // or asked again.
     ready_ = false;
 }
 
-// Records that are under way or waiting are written first: the next leader would else do the work again.
+// Records that are under way or waiting are written first: the next leader would else do the work
+// again.
 void Leader::settle() {
     if ((flushing_ || ledger_.waiting()) && now_ < settle_until_) return;
     auto settled = std::exchange(settled_, nullptr);
@@ -282,7 +291,8 @@
     dirty_ = false;
     ++passes_;
     std::vector<Index> late;
-    if (properties_.overload_enabled) late = late_to_begin(tables_, properties_.begin_within_s, now_);
+    if (properties_.overload_enabled)
+        late = late_to_begin(tables_, properties_.begin_within_s, now_);
     place_waiting(tables_, usable_now(), now_, kMostPlaced, spares(tables_, sizing(), now_), late);
     // For one gang at a time, the one that waits the longest.
     auto gang = std::find_if(late.begin(), late.end(), [&](Index j) {
@@ -311,7 +321,8 @@
                     now_ + 2 * properties_.preemption_round_s + settings_.lease_s;
             }
         spdlog::info("preemption: round={} job={} machines={} kept={} stops={}", rounds_,
-                     tables_.jobs[c.job]->spec.id, c.machines.size(), c.kept.size(), round.stops.size());
+                     tables_.jobs[c.job]->spec.id, c.machines.size(), c.kept.size(),
+                     round.stops.size());
     }
     for (auto& ref : round.stops) {
         auto& task = tables_.jobs[ref.job]->tasks[ref.task];
--- a/src/coordination/leader.h
+++ b/src/coordination/leader.h
@@ -27,12 +27,12 @@
 }
 
 // Sends commands straight to a worker. False: it did not answer, and may carry them out or not.
-boost::asio::awaitable<bool> send_commands(boost::asio::io_context& io, std::string addr, std::string body,
-                                           double timeout_s);
+boost::asio::awaitable<bool> send_commands(boost::asio::io_context& io, std::string addr,
+                                           std::string body, double timeout_s);
 
 // One actor in several files, by what owns which state: leader_users.cpp, leader_records.cpp,
-// leader_inbox.cpp (what doors accepted), leader_workers.cpp (reports, held answers), leader_tasks.cpp
-// (endings, stops), leader_fleet.cpp.
+// leader_inbox.cpp (what doors accepted), leader_workers.cpp (reports, held answers),
+// leader_tasks.cpp (endings, stops), leader_fleet.cpp.
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
     Leader(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
@@ -106,8 +106,9 @@
     struct HandOver {
         std::function<void()> settled;
     };
-    using Message = std::variant<Tick, Asked, FinalRead, DependenciesRead, TxnDone, TxnUnsure, InboxChanged,
-                                 TypesRead, ListRead, Rented, RentPassDone, Returned, HandOver>;
+    using Message =
+        std::variant<Tick, Asked, FinalRead, DependenciesRead, TxnDone, TxnUnsure, InboxChanged,
+                     TypesRead, ListRead, Rented, RentPassDone, Returned, HandOver>;
     using Mailbox = boost::asio::experimental::channel<void(boost::system::error_code, Message)>;
 
     struct Held {  // a worker's report that waits for records before it is answered
@@ -126,21 +127,25 @@
         uint64_t version = 0;
     };
     boost::asio::awaitable<Applied> was_applied(const StateTxn& txn);
-    boost::asio::awaitable<void> read_final(std::shared_ptr<Leader> self, PeerCall call, Reply reply,
-                                            PeerReply refusal);
-    boost::asio::awaitable<void> read_dependencies(std::shared_ptr<Leader> self, PeerCall call, Reply reply,
-                                                   std::vector<std::string> ids, bool collects);
+    boost::asio::awaitable<void> read_final(std::shared_ptr<Leader> self, PeerCall call,
+                                            Reply reply, PeerReply refusal);
+    boost::asio::awaitable<void> read_dependencies(std::shared_ptr<Leader> self, PeerCall call,
+                                                   Reply reply, std::vector<std::string> ids,
+                                                   bool collects);
     boost::asio::awaitable<StateResult<StateItem>> read_ended(std::string id, double timeout_s);
     boost::asio::awaitable<std::optional<InboxChanged>> read_inbox();
     boost::asio::awaitable<void> inbox_loop(std::shared_ptr<Leader> self);
     boost::asio::awaitable<void> types_loop(std::shared_ptr<Leader> self);
     boost::asio::awaitable<void> list_loop(std::shared_ptr<Leader> self);
     boost::asio::awaitable<void> rent(std::shared_ptr<Leader> self, std::vector<Rental> rentals);
-    boost::asio::awaitable<void> give_back(std::shared_ptr<Leader> self, std::vector<std::string> names);
-    boost::asio::awaitable<void> send_stops(std::shared_ptr<Leader> self, std::string addr, std::string by,
-                                             std::string body, bool by_any);
-    boost::asio::awaitable<std::optional<HttpAnswer>> cloud_call(const char* method, std::string target,
-                                                                 std::string body, double timeout_s);
+    boost::asio::awaitable<void> give_back(std::shared_ptr<Leader> self,
+                                           std::vector<std::string> names);
+    boost::asio::awaitable<void> send_stops(std::shared_ptr<Leader> self, std::string addr,
+                                            std::string by, std::string body, bool by_any);
+    boost::asio::awaitable<std::optional<HttpAnswer>> cloud_call(const char* method,
+                                                                 std::string target,
+                                                                 std::string body,
+                                                                 double timeout_s);
 
     void post(Message m);
     void handle(Asked& m);
@@ -171,14 +176,21 @@
     Index add_new_job(JobSpec spec, const Dependence& depends, double submitted);
     // Nothing: the submission is answered, now or later.
     std::optional<Dependence> dependence(PeerCall& call, Reply& reply, const JobSpec& spec);
-    void refuse_for_good(PeerCall& call, Reply& reply, const std::string& id, PeerReply refusal = kNeverRuns);
+    void refuse_for_good(PeerCall& call, Reply& reply, const std::string& id,
+                         PeerReply refusal = kNeverRuns);
     void check_cancelled(const std::vector<Index>& jobs);
 
     // A door's record, and what is done with it.
     struct Inboxed {
         uint64_t version = 0;
         DoorRecord record;
-        enum class Step : uint8_t { Waiting, Reading, Telling, Forgetting, Broken } step = Step::Waiting;
+        enum class Step : uint8_t {
+            Waiting,
+            Reading,
+            Telling,
+            Forgetting,
+            Broken
+        } step = Step::Waiting;
         double not_before = 0;
     };
     void take_door_record(const StateItem& item);
@@ -263,23 +275,24 @@
     double flush_not_before_ = 0, state_failed_at_ = -1e9, state_worked_at_ = 0;
     std::map<std::string, std::vector<std::pair<PeerOp, Reply>>> waiters_;  // by job id
     std::map<Index, Held> held_;                                            // by machine
-    std::map<Index, std::vector<Command>> direct_;                          // stops to send, by machine
-    std::map<std::string, Inboxed> inbox_;                                  // by job id
+    std::map<Index, std::vector<Command>> direct_;  // stops to send, by machine
+    std::map<std::string, Inboxed> inbox_;          // by job id
     uint64_t inbox_revision_ = 0;
     std::unordered_map<std::string, FinalState> finals_;
     std::deque<std::string> finals_order_;
 
     bool dirty_ = true;  // something changed that scheduling should look at
-    double next_schedule_ = 0, next_round_ = 0, next_check_ = 0, next_sizing_ = 0, next_closing_ = 0,
-           next_account_ = 0, next_warning_ = 0, next_stops_ = 0;
+    double next_schedule_ = 0, next_round_ = 0, next_check_ = 0, next_sizing_ = 0,
+           next_closing_ = 0, next_account_ = 0, next_warning_ = 0, next_stops_ = 0;
     size_t stops_cursor_ = 0;  // machines are told in turn
     uint64_t rounds_ = 0, passes_ = 0;
     std::string recorded_types_, recorded_shape_;
     bool renting_ = false, returning_ = false, listed_once_ = false;
     double rent_not_before_ = 0;
     uint64_t hires_ = 0;
-    double deaf_at_ = -1e9;               // when this leader last could not answer reports
-    std::map<std::string, double> gone_;  // machines known to be gone, which a late list may still show
+    double deaf_at_ = -1e9;  // when this leader last could not answer reports
+    std::map<std::string, double>
+        gone_;  // machines known to be gone, which a late list may still show
 };
 
 }  // namespace weirmill
--- a/src/coordination/leader_fleet.cpp
+++ b/src/coordination/leader_fleet.cpp
@@ -13,9 +13,10 @@
 
 namespace {
 
-constexpr double kClosingPause_s = 4;  // one machine at a time: its tasks must find their places first
-// A silent machine's replacement has to boot. Where a whole zone is silent the machines are sound and will
-// come back with their images, which a replacement would have to fetch as well.
+constexpr double kClosingPause_s =
+    4;  // one machine at a time: its tasks must find their places first
+// A silent machine's replacement has to boot. Where a whole zone is silent the machines are sound
+// and will come back with their images, which a replacement would have to fetch as well.
 constexpr double kAloneBoots = 1;
 constexpr double kCutBoots = 3;
 constexpr double kStopped_s = 3;  // from the order to a task until its place is free
@@ -40,7 +41,8 @@
 // Until a machine rented in place of this one would do the same work.
 double Leader::replacement_s(const Machine& m, bool cut_off) const {
     if (m.type >= tables_.types.size() || !tables_.types[m.type].offered) return 0;
-    return (cut_off ? kCutBoots : kAloneBoots) * tables_.boot_factor * tables_.types[m.type].type.boot_s;
+    return (cut_off ? kCutBoots : kAloneBoots) * tables_.boot_factor *
+           tables_.types[m.type].type.boot_s;
 }
 
 void Leader::check_machines() {
@@ -60,7 +62,8 @@
             machine_gone(i, "its lease ran out");
             m->up = false;
             m->saw_token = false;
-            // Should it come back under its name with counts that begin anew, they are not taken for copies.
+            // Should it come back under its name with counts that begin anew, they are not taken
+            // for copies.
             forget_worker(m->hearing, {m->session, m->seq});
             m->session = m->seq = 0;
             continue;
@@ -70,10 +73,10 @@
             spdlog::info("machine: {} did not hear its answers for too long, returned", m->name);
             m->doomed = true;
         }
-        // Not heard of for so long that it is given back. A replacement has to boot and to fetch its images
-        // again: for as long as that takes, the machine may just as well come back. A cut of 20 s once cost a
-        // whole zone's machines. After an outage in which this leader itself fell silent, all will report
-        // again.
+        // Not heard of for so long that it is given back. A replacement has to boot and to fetch
+        // its images again: for as long as that takes, the machine may just as well come back. A
+        // cut of 20 s once cost a whole zone's machines. After an outage in which this leader
+        // itself fell silent, all will report again.
         bool running = m->up_at > 0 || m->status == MachineStatus::Running;
         if (!m->up && running && !m->doomed &&
             now_ - std::max({m->last_report, deaf_at_, tenure_->won}) >
@@ -84,25 +87,27 @@
         if (expired && !m->up && !m->tasks.empty())
             machine_gone(i, "not heard of since the change of leader");
         if (!m->up && m->tasks.empty() && !m->returning) {
-            bool lost = m->listed ? m->missing && now_ - m->missing_since > 2 * settings_.list_lag_s + 2
-                                  : now_ - m->added > std::max(60.0, 6 * settings_.list_lag_s);
+            bool lost = m->listed
+                            ? m->missing && now_ - m->missing_since > 2 * settings_.list_lag_s + 2
+                            : now_ - m->added > std::max(60.0, 6 * settings_.list_lag_s);
             if (lost) {
                 spdlog::info("machine: {} no longer known", m->name);
                 tables_.remove_machine(i);
                 continue;
             }
         }
-        // Silent, and no longer listed: taken, as it seems. To return it costs nothing and proves it gone,
-        // long before its lease would.
+        // Silent, and no longer listed: taken, as it seems. To return it costs nothing and proves
+        // it gone, long before its lease would.
         bool silent = now_ - std::max(m->last_report, tenure_->won) > silence_s();
-        bool unlisted =
-            listed_once_ && (m->listed ? m->missing : now_ - m->added > 2 * settings_.list_lag_s + 1);
+        bool unlisted = listed_once_ &&
+                        (m->listed ? m->missing : now_ - m->added > 2 * settings_.list_lag_s + 1);
         if (silent && unlisted && !m->doomed && (m->up || !m->tasks.empty())) {
             spdlog::info("machine: {} is silent and not listed, returned", m->name);
             m->doomed = true;
         }
-        if (!m->up && m->status == MachineStatus::Booting && !m->doomed && m->type < tables_.types.size() &&
-            tables_.types[m->type].offered && now_ - m->rented > 3 * tables_.types[m->type].type.boot_s + 5) {
+        if (!m->up && m->status == MachineStatus::Booting && !m->doomed &&
+            m->type < tables_.types.size() && tables_.types[m->type].offered &&
+            now_ - m->rented > 3 * tables_.types[m->type].type.boot_s + 5) {
             tables_.learn_boot(m->type, now_ - m->rented);
             spdlog::info("machine: {} given up after booting {:.0f}s", m->name, now_ - m->rented);
             m->doomed = true;
@@ -121,7 +126,8 @@
     for (auto& t : without_prices) t.price = t.spot_price = 0;
     auto shape = machine_types_json(without_prices);
     auto record = machine_types_json(m.types);
-    if (shape != recorded_shape_ && record != recorded_types_ && record.size() < settings_.value_kb * 1024) {
+    if (shape != recorded_shape_ && record != recorded_types_ &&
+        record.size() < settings_.value_kb * 1024) {
         recorded_shape_ = shape;
         ledger_.note(kTypesKey, record);
     }
@@ -142,7 +148,8 @@
         m.listed = true;
         m.missing = false;
         if (m.addr.empty()) m.addr = l.addr;
-        if (m.type == kNone || m.size == Resources{}) tables_.describe_machine(m, l.type, l.zone, l.spot);
+        if (m.type == kNone || m.size == Resources{})
+            tables_.describe_machine(m, l.type, l.zone, l.spot);
         if (l.status == MachineStatus::Failed && m.status != MachineStatus::Failed) {
             m.status = MachineStatus::Failed;
             machine_gone(index, "failed");
@@ -206,8 +213,8 @@
 void Leader::handle(Rented& r) {
     auto& type = tables_.names.types.name(r.rental.type);
     auto& zone = tables_.names.zones.name(r.rental.zone);
-    spdlog::info("cloud: rented {}/{} of {} in {} spot={}", r.names.size(), r.rental.count, type, zone,
-                 r.rental.spot);
+    spdlog::info("cloud: rented {}/{} of {} in {} spot={}", r.names.size(), r.rental.count, type,
+                 zone, r.rental.spot);
     metrics_.count("machines_rented_total", r.names.size());
     for (auto& name : r.names) {
         if (gone_.count(name)) continue;
@@ -241,8 +248,9 @@
     }
 }
 
-asio::awaitable<std::optional<HttpAnswer>> Leader::cloud_call(const char* method, std::string target,
-                                                              std::string body, double timeout_s) {
+asio::awaitable<std::optional<HttpAnswer>> Leader::cloud_call(const char* method,
+                                                              std::string target, std::string body,
+                                                              double timeout_s) {
     while (!stopped_) {
         double now = steady_now();
         if (now >= cloud_pause_until_ && cloud_budget_.available(now) >= 1) break;
@@ -250,10 +258,11 @@
     }
     cloud_budget_.take(1);
     auto answer = co_await cloud_.request(method, std::move(target), std::move(body), timeout_s);
-    bool trouble =
-        !answer || answer->status == 429 || (answer->status == 503 && !says_no_capacity(answer->body));
+    bool trouble = !answer || answer->status == 429 ||
+                   (answer->status == 503 && !says_no_capacity(answer->body));
     if (trouble)
-        cloud_pause_until_ = steady_now() + std::uniform_real_distribution<double>(0.8, 1.6)(random_);
+        cloud_pause_until_ =
+            steady_now() + std::uniform_real_distribution<double>(0.8, 1.6)(random_);
     co_return answer;
 }
 
@@ -302,10 +311,11 @@
 
 asio::awaitable<void> Leader::rent(std::shared_ptr<Leader> self, std::vector<Rental> rentals) {
     for (auto& r : rentals) {
-        // Unique for ever: no other leader has this token, and no other rental of this leader this number.
+        // Unique for ever: no other leader has this token, and no other rental of this leader this
+        // number.
         auto request = fmt::format("w{}-{}", tenure_->token, ++hires_);
-        auto body = rental_json(request, tables_.names.types.name(r.type), tables_.names.zones.name(r.zone),
-                                r.spot, r.count);
+        auto body = rental_json(request, tables_.names.types.name(r.type),
+                                tables_.names.zones.name(r.zone), r.spot, r.count);
         while (!stopped_) {
             auto answer = co_await cloud_call("POST", paths::kMachines, body, 4);
             if (stopped_) co_return;
@@ -330,7 +340,8 @@
     self->post(RentPassDone{});
 }
 
-asio::awaitable<void> Leader::give_back(std::shared_ptr<Leader> self, std::vector<std::string> names) {
+asio::awaitable<void> Leader::give_back(std::shared_ptr<Leader> self,
+                                        std::vector<std::string> names) {
     auto answer = co_await cloud_call("POST", paths::kReturn, return_json(names), 4);
     // Without an answer they may be gone or not: they stay out of use and are returned again.
     self->post(Returned{std::move(names), answer && answer->status == 200});
--- a/src/coordination/leader_inbox.cpp
+++ b/src/coordination/leader_inbox.cpp
@@ -1,5 +1,6 @@
-// The leader: jobs that doors accepted while no leader answered them (doors/records.h). It collects each into
-// the log, by the same transaction that records any new job, and deletes the door's record after that.
+// The leader: jobs that doors accepted while no leader answered them (doors/records.h). It collects
+// each into the log, by the same transaction that records any new job, and deletes the door's
+// record after that.
 #include <spdlog/spdlog.h>
 
 #include <boost/asio.hpp>
@@ -14,7 +15,7 @@
 namespace {
 constexpr int kRecordsAPage = 200;
 constexpr size_t kCollectAtOnce =
-    64;                           // new jobs that wait to be recorded: users' own must not wait behind more
+    64;  // new jobs that wait to be recorded: users' own must not wait behind more
 constexpr double kAgain_s = 0.3;  // after a refusal, whose cause the watch should tell by then
 constexpr double kMissing_s = 5;
 constexpr double kWatch_s = 10;
@@ -46,8 +47,8 @@
             if (!watched.value.events.empty()) post(InboxChanged{std::move(watched.value.events)});
             continue;
         }
-        // Too old to be told on: all records are read again. Never without a pause, as any other status that
-        // stays would else be asked for without an end.
+        // Too old to be told on: all records are read again. Never without a pause, as any other
+        // status that stays would else be asked for without an end.
         if (watched.outcome == StateOutcome::Invalid)
             if (auto all = co_await read_inbox()) post(std::move(*all));
         co_await sleep_s(kAgain_s);
@@ -75,14 +76,15 @@
         auto id = e.item.key.substr(std::min(kDoorKeys.size(), e.item.key.size()));
         if (!e.deleted)
             take_door_record(e.item);
-        else if (auto it = inbox_.find(id); it != inbox_.end() && it->second.version < e.item.version)
+        else if (auto it = inbox_.find(id);
+                 it != inbox_.end() && it->second.version < e.item.version)
             inbox_.erase(it);
     }
     collect_inbox();
 }
 
-// A record that is to be deleted says nothing any more. Its job, should it have ended, was called "not now"
-// until the record was gone, which on a busy day took minutes.
+// A record that is to be deleted says nothing any more. Its job, should it have ended, was called
+// "not now" until the record was gone, which on a busy day took minutes.
 bool Leader::at_door(const std::string& id) const {
     auto it = inbox_.find(id);
     return it != inbox_.end() && it->second.step != Inboxed::Step::Forgetting;
@@ -101,7 +103,8 @@
         auto& job = *tables_.jobs[it->second];
         if (job.version == 0) return;  // on its way to be recorded
         if (!in.record.cancelled || job.cancel_recorded) return forget(id);
-        // Cancelled by a door. Its record goes only once the log tells it, so that no request is lost.
+        // Cancelled by a door. Its record goes only once the log tells it, so that no request is
+        // lost.
         if (!job.cancelled && !job.ending) ask_cancel(it->second);
         return;
     }
@@ -122,10 +125,11 @@
     if (!depends.unread.empty()) {
         in.step = Inboxed::Step::Reading;
         PeerCall call{PeerOp::Submit, id, ""};
-        asio::co_spawn(io_,
-                       read_dependencies(shared_from_this(), std::move(call), Reply(io_.get_executor()),
-                                         std::move(depends.unread), true),
-                       asio::detached);
+        asio::co_spawn(
+            io_,
+            read_dependencies(shared_from_this(), std::move(call), Reply(io_.get_executor()),
+                              std::move(depends.unread), true),
+            asio::detached);
         return;
     }
     depends.cancelled = depends.cancelled || in.record.cancelled;
@@ -164,8 +168,9 @@
     return it != inbox_.end() && it->second.step == Inboxed::Step::Telling ? it->second.version : 0;
 }
 
-// The transaction that told of a job is over. Its door's record, should there be one, is looked at again: to
-// be forgotten if the job was recorded, and otherwise, a little later, to be collected anew.
+// The transaction that told of a job is over. Its door's record, should there be one, is looked at
+// again: to be forgotten if the job was recorded, and otherwise, a little later, to be collected
+// anew.
 void Leader::told(const std::string& id, bool recorded) {
     auto it = inbox_.find(id);
     if (it == inbox_.end() || it->second.step != Inboxed::Step::Telling) return;
--- a/src/coordination/leader_records.cpp
+++ b/src/coordination/leader_records.cpp
@@ -24,8 +24,8 @@
 void Leader::flush() {
     if (flushing_ || now_ < flush_not_before_ || !sure(now_) || !ledger_.waiting()) return;
     double budget = writes_.available(now_);
-    // The end of a job takes up to three changes (a final state, the open segment and one more); less than
-    // that is left to users alone.
+    // The end of a job takes up to three changes (a final state, the open segment and one more);
+    // less than that is left to users alone.
     if (budget < (ledger_.urgent() ? 1 : 3)) return;
     auto batch = ledger_.next(static_cast<int>(budget));
     if (batch.empty()) return;
@@ -40,10 +40,11 @@
         if (e.kind == EntryKind::Finish) tables_.jobs[e.job]->end_sent = sent;
 }
 
-// Whether a transaction without an answer was applied. Its keys say so: nobody else may write them, or delete them.
+// Whether a transaction without an answer was applied. Its keys say so: nobody else may write them,
+// or delete them.
 asio::awaitable<Leader::Applied> Leader::was_applied(const StateTxn& txn) {
-    auto write =
-        std::find_if(txn.changes.begin(), txn.changes.end(), [](auto& c) { return !c.value.empty(); });
+    auto write = std::find_if(txn.changes.begin(), txn.changes.end(),
+                              [](auto& c) { return !c.value.empty(); });
     bool deletes = write == txn.changes.end();
     auto& change = deletes ? txn.changes.front() : *write;
     auto item = co_await state_.get(change.key, kCall_s);
@@ -69,8 +70,9 @@
         unsure = unsure || open;
         if (open || refused_late ||
             (unsure && result.outcome == StateOutcome::Conflict && !names_leader(result.failed))) {
-            // The keys are read after each copy without an answer, not only after a refused one: where no copy is
-            // answered, the first may have been carried out long ago, and others tell users of it.
+            // The keys are read after each copy without an answer, not only after a refused one:
+            // where no copy is answered, the first may have been carried out long ago, and others
+            // tell users of it.
             auto applied = co_await was_applied(batch.txn);
             if (stopped_) co_return;
             if (!applied.known || (open && !applied.yes)) {
@@ -82,9 +84,10 @@
                 result.value = applied.version;
                 result.failed.clear();
             } else if (refused_late) {
-                // The limits fell between two copies: this one was not executed, but the earlier one may
-                // still be. Taken for not executed, its entries were told again by another transaction, and
-                // it would have put older ones behind them. A later leader's token makes it void.
+                // The limits fell between two copies: this one was not executed, but the earlier
+                // one may still be. Taken for not executed, its entries were told again by another
+                // transaction, and it would have put older ones behind them. A later leader's token
+                // makes it void.
                 spdlog::error("state: no answer, then refused as malformed: starting over");
                 tenure_->ended = true;
                 co_return;
@@ -138,7 +141,8 @@
                 for (auto d : tables_.cancel_dependants(e.job))
                     if (tables_.jobs[d]->version != 0)
                         ledger_.cancel(d);  // a new one's record says so itself
-                spdlog::debug("job: {} cancellation recorded, {} tasks placed", job.spec.id, job.placed);
+                spdlog::debug("job: {} cancellation recorded, {} tasks placed", job.spec.id,
+                              job.placed);
                 answer_waiters(job.spec.id, job_reply(job, PeerOp::Cancel, 200));
                 check_job(e.job);
                 check_cancelled(tables_.dependencies().of(e.job));
@@ -156,7 +160,8 @@
                         spdlog::debug("job: {} ready", tables_.jobs[d]->spec.id);
                 }
                 check_cancelled(on);
-                spdlog::debug("job: {} {}", id, e.ended.state == JobState::Done ? "done" : "cancelled");
+                spdlog::debug("job: {} {}", id,
+                              e.ended.state == JobState::Done ? "done" : "cancelled");
             } else if (e.kind == EntryKind::Forget) {
                 forgotten(e);
             }
@@ -172,8 +177,8 @@
     }
     std::vector<std::pair<Index, uint64_t>> again;  // with the versions of their door records
     if (m.result.outcome == StateOutcome::Conflict) {
-        // Only a job that has ended already may stand in the way, or one that a door has accepted, or
-        // cancelled, meanwhile.
+        // Only a job that has ended already may stand in the way, or one that a door has accepted,
+        // or cancelled, meanwhile.
         auto& failed = m.result.failed;
         auto stands = [&](const std::string& key) { return std::erase(failed, key) > 0; };
         for (auto& e : m.batch.entries) {
@@ -194,11 +199,13 @@
             drop_new_job(e.job);
             ended ? forget(id) : told(id, false);
             for (auto& [op, reply] : waiting)
-                asio::co_spawn(io_, read_final(shared_from_this(), PeerCall{op, id, ""}, reply, kNotFound),
-                               asio::detached);
+                asio::co_spawn(
+                    io_, read_final(shared_from_this(), PeerCall{op, id, ""}, reply, kNotFound),
+                    asio::detached);
         }
         if (!failed.empty()) {
-            spdlog::error("leader: records differ from the tables at {}: starting over", failed.front());
+            spdlog::error("leader: records differ from the tables at {}: starting over",
+                          failed.front());
             tenure_->ended = true;
             return;
         }
@@ -215,10 +222,11 @@
                 answer_waiters(tables_.jobs[e.job]->spec.id, come_back());
             }
         }
-        // Malformed, as it is well-formed: larger than the state service takes. The same text would be
-        // refused for ever, and with it all that waits to be recorded.
+        // Malformed, as it is well-formed: larger than the state service takes. The same text would
+        // be refused for ever, and with it all that waits to be recorded.
         if (m.result.outcome == StateOutcome::Invalid && ledger_.shrink())
-            spdlog::error("state: a transaction was refused as malformed, the next ones are smaller");
+            spdlog::error(
+                "state: a transaction was refused as malformed, the next ones are smaller");
         m.result.too_fast ? writes_.too_fast() : writes_.drain();
         flush_not_before_ = now_ + std::uniform_real_distribution<double>(0.2, 0.5)(random_);
     }
--- a/src/coordination/leader_tasks.cpp
+++ b/src/coordination/leader_tasks.cpp
@@ -13,11 +13,13 @@
 namespace asio = boost::asio;
 
 namespace {
-constexpr double kMissedReports = 1.5;    // without a report for so many of their intervals, a machine is told by itself
+constexpr double kMissedReports =
+    1.5;  // without a report for so many of their intervals, a machine is told by itself
 }  // namespace
 
-// What this leader saw of it is its whole run. Learnt from tasks that an earlier leader had started, or that
-// went on from saved progress, a class's run times came out at a quarter after each change of leader.
+// What this leader saw of it is its whole run. Learnt from tasks that an earlier leader had
+// started, or that went on from saved progress, a class's run times came out at a quarter after
+// each change of leader.
 static bool ran_whole(const Task& task) {
     return task.running_at > 0 && task.start_seq > 0 && task.attempt <= 1;
 }
@@ -41,8 +43,8 @@
         return;
     }
     if (r.cause != ExitCause::Stopped)
-        spdlog::info("task: {}/{} attempt={} exited on {} cause={}", job.spec.id, t, r.attempt, m.name,
-                     static_cast<int>(r.cause));
+        spdlog::info("task: {}/{} attempt={} exited on {} cause={}", job.spec.id, t, r.attempt,
+                     m.name, static_cast<int>(r.cause));
     tables_.vacate(j, t, now_);
     if (r.cause == ExitCause::Error) task_failed(j, machine);
     if (r.cause == ExitCause::NoRoom || r.cause == ExitCause::Busy || r.cause == ExitCause::Unknown)
@@ -51,7 +53,8 @@
     check_job(j);
 }
 
-// A machine that fails different jobs is sick; a job that fails on different machines is at fault itself.
+// A machine that fails different jobs is sick; a job that fails on different machines is at fault
+// itself.
 void Leader::task_failed(Index j, Index machine) {
     auto& job = *tables_.jobs[j];
     auto& m = *tables_.machines[machine];
@@ -62,8 +65,9 @@
     bool job_works = job.done > 0 || job.running > 0;
     if (job.failed_on.size() >= 2 && !job_works && m.faulty_jobs.size() < 2) {
         job.not_before =
-            now_ + std::min(120.0, 2.0 * std::pow(2.0, std::min<double>(
-                                                           job.failed_on.size() + job.failures / 8.0, 8)));
+            now_ +
+            std::min(120.0, 2.0 * std::pow(2.0, std::min<double>(
+                                                    job.failed_on.size() + job.failures / 8.0, 8)));
         for (auto i : job.failed_on) {
             auto* other = tables_.machines[i].get();
             if (other && other->faulty_jobs.size() <= 1 && other->quarantined_until > now_)
@@ -93,9 +97,10 @@
     check_job(j);
 }
 
-// The gang's current attempt is over. Its other tasks must all be gone before the next one. `fetch_on`: not
-// before they have their images. Stopped, a worker gives its fetch up; a gang whose image takes longer than
-// its tasks wait for each other once began anew every half minute to the end of the day.
+// The gang's current attempt is over. Its other tasks must all be gone before the next one.
+// `fetch_on`: not before they have their images. Stopped, a worker gives its fetch up; a gang whose
+// image takes longer than its tasks wait for each other once began anew every half minute to the
+// end of the day.
 void Leader::end_gang(Index j, bool graceful, bool fetch_on) {
     auto& job = *tables_.jobs[j];
     job.gang_ending = job.placed > 0;
@@ -113,7 +118,8 @@
     if (job.spec.kind == JobKind::Gang && job.placed == 0) job.gang_ending = false;
     if (job.cancelled) {
         for (uint32_t t = 0; t < job.tasks.size(); ++t)
-            if (job.tasks[t].state == TaskState::Placed && (!job.tasks[t].stopping || job.tasks[t].graceful))
+            if (job.tasks[t].state == TaskState::Placed &&
+                (!job.tasks[t].stopping || job.tasks[t].graceful))
                 stop_task(j, t, false);
         if (job.placed > 0) return;
         spdlog::debug("job: {} cancelled, none of its tasks is left", job.spec.id);
@@ -129,7 +135,8 @@
     ledger_.finish(j);
 }
 
-// A cancelled job may end once those that need it are recorded as cancelled, or gone: one of these was.
+// A cancelled job may end once those that need it are recorded as cancelled, or gone: one of these
+// was.
 void Leader::check_cancelled(const std::vector<Index>& jobs) {
     for (auto j : jobs)
         if (tables_.jobs[j]->cancelled) check_job(j);
@@ -141,11 +148,12 @@
     task.stopping = true;
     task.graceful = graceful && job.spec.checkpoint_s > 0;
     if (job.spec.kind == JobKind::Gang) job.gang_ending = true;
-    direct_[task.machine].push_back({CommandOp::Stop, job.spec.id, t, task.attempt, stop_grace_s(job, task)});
+    direct_[task.machine].push_back(
+        {CommandOp::Stop, job.spec.id, t, task.attempt, stop_grace_s(job, task)});
 }
 
-// A stop is sent straight to its worker as well, so that a gang hears of it within gang_peer_s. A late
-// copy does no harm: it names the attempt, and the session must still match.
+// A stop is sent straight to its worker as well, so that a gang hears of it within gang_peer_s. A
+// late copy does no harm: it names the attempt, and the session must still match.
 void Leader::flush_stops() {
     for (auto& [index, commands] : direct_) {
         auto* m = tables_.machines[index].get();
@@ -158,10 +166,11 @@
     direct_.clear();
 }
 
-// Tasks of cancelled jobs on machines that do not come here are stopped where they are, again and again until they are
-// proven gone: an earlier leader that can't know of the cancellation may still answer their workers. The session is the
-// one that the placement was recorded with; in a newer one they are gone. The command shows the worker our token, so
-// from then on it drops what the earlier leader answers.
+// Tasks of cancelled jobs on machines that do not come here are stopped where they are, again and
+// again until they are proven gone: an earlier leader that can't know of the cancellation may still
+// answer their workers. The session is the one that the placement was recorded with; in a newer one
+// they are gone. The command shows the worker our token, so from then on it drops what the earlier
+// leader answers.
 void Leader::repeat_stops() {
     if (now_ < next_stops_) return;
     next_stops_ = now_ + settings_.report_s;
@@ -170,7 +179,8 @@
         stops_cursor_ = (stops_cursor_ + 1) % count;
         auto* m = tables_.machines[stops_cursor_].get();
         if (!m || m->addr.empty() || m->status == MachineStatus::Failed) continue;
-        if (now_ - std::max(m->last_report, tenure_->won) <= kMissedReports * settings_.report_s) continue;
+        if (now_ - std::max(m->last_report, tenure_->won) <= kMissedReports * settings_.report_s)
+            continue;
         uint64_t session = m->up ? m->session : 0;
         for (auto& ref : m->tasks)
             session = std::max<uint64_t>(session, tables_.jobs[ref.job]->tasks[ref.task].session);
@@ -191,10 +201,11 @@
     }
 }
 
-// By the controller that relays for the worker, where there is one: the worker can't be reached from here, as
-// it seems. `by_any`: by each other controller in turn, where it turns out that it can't.
-asio::awaitable<void> Leader::send_stops(std::shared_ptr<Leader> self, std::string addr, std::string by,
-                                         std::string body, bool by_any) {
+// By the controller that relays for the worker, where there is one: the worker can't be reached
+// from here, as it seems. `by_any`: by each other controller in turn, where it turns out that it
+// can't.
+asio::awaitable<void> Leader::send_stops(std::shared_ptr<Leader> self, std::string addr,
+                                         std::string by, std::string body, bool by_any) {
     (void)self;
     if (!by.empty() && pass_on) {
         PeerCall call{PeerOp::Command, addr, body};
--- a/src/coordination/leader_users.cpp
+++ b/src/coordination/leader_users.cpp
@@ -43,16 +43,18 @@
     m.reply.set({400, "{}"});
 }
 
-// Nothing is told before it is recorded, and nothing older than what may be recorded: another controller's door reads
-// the records. One that told an end from a transaction that this leader had no answer for was once followed by
-// "running" from here.
+// Nothing is told before it is recorded, and nothing older than what may be recorded: another
+// controller's door reads the records. One that told an end from a transaction that this leader had
+// no answer for was once followed by "running" from here.
 bool Leader::may_tell(const Job& job) const {
     return job.version != 0 && tables_.settled(tables_.job_index.at(job.spec.id));
 }
 
-// The last word from the state service was a failure: neither a transaction nor a renewal has worked since.
+// The last word from the state service was a failure: neither a transaction nor a renewal has
+// worked since.
 bool Leader::state_down() const {
-    return state_failed_at_ > std::max(state_worked_at_, tenure_->sure_until - properties_.election_lease_s);
+    return state_failed_at_ >
+           std::max(state_worked_at_, tenure_->sure_until - properties_.election_lease_s);
 }
 
 JobState Leader::job_state(const Job& job) const {
@@ -62,7 +64,8 @@
 
 PeerReply Leader::job_reply(const Job& job, PeerOp op, int status) const {
     auto state = job_state(job);
-    if (op == PeerOp::Status) return {status, job_status(job.spec.id, state, job.done, job.running)};
+    if (op == PeerOp::Status)
+        return {status, job_status(job.spec.id, state, job.done, job.running)};
     return {status, job_answer(job.spec.id, state)};
 }
 
@@ -93,7 +96,8 @@
     try {
         spec = parse_submission(call.body, tables_.names);
     } catch (const BadMessage& e) {
-        malformed = PeerReply{400, boost::json::serialize(boost::json::object{{"error", e.what()}})};
+        malformed =
+            PeerReply{400, boost::json::serialize(boost::json::object{{"error", e.what()}})};
         // What was accepted under that id is not refused for good, whatever its repetition holds.
         spec.id = submission_id(call.body);
         if (spec.id.empty()) return reply.set(std::move(*malformed));
@@ -112,7 +116,8 @@
     if (malformed) return refuse_for_good(call, reply, spec.id, std::move(*malformed));
     if (!tables_.types_known) return reply.set(come_back(2));
     if (tables_.never_runs(spec)) return refuse_for_good(call, reply, spec.id);
-    // The service can't record it now: told at once. Another controller's door may reach the state service.
+    // The service can't record it now: told at once. Another controller's door may reach the state
+    // service.
     if (state_down()) return reply.set(undecided());
     if (ledger_.submissions() > 4 * settings_.state_write_rps) return reply.set(come_back());
     if (tables_.task_count + spec.tasks > tables_.max_tasks) return reply.set(come_back(10));
@@ -165,7 +170,8 @@
     return out;
 }
 
-std::optional<Leader::Dependence> Leader::dependence(PeerCall& call, Reply& reply, const JobSpec& spec) {
+std::optional<Leader::Dependence> Leader::dependence(PeerCall& call, Reply& reply,
+                                                     const JobSpec& spec) {
     auto out = resolve(spec);
     if (out.never) {
         refuse_for_good(call, reply, spec.id);
@@ -173,26 +179,30 @@
         reply.set(come_back());
     } else if (!out.unread.empty()) {
         call.subject = spec.id;
-        asio::co_spawn(
-            io_, read_dependencies(shared_from_this(), std::move(call), reply, std::move(out.unread), false),
-            asio::detached);
+        asio::co_spawn(io_,
+                       read_dependencies(shared_from_this(), std::move(call), reply,
+                                         std::move(out.unread), false),
+                       asio::detached);
     } else {
         return out;
     }
     return {};
 }
 
-// The job may have been accepted when more was on offer, and have ended: then its final state is the answer.
-void Leader::refuse_for_good(PeerCall& call, Reply& reply, const std::string& id, PeerReply refusal) {
+// The job may have been accepted when more was on offer, and have ended: then its final state is
+// the answer.
+void Leader::refuse_for_good(PeerCall& call, Reply& reply, const std::string& id,
+                             PeerReply refusal) {
     call.subject = id;
     asio::co_spawn(io_, read_final(shared_from_this(), std::move(call), reply, std::move(refusal)),
                    asio::detached);
 }
 
-// One after the other: a long list must not take the rate that renewals of the lease need. What was read is
-// remembered, so that a list too long for one call gets further with each repetition.
-asio::awaitable<void> Leader::read_dependencies(std::shared_ptr<Leader> self, PeerCall call, Reply reply,
-                                                std::vector<std::string> ids, bool collects) {
+// One after the other: a long list must not take the rate that renewals of the lease need. What was
+// read is remembered, so that a list too long for one call gets further with each repetition.
+asio::awaitable<void> Leader::read_dependencies(std::shared_ptr<Leader> self, PeerCall call,
+                                                Reply reply, std::vector<std::string> ids,
+                                                bool collects) {
     DependenciesRead read{std::move(call), reply, {}, {}, true, collects};
     double until = steady_now() + kReadDependencies_s;
     double pause = 1 / (kReadShare * settings_.state_rps);
@@ -220,7 +230,8 @@
     if (!sure(now_)) return m.reply.set(come_back());
     if (!m.missing.empty()) {
         // What was read is as old as the read: the job may have come, or ended, meanwhile.
-        if (tables_.find_job(m.missing) || finals_.count(m.missing)) return m.reply.set(come_back());
+        if (tables_.find_job(m.missing) || finals_.count(m.missing))
+            return m.reply.set(come_back());
         return refuse_for_good(m.call, m.reply, m.call.subject);
     }
     if (!m.all) return m.reply.set(come_back());
@@ -231,14 +242,16 @@
     if (!valid_job_id(call.subject)) return reply.set({404, "{}"});
     if (!sure(now_)) return reply.set(undecided());
     if (auto* job = tables_.find_job(call.subject)) {
-        // What is on its way to be recorded may be told by a door, which reads the records: polls of a job whose
-        // cancellation was asked for, in a minute without answers to transactions, once all failed here.
+        // What is on its way to be recorded may be told by a door, which reads the records: polls
+        // of a job whose cancellation was asked for, in a minute without answers to transactions,
+        // once all failed here.
         return reply.set(may_tell(*job) ? job_reply(*job, PeerOp::Status, 200) : undecided());
     }
     if (auto it = finals_.find(call.subject); it != finals_.end())
         return reply.set(final_reply(call.subject, it->second, PeerOp::Status));
     if (at_door(call.subject)) return reply.set(come_back());  // soon collected
-    asio::co_spawn(io_, read_final(shared_from_this(), std::move(call), reply, kNotFound), asio::detached);
+    asio::co_spawn(io_, read_final(shared_from_this(), std::move(call), reply, kNotFound),
+                   asio::detached);
 }
 
 void Leader::cancel(PeerCall& call, Reply& reply) {
@@ -262,9 +275,10 @@
     ask_cancel(it->second);
 }
 
-// From here on its tasks are of use to nobody, so they are stopped before the cancellation is recorded. Its record may
-// stand, and another controller's door tell of it, long before this leader has an answer for it: tasks that waited for
-// the answer once ran on for as long as transactions went unanswered.
+// From here on its tasks are of use to nobody, so they are stopped before the cancellation is
+// recorded. Its record may stand, and another controller's door tell of it, long before this leader
+// has an answer for it: tasks that waited for the answer once ran on for as long as transactions
+// went unanswered.
 void Leader::ask_cancel(Index j) {
     tables_.jobs[j]->cancelled = true;
     ledger_.cancel(j);
@@ -281,8 +295,8 @@
     }
 }
 
-// The final state of a job that is not in the tables. A door's record is read first, as jobs move from there
-// to the log and on: while it stands, a missing final state says nothing.
+// The final state of a job that is not in the tables. A door's record is read first, as jobs move
+// from there to the log and on: while it stands, a missing final state says nothing.
 asio::awaitable<StateResult<StateItem>> Leader::read_ended(std::string id, double timeout_s) {
     auto door = co_await state_.get(door_key(id), timeout_s);
     StateResult<StateItem> result;
@@ -310,7 +324,8 @@
     }
     // What was read is as old as the read: the job may have come, or ended, meanwhile.
     bool here = tables_.find_job(id) || finals_.count(id);
-    if (m.result.outcome == StateOutcome::Missing && !here) return m.reply.set(std::move(m.refusal));
+    if (m.result.outcome == StateOutcome::Missing && !here)
+        return m.reply.set(std::move(m.refusal));
     m.reply.set(come_back());
 }
 
--- a/src/coordination/leader_workers.cpp
+++ b/src/coordination/leader_workers.cpp
@@ -51,8 +51,9 @@
     auto index = tables_.add_machine(r.machine, now_);
     auto& m = *tables_.machines[index];
     if (std::pair(r.session, r.seq) <= std::pair(m.session, m.seq)) {
-        // A copy, or late: what it says is old, its worker has given up on the answer, and a machine is not
-        // there for it. Taken for answered, copies once kept a lease from being counted to its end.
+        // A copy, or late: what it says is old, its worker has given up on the answer, and a
+        // machine is not there for it. Taken for answered, copies once kept a lease from being
+        // counted to its end.
         metrics_.count("report_copies_total");
         return reply.set({503, "{}"});
     }
@@ -63,12 +64,13 @@
     m.addr = r.addr;
     m.relayed_by = call.sender;
     if (call.sender.empty()) m.direct_at = now_;
-    if (m.type == kNone || m.size == Resources{}) tables_.describe_machine(m, r.type, r.zone, r.spot);
+    if (m.type == kNone || m.size == Resources{})
+        tables_.describe_machine(m, r.type, r.zone, r.spot);
     Held held{reply, r.seq, now_ + kHold_s, 0};
     size_t before = m.tasks.size();
     take_report(m, index, r);
-    // What came free is offered to a scheduling pass before the answer goes: without it, the next task's
-    // start waited for the next regular report.
+    // What came free is offered to a scheduling pass before the answer goes: without it, the next
+    // task's start waited for the next regular report.
     if (m.tasks.size() < before) held.passes = passes_ + 1;
     if (auto it = held_.find(index); it != held_.end()) {
         it->second.reply.set({503, "{}"});
@@ -90,15 +92,16 @@
         m.status = MachineStatus::Running;
         if (!m.returning) m.doomed = false;
         dirty_ = true;
-        spdlog::info("machine: {} up type={} zone={} spot={} after={:.1f}s", m.name, r.type, r.zone, r.spot,
-                     now_ - m.rented);
+        spdlog::info("machine: {} up type={} zone={} spot={} after={:.1f}s", m.name, r.type, r.zone,
+                     r.spot, now_ - m.rented);
     }
     if (r.session > m.session) {
         // A newer session: everything placed in an older one is gone.
         auto tasks = m.tasks;
         for (auto& ref : tasks) {
             auto& task = tables_.jobs[ref.job]->tasks[ref.task];
-            if (task.state == TaskState::Placed && task.machine == index && task.session < r.session)
+            if (task.state == TaskState::Placed && task.machine == index &&
+                task.session < r.session)
                 lose_task(ref.job, ref.task);
         }
         m.images.clear();
@@ -109,7 +112,8 @@
     // From here on no earlier leader's answer is taken by this worker.
     m.saw_token = r.token == tenure_->token;
     if (r.notice_s >= 0) {
-        if (m.notice_until < 0) spdlog::info("machine: {} is taken back in {:.1f}s", m.name, r.notice_s);
+        if (m.notice_until < 0)
+            spdlog::info("machine: {} is taken back in {:.1f}s", m.name, r.notice_s);
         m.notice_until = now_ + r.notice_s;
     }
     m.strays.clear();
@@ -119,7 +123,8 @@
     for (auto& ref : m.tasks) {
         auto& job = *tables_.jobs[ref.job];
         auto& task = job.tasks[ref.task];
-        if (task.phase != TaskPhase::Unseen || task.start_seq == 0 || task.start_seq >= r.seq) continue;
+        if (task.phase != TaskPhase::Unseen || task.start_seq == 0 || task.start_seq >= r.seq)
+            continue;
         (present.count({job.spec.id, ref.task}) ? heard.start_taken : heard.start_missing) = true;
     }
     if (take_evidence(m.hearing, heard, settings_, now_)) {
@@ -133,9 +138,9 @@
         auto& task = job.tasks[ref.task];
         if (task.state != TaskState::Placed || task.machine != index) continue;
         if (present.count({job.spec.id, ref.task})) continue;
-        // Not there. That is proof only if the worker has seen our token, as an earlier leader's start
-        // could else still arrive, and if this report was sent after our own start was answered.
-        // Of an attempt that this leader placed there is no earlier start.
+        // Not there. That is proof only if the worker has seen our token, as an earlier leader's
+        // start could else still arrive, and if this report was sent after our own start was
+        // answered. Of an attempt that this leader placed there is no earlier start.
         bool proof = (m.saw_token || task.ours) && (task.start_seq == 0 || task.start_seq < r.seq);
         if (!proof) continue;
         // One that was not taken is launched again, unless the machine does not hear that either.
@@ -155,17 +160,21 @@
             auto& task = job.tasks[t.task];
             expected = task.placed_as(index, t.attempt);
             if (expected && !exited) {
-                if (t.phase == TaskPhase::Running && task.phase != TaskPhase::Running && task.running_at == 0)
+                if (t.phase == TaskPhase::Running && task.phase != TaskPhase::Running &&
+                    task.running_at == 0)
                     task.running_at = static_cast<float>(now_);
-                // The image is there, whoever saw it fetched: a new leader learns so from what runs.
-                if (t.phase != task.phase && t.phase != TaskPhase::Fetching) tables_.saw_image(m, job.spec);
+                // The image is there, whoever saw it fetched: a new leader learns so from what
+                // runs.
+                if (t.phase != task.phase && t.phase != TaskPhase::Fetching)
+                    tables_.saw_image(m, job.spec);
                 bool began = job.running == 0 && t.phase == TaskPhase::Running;
                 tables_.set_phase(job, task, t.phase);
                 if (job.gang_ending && !task.stopping && t.phase != TaskPhase::Fetching)
                     stop_task(it->second, t.task, false);  // it was left to fetch its image
                 if (began)
                     spdlog::debug(
-                        "job: {} class={} tasks={} attempt={} runs {:.1f}s after it came, placed {:.1f}s ago",
+                        "job: {} class={} tasks={} attempt={} runs {:.1f}s after it came, placed "
+                        "{:.1f}s ago",
                         job.spec.id, tables_.names.classes.name(job.spec.job_class), job.spec.tasks,
                         t.attempt, now_ - job.came_at(), now_ - task.placed_at);
             } else if (expected) {
@@ -208,7 +217,8 @@
             auto it = tables_.job_index.find(e.job);
             if (!e.exited) {
                 bool expected = false;
-                if (it != tables_.job_index.end() && e.task < tables_.jobs[it->second]->tasks.size()) {
+                if (it != tables_.job_index.end() &&
+                    e.task < tables_.jobs[it->second]->tasks.size()) {
                     auto& task = tables_.jobs[it->second]->tasks[e.task];
                     expected = task.placed_as(index, e.attempt);
                 }
@@ -219,7 +229,8 @@
                 auto& job = *tables_.jobs[it->second];
                 if (e.task < job.tasks.size()) {
                     auto& task = job.tasks[e.task];
-                    // Once cleared, the worker no longer knows the attempt: its outcome must stand recorded.
+                    // Once cleared, the worker no longer knows the attempt: its outcome must stand
+                    // recorded.
                     if (job.ending || !tables_.recorded(job, e.task)) continue;
                     if (task.placed_as(index, e.attempt)) continue;
                 }
@@ -237,8 +248,8 @@
         } else if (task.phase == TaskPhase::Unseen && may_start && job.active() &&
                    task.session == m.session && m.notice_until < 0 && !m.returning &&
                    tables_.recorded(job, ref.task) &&
-                   (task.start_seq > 0 ||
-                    may_launch(tables_, job, ref.task, settings_.gang_wait_s, settings_.report_s, now_))) {
+                   (task.start_seq > 0 || may_launch(tables_, job, ref.task, settings_.gang_wait_s,
+                                                     settings_.report_s, now_))) {
             if (task.start_seq == 0) task.placed_at = static_cast<float>(now_);
             task.start_seq = held.seq;
             commands.push_back({CommandOp::Start, job.spec.id, ref.task, task.attempt, 0});
@@ -249,8 +260,8 @@
     note_answer(m.hearing, {m.session, held.seq}, m.saw_token, now_);
 }
 
-// The only way in which a report is answered with 200, which renews its worker's lease. One that was held while the
-// grace ran out is not, either.
+// The only way in which a report is answered with 200, which renews its worker's lease. One that
+// was held while the grace ran out is not, either.
 bool Leader::renew_lease(Reply& reply, const std::vector<Command>& commands) {
     if (tenure_->ended || past_grace()) {
         reply.set({503, "{}"});
--- a/src/coordination/overload/forecast.cpp
+++ b/src/coordination/overload/forecast.cpp
@@ -10,14 +10,16 @@
 namespace {
 
 constexpr double kLearn_s = 30;  // time constant of what a queue has in use
-// A queue is pressed once half of what waits will be late in whatever order, and until none of it need be:
-// between the two it stays what it was, so that a load that swings around capacity does not change the order
-// each time. Pressed at the first late job, large jobs lost deadlines that the order by due times would have
-// kept.
+// A queue is pressed once half of what waits will be late in whatever order, and until none of it
+// need be: between the two it stays what it was, so that a load that swings around capacity does
+// not change the order each time. Pressed at the first late job, large jobs lost deadlines that the
+// order by due times would have kept.
 constexpr double kPressed = 2.0, kRelieved = 1.0;
 
 bool by_gpu(const JobSpec& spec) { return spec.need.gpu > 0; }
-double units(const Resources& r, bool gpu) { return static_cast<double>(gpu ? r.gpu : r.cpu) / 1000; }
+double units(const Resources& r, bool gpu) {
+    return static_cast<double>(gpu ? r.gpu : r.cpu) / 1000;
+}
 
 // What the machines that are there or coming up have of it.
 Resources machines_have(const Tables& tables) {
@@ -34,11 +36,14 @@
            std::max(1.0, tables.expected_run_s(job.spec));
 }
 
-std::map<QueueKey, QueueForecast> forecast(const Tables& tables, const std::map<QueueKey, double>& used) {
+std::map<QueueKey, QueueForecast> forecast(const Tables& tables,
+                                           const std::map<QueueKey, double>& used) {
     std::map<QueueKey, QueueForecast> out;
-    std::map<QueueKey, std::pair<bool, double>> deadlines;  // GPUs; sum of the waiting jobs' deadlines
+    std::map<QueueKey, std::pair<bool, double>>
+        deadlines;  // GPUs; sum of the waiting jobs' deadlines
     std::map<QueueKey, Priority> priorities;
-    std::map<Priority, double> by_priority[2];  // units that all tasks of a priority would have at once
+    std::map<Priority, double>
+        by_priority[2];  // units that all tasks of a priority would have at once
     for (auto& job : tables.jobs) {
         if (!job || !job->active() || job->waits) continue;
         QueueKey key{job->spec.team, job->spec.job_class};
@@ -62,7 +67,8 @@
     for (auto& [key, q] : out) wanted[deadlines[key].first] += q.wanted;
     for (auto& [key, q] : out) {
         auto [gpu, sum] = deadlines[key];
-        if (key.job_class < tables.classes.size() && !tables.classes[key.job_class].done_within_s.empty())
+        if (key.job_class < tables.classes.size() &&
+            !tables.classes[key.job_class].done_within_s.empty())
             q.within_s = tables.classes[key.job_class].done_within_s.back();
         else if (q.jobs > 0)
             q.within_s = sum / q.jobs;
@@ -73,7 +79,8 @@
             if (priority == priorities[key]) equals = sum_of;
         }
         left = equals > 0 ? std::max(0.0, left) * std::min(1.0, q.wanted / equals) : 0;
-        double limit = key.team < tables.teams.size() ? units(tables.teams[key.team].limit, gpu) : 0;
+        double limit =
+            key.team < tables.teams.size() ? units(tables.teams[key.team].limit, gpu) : 0;
         if (limit > 0) part = std::min(part, limit), left = std::min(left, limit);
         auto learned = used.find(key);
         double had = std::max(q.in_use, learned == used.end() ? 0 : learned->second);
@@ -104,8 +111,8 @@
         auto& q = queues_[key];
         // Where all of it fits at once, none waits for another.
         give_up_times(tables, jobs, q.left < q.wanted ? q.left : 0, now);
-        q.give_up = static_cast<uint32_t>(
-            std::count_if(jobs.begin(), jobs.end(), [&](Index j) { return tables.jobs[j]->given_up > 0; }));
+        q.give_up = static_cast<uint32_t>(std::count_if(
+            jobs.begin(), jobs.end(), [&](Index j) { return tables.jobs[j]->given_up > 0; }));
     }
     for (Index c = 0; c < tables.classes.size(); ++c) {
         auto& by_team = tables.classes[c].stretch;
@@ -115,12 +122,13 @@
             auto& stretch = by_team[t];
             bool was = stretch > 0;
             stretch = 0;
-            if (it == queues_.end() || it->second.within_s <= 0 || it->second.mean_work <= 0) continue;
+            if (it == queues_.end() || it->second.within_s <= 0 || it->second.mean_work <= 0)
+                continue;
             auto& q = it->second;
             bool now_pressed = q.drain_s > q.within_s * (was ? kRelieved : kPressed);
             if (!now_pressed) continue;
-            // A job of mean size waits as long as the queue takes to drain, others in proportion to their
-            // work.
+            // A job of mean size waits as long as the queue takes to drain, others in proportion to
+            // their work.
             stretch = q.drain_s / q.mean_work;
             ++pressed_;
         }
--- a/src/coordination/overload/in_time.cpp
+++ b/src/coordination/overload/in_time.cpp
@@ -34,7 +34,8 @@
     for (auto j : queue) {
         auto& job = *tables.jobs[j];
         job.given_up = 0;
-        // A gang has machines cleared for it: what its queue has in use says little of when it starts.
+        // A gang has machines cleared for it: what its queue has in use says little of when it
+        // starts.
         if (job.spec.kind == JobKind::Array && job.pending > 0) jobs.push_back(j);
     }
     for (auto j : jobs) levels = std::max(levels, tables.times_asked(*tables.jobs[j]));
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -47,22 +47,23 @@
     std::vector<Row> rows;
     for (Index j = 0; j < tables.jobs.size(); ++j) {
         auto* job = tables.jobs[j].get();
-        if (!job || !job->active() || job->waits || job->pending == 0 || job->not_before > now) continue;
+        if (!job || !job->active() || job->waits || job->pending == 0 || job->not_before > now)
+            continue;
         // A gang starts anew only after every task of its old attempt is gone.
         if (job->spec.kind == JobKind::Gang && (job->placed > 0 || job->gang_ending)) continue;
         // Among equals, those that can still be in time go first, and of them the one due soonest.
         int missed;
         double due = tables.due(*job, now + tables.expected_run_s(job->spec), missed);
-        // Where they can't all be in time, shorter work goes first, so that as many as can be are; a job
-        // waits in proportion to its work at the most, as later ones count from when they came. What others
-        // wait for keeps the time by which those need it.
+        // Where they can't all be in time, shorter work goes first, so that as many as can be are;
+        // a job waits in proportion to its work at the most, as later ones count from when they
+        // came. What others wait for keeps the time by which those need it.
         if (double stretch = tables.stretch(job->spec); stretch > 0 && job->needed_by > 1e17) {
             missed = 0;
             due = job->came_at() + stretch * waiting_work(tables, *job);
         }
         Rank rank{!job->guaranteed, -static_cast<int>(job->priority),
-                  !tables.within_guarantee(tables.teams[job->spec.team], job->spec.need), -job->spec.need.gpu,
-                  missed};
+                  !tables.within_guarantee(tables.teams[job->spec.team], job->spec.need),
+                  -job->spec.need.gpu, missed};
         rows.push_back({{rank, due, job->submitted, job->spec.id}, j});
     }
     std::sort(rows.begin(), rows.end(), [](auto& a, auto& b) { return a.key < b.key; });
@@ -96,14 +97,16 @@
     Index zone;
     bool spot;
     explicit Terms(const JobSpec& s) : need(s.need), types(s.types), zone(s.zone), spot(s.spot) {}
-    bool same_places(const JobSpec& s) const { return types == s.types && zone == s.zone && spot == s.spot; }
+    bool same_places(const JobSpec& s) const {
+        return types == s.types && zone == s.zone && spot == s.spot;
+    }
 };
 
 // One pass over the waiting jobs. Room only shrinks during it.
 class Pass {
   public:
-    Pass(Tables& tables, const Usable& usable, const std::vector<std::vector<Index>>& ranks, double now,
-         const std::vector<Spare>& spare)
+    Pass(Tables& tables, const Usable& usable, const std::vector<std::vector<Index>>& ranks,
+         double now, const std::vector<Spare>& spare)
         : tables_(tables), now_(now) {
         Resources least;
         bool any = false;
@@ -113,9 +116,10 @@
                 waiting.push_back(j);
                 auto& need = tables.jobs[j]->spec.need;
                 lowest_ = std::min(lowest_, tables.jobs[j]->priority);
-                least = any ? Resources{std::min(least.cpu, need.cpu), std::min(least.gpu, need.gpu),
-                                        std::min(least.mem, need.mem)}
-                            : need;
+                least =
+                    any ? Resources{std::min(least.cpu, need.cpu), std::min(least.gpu, need.gpu),
+                                    std::min(least.mem, need.mem)}
+                        : need;
                 any = true;
             }
         for (Index i = 0; any && i < tables.machines.size(); ++i) {
@@ -135,14 +139,17 @@
         }
     }
 
-    // Machines with room for a task of the job, best fit first; null: there are none. `near`: where its image
-    // is.
+    // Machines with room for a task of the job, best fit first; null: there are none. `near`: where
+    // its image is.
     FitQueue* candidates(Index index, bool near) {
         auto& spec = tables_.jobs[index]->spec;
-        bool own = std::find(reserved_for_.begin(), reserved_for_.end(), index) != reserved_for_.end();
-        // A more pressing job that could go wherever this one can, and needs no more, found nothing.
-        if (!own && std::any_of(full_.begin(), full_.end(),
-                                [&](auto& t) { return t.same_places(spec) && t.need.fits_in(spec.need); }))
+        bool own =
+            std::find(reserved_for_.begin(), reserved_for_.end(), index) != reserved_for_.end();
+        // A more pressing job that could go wherever this one can, and needs no more, found
+        // nothing.
+        if (!own && std::any_of(full_.begin(), full_.end(), [&](auto& t) {
+                return t.same_places(spec) && t.need.fits_in(spec.need);
+            }))
             return nullptr;
         auto& queue = queues_->of(index, near);
         if (queue.room() > 0) return &queue;
@@ -153,7 +160,8 @@
     // Whether tasks of the job may take room on the machine that others keep for theirs.
     bool may_take(Index index, Index machine) const {
         auto& job = *tables_.jobs[index];
-        if (auto held = held_.find(machine); held != held_.end() && held->second > job.priority) return false;
+        if (auto held = held_.find(machine); held != held_.end() && held->second > job.priority)
+            return false;
         auto& m = *tables_.machines[machine];
         for (auto& k : kept_)
             if (k.beyond <= 0 && job.priority < k.like->priority && keeps(k, m)) return false;
@@ -162,15 +170,17 @@
         return !owner || owner->priority < job.priority;
     }
 
-    // The zones with a machine that the job may take: the one first where most of its tasks find their image,
-    // as a gang waits for the last of its machines to fetch it, then by the lowest index of such a machine.
+    // The zones with a machine that the job may take: the one first where most of its tasks find
+    // their image, as a gang waits for the last of its machines to fetch it, then by the lowest
+    // index of such a machine.
     std::vector<Index> zones_of(Index index) {
         auto& job = *tables_.jobs[index];
         std::map<Index, int64_t> near;
         // With one zone there is nothing to choose.
         if (job.spec.image_gb > 0 && queues_->of(index, false).zones().size() > 1) {
             auto& queue = queues_->of(index, true);
-            for (auto& [z, zone] : queue.zones()) near[z] = std::min<int64_t>(zone.room, job.pending);
+            for (auto& [z, zone] : queue.zones())
+                near[z] = std::min<int64_t>(zone.room, job.pending);
         }
         auto& queue = queues_->of(index, false);
         std::vector<std::tuple<int64_t, Index, Index>> order;
@@ -184,23 +194,27 @@
         return out;
     }
 
-    // Of a job that found no room: machines with some, though not enough for one task, are passed by by jobs
-    // of lower priority until more comes free there. Without that, tasks of half the size took every place
-    // that a single end left, and 2-CPU tasks of high priority waited minutes behind 1-CPU ones of lower. Not
-    // for tasks that take a machine to themselves: those have machines cleared.
+    // Of a job that found no room: machines with some, though not enough for one task, are passed
+    // by by jobs of lower priority until more comes free there. Without that, tasks of half the
+    // size took every place that a single end left, and 2-CPU tasks of high priority waited minutes
+    // behind 1-CPU ones of lower. Not for tasks that take a machine to themselves: those have
+    // machines cleared.
     void hold(const Job& job) {
         if (job.priority == lowest_) return;  // nobody would pass by
         auto& need = job.spec.need;
         bool shares = false;
         for (Index t = 0; t < tables_.types.size() && !shares; ++t)
-            shares = need.times_in(tables_.types[t].type.size) >= 2 && tables_.type_fits(job.spec, t);
+            shares =
+                need.times_in(tables_.types[t].type.size) >= 2 && tables_.type_fits(job.spec, t);
         if (!shares) return;
         std::vector<std::pair<int64_t, Index>> some;
         for (auto i : open_) {
             auto& m = *tables_.machines[i];
             if (need.fits_in(m.room()) || need.times_in(m.size) < 2) continue;
-            if (auto held = held_.find(i); held != held_.end() && held->second >= job.priority) continue;
-            if (!tables_.machine_allowed(job.spec, m) || tables_.spares_gpus(job.spec, m.type)) continue;
+            if (auto held = held_.find(i); held != held_.end() && held->second >= job.priority)
+                continue;
+            if (!tables_.machine_allowed(job.spec, m) || tables_.spares_gpus(job.spec, m.type))
+                continue;
             some.emplace_back(need.cpu - m.room().cpu, i);
         }
         size_t most = std::min<size_t>(some.size(), job.pending);
@@ -208,9 +222,9 @@
         for (size_t k = 0; k < most; ++k) held_[some[k].second] = job.priority;
     }
 
-    // Calls `place(machine)` for one task after the other, best fit first, until it says no or no room is
-    // left. Equal tasks fill the best machine before the next: with each of them it fits better still.
-    // `only`: machines of this zone; kNone: of all.
+    // Calls `place(machine)` for one task after the other, best fit first, until it says no or no
+    // room is left. Equal tasks fill the best machine before the next: with each of them it fits
+    // better still. `only`: machines of this zone; kNone: of all.
     template <class Place>
     void fill(Index index, FitQueue& queue, Index only, ZoneRule& rule, Place place) {
         auto& job = *tables_.jobs[index];
@@ -228,7 +242,8 @@
             if (!best) break;
             auto entry = *queues_->pop(*best);
             auto& m = *tables_.machines[entry.machine];
-            // Until others take room there, no task of this kind may: it comes back with the next entry.
+            // Until others take room there, no task of this kind may: it comes back with the next
+            // entry.
             if (!tables_.leaves_gpus_usable(job.spec, m)) continue;
             out.emplace_back(best, entry);
             if (!may_take(index, entry.machine)) continue;
@@ -251,8 +266,8 @@
             if (suits(k, m)) k.beyond -= k.like->need.times_in(m.size);
     }
 
-    // What tasks like this one could take of the machines that are there or coming up, were all of them
-    // empty.
+    // What tasks like this one could take of the machines that are there or coming up, were all of
+    // them empty.
     Resources capacity_for(const JobSpec& spec) {
         for (auto& [terms, capacity] : capacities_)
             if (terms.need == spec.need && terms.same_places(spec)) return capacity;
@@ -266,7 +281,8 @@
     }
 
   private:
-    // Empty machines for jobs like this one, and how many of its tasks they hold beyond what is to be kept.
+    // Empty machines for jobs like this one, and how many of its tasks they hold beyond what is to
+    // be kept.
     struct Kept {
         const JobSpec* like;
         int64_t beyond;
@@ -292,7 +308,8 @@
 bool place_gang(Tables& tables, Pass& pass, Index index, const Resources& held, double now,
                 std::vector<Placement>& out) {
     auto& job = *tables.jobs[index];
-    if (!tables.within_limit(tables.teams[job.spec.team], held + job.spec.need * job.pending)) return false;
+    if (!tables.within_limit(tables.teams[job.spec.team], held + job.spec.need * job.pending))
+        return false;
     if (!pass.candidates(index, false)) return false;
     auto zones = job.spec.one_zone ? pass.zones_of(index) : std::vector<Index>{kNone};
     auto* queue = pass.candidates(index, false);
@@ -322,8 +339,8 @@
     return false;
 }
 
-void place_tasks(Tables& tables, Pass& pass, Index index, const Resources& held, bool image_only, double now,
-                 size_t most, std::vector<Placement>& out) {
+void place_tasks(Tables& tables, Pass& pass, Index index, const Resources& held, bool image_only,
+                 double now, size_t most, std::vector<Placement>& out) {
     auto& job = *tables.jobs[index];
     auto& team = tables.teams[job.spec.team];
     if (!tables.within_limit(team, held + job.spec.need)) return;
@@ -334,7 +351,8 @@
     pass.fill(index, *queue, kNone, rule, [&](Index i) {
         while (t < job.tasks.size() && job.tasks[t].state != TaskState::Pending) ++t;
         job.first_pending = t;
-        if (t == job.tasks.size() || out.size() >= most || !tables.within_limit(team, held + job.spec.need))
+        if (t == job.tasks.size() || out.size() >= most ||
+            !tables.within_limit(team, held + job.spec.need))
             return false;
         uint32_t attempt = job.tasks[t].attempt + 1;
         tables.place(index, t, i, attempt, now);
@@ -347,14 +365,16 @@
 }  // namespace
 
 std::vector<Placement> place_waiting(Tables& tables, const Usable& usable, double now, size_t most,
-                                     const std::vector<Spare>& spare, const std::vector<Index>& first) {
+                                     const std::vector<Spare>& spare,
+                                     const std::vector<Index>& first) {
     std::vector<Placement> out;
     auto ranks = waiting_ranks(tables, now);
     Pass pass(tables, usable, ranks, now, spare);
-    // Of each team's limit, what its large jobs are waiting for: small tasks that come after them would
-    // otherwise fill the limit again each time that one ends, and a large job would never get its share.
-    // What could not be filled by large jobs alone is left to the others.
-    std::vector<std::pair<Priority, Resources>> held(tables.teams.size(), {Priority::Production, {}});
+    // Of each team's limit, what its large jobs are waiting for: small tasks that come after them
+    // would otherwise fill the limit again each time that one ends, and a large job would never get
+    // its share. What could not be filled by large jobs alone is left to the others.
+    std::vector<std::pair<Priority, Resources>> held(tables.teams.size(),
+                                                     {Priority::Production, {}});
     std::vector<Resources> large(tables.teams.size());
     for (auto& job : tables.jobs)
         if (job && job->placed > 0 && tables.large(job->spec))
@@ -377,11 +397,12 @@
             if (job.spec.kind == JobKind::Gang)
                 place_gang(tables, pass, j, kept(job), now, out);
             else
-                place_tasks(tables, pass, j, kept(job), false, now, std::min(most, out.size() + 1), out);
+                place_tasks(tables, pass, j, kept(job), false, now, std::min(most, out.size() + 1),
+                            out);
             return true;
         });
-        // Among equals, a machine goes first to a job whose image it has: where jobs wait, a machine would
-        // else fetch an image for most of its tasks.
+        // Among equals, a machine goes first to a job whose image it has: where jobs wait, a
+        // machine would else fetch an image for most of its tasks.
         if (rank.size() > 1)
             for (auto j : rank) {
                 auto& job = *tables.jobs[j];
@@ -396,21 +417,24 @@
                 place_gang(tables, pass, j, kept(job), now, out);
             else
                 place_tasks(tables, pass, j, kept(job), false, now, most, out);
-            if (job.pending > 0 && tables.within_limit(team, kept(job) + job.spec.need)) pass.hold(job);
-            if (job.pending == 0 || (!team.limit.cpu && !team.limit.gpu) || !tables.large(job.spec)) continue;
+            if (job.pending > 0 && tables.within_limit(team, kept(job) + job.spec.need))
+                pass.hold(job);
+            if (job.pending == 0 || (!team.limit.cpu && !team.limit.gpu) || !tables.large(job.spec))
+                continue;
             auto& [above, share] = held[job.spec.team];
             auto more = job.spec.need * (job.spec.kind == JobKind::Gang ? job.pending : 1);
             auto filled = large[job.spec.team] + share + more;
             if (!tables.below_limit(team, filled)) continue;
-            // Nor is a share of any use beyond what the machines there can hold: a team's small tasks once
-            // waited for minutes beside idle machines, for a limit that its large jobs could not reach.
+            // Nor is a share of any use beyond what the machines there can hold: a team's small
+            // tasks once waited for minutes beside idle machines, for a limit that its large jobs
+            // could not reach.
             if (!filled.fits_in(pass.capacity_for(job.spec))) continue;
             above = job.priority;
             share += more;
         }
     }
-    // What was kept for a job that has its places, here or elsewhere, is anybody's again. Held to the end of
-    // its time, hundreds of GPUs once stood empty for jobs that ran already.
+    // What was kept for a job that has its places, here or elsewhere, is anybody's again. Held to
+    // the end of its time, hundreds of GPUs once stood empty for jobs that ran already.
     for (auto& m : tables.machines) {
         if (!m || m->reserved_for == kNone) continue;
         auto* owner = tables.jobs[m->reserved_for].get();
--- a/src/coordination/placement.h
+++ b/src/coordination/placement.h
@@ -31,10 +31,12 @@
     int64_t at_once;  // of those, on empty machines: what comes while others are cleared
 };
 
-// Places what fits, marking it in the tables, and returns it. Work of lower priority leaves the `spare` machines
-// empty. `first`: jobs that go before their equals (coordination/begin): of an array one task, as it has begun then.
-std::vector<Placement> place_waiting(Tables& tables, const Usable& usable, double now, size_t most = 4096,
-                                     const std::vector<Spare>& spare = {}, const std::vector<Index>& first = {});
+// Places what fits, marking it in the tables, and returns it. Work of lower priority leaves the
+// `spare` machines empty. `first`: jobs that go before their equals (coordination/begin): of an
+// array one task, as it has begun then.
+std::vector<Placement> place_waiting(Tables& tables, const Usable& usable, double now,
+                                     size_t most = 4096, const std::vector<Spare>& spare = {},
+                                     const std::vector<Index>& first = {});
 
 // Zones that tasks of the job may be in, for jobs bound to one zone or spread over several.
 struct ZoneRule {
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -37,8 +37,9 @@
 }
 
 bool may_stop(const Tables& tables, const Job& victim, const Job& job) {
-    // A job may count as high as any that needs it. A stop must be right whether or not one sees it so: the
-    // one that is stopped counts with what needs it, the one that asks with its own priority alone.
+    // A job may count as high as any that needs it. A stop must be right whether or not one sees it
+    // so: the one that is stopped counts with what needs it, the one that asks with its own
+    // priority alone.
     if (victim.priority < job.spec.priority) return true;
     // Work beyond its team's guarantee gives way to a team that is owed its own.
     auto& owed = tables.teams[job.spec.team];
@@ -50,15 +51,16 @@
 
 namespace {
 
-// Jobs for which the same machines may be cleared. Within a round machines are only taken, so where too few
-// were found for one job, there are too few for any other of the kind that wants as much.
+// Jobs for which the same machines may be cleared. Within a round machines are only taken, so where
+// too few were found for one job, there are too few for any other of the kind that wants as much.
 struct Vain {
     JobSpec like;
     bool owed;       // its team is owed its guarantee, for this job
     int64_t wanted;  // tasks that found no machines; more of them find none either
     bool covers(const JobSpec& s, bool is_owed, int64_t wants) const {
         return wants >= wanted && is_owed == owed && like.fits_as(s) && like.team == s.team &&
-               like.priority == s.priority && like.one_zone == s.one_zone && like.spread == s.spread;
+               like.priority == s.priority && like.one_zone == s.one_zone &&
+               like.spread == s.spread;
     }
 };
 
@@ -93,8 +95,8 @@
         if (taken[i]) reserved[m->reserved_for].push_back(i);
     }
     std::map<std::pair<Index, uint32_t>, bool> stopped;
-    // Of free room, what jobs before this one count on. Counted on by each of them, it once left eight gangs
-    // of 32 with machines cleared for 19 each, and none of them started for a minute.
+    // Of free room, what jobs before this one count on. Counted on by each of them, it once left
+    // eight gangs of 32 with machines cleared for 19 each, and none of them started for a minute.
     std::vector<Resources> promised(tables.machines.size());
     std::vector<Vain> vain;
     for (auto j : waiting_jobs(tables, now)) {
@@ -104,17 +106,19 @@
         bool gang = job.spec.kind == JobKind::Gang;
         int64_t wanted = gang ? job.pending : 0;
         if (gang && !tables.within_limit(team, job.spec.need * job.pending)) continue;
-        while (!gang && wanted < job.pending && tables.within_limit(team, job.spec.need * (wanted + 1)))
+        while (!gang && wanted < job.pending &&
+               tables.within_limit(team, job.spec.need * (wanted + 1)))
             ++wanted;
         // Machines already being emptied for this job.
         if (auto it = reserved.find(j); it != reserved.end())
             for (auto i : it->second) wanted -= job.spec.need.times_in(tables.machines[i]->size);
         if (wanted <= 0) continue;
-        bool owed = tables.within_guarantee(team, gang ? job.spec.need * job.pending : job.spec.need);
+        bool owed =
+            tables.within_guarantee(team, gang ? job.spec.need * job.pending : job.spec.need);
         // Where some of its tasks are placed, its zones are its own.
         bool fresh_zones = job.placed == 0;
-        if (fresh_zones &&
-            std::any_of(vain.begin(), vain.end(), [&](auto& v) { return v.covers(job.spec, owed, wanted); }))
+        if (fresh_zones && std::any_of(vain.begin(), vain.end(),
+                                       [&](auto& v) { return v.covers(job.spec, owed, wanted); }))
             continue;
 
         std::vector<Index> zones{kNone};
@@ -133,7 +137,8 @@
             std::vector<uint32_t> spans;
             for (Index i = 0; i < tables.machines.size(); ++i) {
                 auto* m = tables.machines[i].get();
-                if (!m || taken[i] || !usable(*m) || !tables.machine_allowed(job.spec, *m)) continue;
+                if (!m || taken[i] || !usable(*m) || !tables.machine_allowed(job.spec, *m))
+                    continue;
                 if (tables.spares_gpus(job.spec, m->type)) continue;
                 if (zone != kNone && m->zone != zone) continue;
                 if (!rule.allows(m->zone)) continue;
@@ -147,7 +152,8 @@
                 Clearable c;
                 c.candidate.machine = i;
                 c.fits = job.spec.need.times_in(m->size);
-                if (m->tasks.empty() || !std::all_of(m->tasks.begin(), m->tasks.end(), [&](auto& ref) {
+                if (m->tasks.empty() ||
+                    !std::all_of(m->tasks.begin(), m->tasks.end(), [&](auto& ref) {
                         return may_stop(tables, *tables.jobs[ref.job], job);
                     }))
                     continue;
@@ -181,7 +187,8 @@
             std::stable_partition(list.begin(), list.end(), [&](auto& c) {
                 return tables.machines[c.candidate.machine]->has_image(job.spec.image);
             });
-            // N: the fewest whole machines that fit what is missing. Machines that hold the most first.
+            // N: the fewest whole machines that fit what is missing. Machines that hold the most
+            // first.
             std::vector<int64_t> fits;
             for (auto& c : list) fits.push_back(c.fits);
             std::sort(fits.rbegin(), fits.rend());
@@ -191,7 +198,8 @@
             if (sum < missing) continue;
             std::vector<ClearCandidate> plain;
             for (auto& c : list) plain.push_back(c.candidate);
-            // Cheapest first; with machines of different sizes N may fall short, then one more is picked.
+            // Cheapest first; with machines of different sizes N may fall short, then one more is
+            // picked.
             auto& pick = choice.pick;
             for (; n <= plain.size(); ++n) {
                 pick = pick_cheapest(plain, spans, n);
--- a/src/coordination/preemption.h
+++ b/src/coordination/preemption.h
@@ -1,5 +1,5 @@
-// Clearing machines for a job that needs them whole: Algorithm 1 of the Aryl paper (its section 4 and
-// appendix B), with the differences that docs/design.md records.
+// Clearing machines for a job that needs them whole: Algorithm 1 of the Aryl paper (its section 4
+// and appendix B), with the differences that docs/design.md records.
 #pragma once
 #include <string>
 #include <vector>
--- a/src/coordination/sizing.cpp
+++ b/src/coordination/sizing.cpp
@@ -11,18 +11,20 @@
 
 constexpr int kMaxRental = 50;  // machines in one request to the cloud
 constexpr double kNewcomer_s = 15;
-constexpr double kSooner = 1.3;        // a new machine must be sooner by this factor to be worth renting
-constexpr double kEager = 0.3;         // and by no less than this share of it, however cheap
-constexpr double kPatience = 0.15;     // share of a job's slack that it may wait for room
-constexpr double kThrift = 0.85;       // and as much more as a new machine would stand empty
-constexpr double kStopping_s = 3;      // a task told to stop is gone soon
-constexpr double kOverdue = 0.15;  // of its expected run, or of the longer one it has had: what is left when it should be over
+constexpr double kSooner = 1.3;  // a new machine must be sooner by this factor to be worth renting
+constexpr double kEager = 0.3;   // and by no less than this share of it, however cheap
+constexpr double kPatience = 0.15;  // share of a job's slack that it may wait for room
+constexpr double kThrift = 0.85;    // and as much more as a new machine would stand empty
+constexpr double kStopping_s = 3;   // a task told to stop is gone soon
+constexpr double kOverdue = 0.15;   // of its expected run, or of the longer one it has had: what is
+                                    // left when it should be over
 constexpr double kLeastCharge_s = 60;  // a machine costs this much even if it is returned sooner
 constexpr double kRecent_s = 120;      // what came in this time is what will come
 constexpr double kSettled_s = 30;      // a task that has just started is left alone
 constexpr double kMove_s = 6;          // from a task's exit to its start elsewhere
-constexpr int64_t kMostKept = 10;      // of the machines that suit, one in so many is kept empty at the most
-constexpr size_t kMostTasks = 400;     // of one job, looked at one by one
+constexpr int64_t kMostKept =
+    10;  // of the machines that suit, one in so many is kept empty at the most
+constexpr size_t kMostTasks = 400;  // of one job, looked at one by one
 
 // A machine that is up, coming up or to be rented, as far as it is known when it will have room.
 struct Coming {
@@ -64,9 +66,11 @@
     return tables.type_fits(spec, c.type) && !tables.spares_gpus(spec, c.type);
 }
 
-// Of a task's run, in seconds. The longer it is overdue, the longer it will be: taken for as good as over, tasks of a wrong
-// estimate kept others waiting for their room for as long as they ran.
-double left_of(double expected, double ran) { return std::max(kOverdue * std::max(expected, ran), expected - ran); }
+// Of a task's run, in seconds. The longer it is overdue, the longer it will be: taken for as good
+// as over, tasks of a wrong estimate kept others waiting for their room for as long as they ran.
+double left_of(double expected, double ran) {
+    return std::max(kOverdue * std::max(expected, ran), expected - ran);
+}
 
 std::vector<Coming> known_machines(const Tables& tables, const Usable& usable, double now) {
     std::vector<Coming> out;
@@ -75,11 +79,15 @@
         if (m->type >= tables.types.size() || !tables.types[m->type].offered) continue;
         double boot = tables.types[m->type].type.boot_s;
         // One that a change of leader has just revealed is likely to report soon.
-        bool booting = !m->up && (m->status == MachineStatus::Booting || now - m->added < kNewcomer_s);
+        bool booting =
+            !m->up && (m->status == MachineStatus::Booting || now - m->added < kNewcomer_s);
         if (!booting && !usable(*m)) continue;
-        Coming c{m->type,   m->zone,
-                 m->spot,   booting ? std::max(0.2 * boot, m->rented + tables.boot_factor * boot - now) : 0,
-                 m->room(), {},
+        Coming c{m->type,
+                 m->zone,
+                 m->spot,
+                 booting ? std::max(0.2 * boot, m->rented + tables.boot_factor * boot - now) : 0,
+                 m->room(),
+                 {},
                  booting};
         for (auto& ref : m->tasks) {
             auto& job = *tables.jobs[ref.job];
@@ -91,7 +99,8 @@
             else if (task.running_at > 0)
                 left = left_of(run, now - task.running_at);
             else
-                left = run + std::max(0.0, tables.fetch_s(job.spec, m->type) - (now - task.placed_at));
+                left =
+                    run + std::max(0.0, tables.fetch_s(job.spec, m->type) - (now - task.placed_at));
             c.ends.emplace_back(left, job.spec.need);
         }
         std::sort(c.ends.begin(), c.ends.end(), [](auto& x, auto& y) { return x.first < y.first; });
@@ -111,7 +120,8 @@
         auto fits = std::min<int64_t>(spec.need.times_in(type.size), static_cast<int64_t>(tasks));
         for (auto& zone_name : type.zones) {
             auto z = tables.names.zones.find(zone_name);
-            if (z == kNone || (only != kNone && z != only) || (spec.zone != kNone && z != spec.zone))
+            if (z == kNone || (only != kNone && z != only) ||
+                (spec.zone != kNone && z != spec.zone))
                 continue;
             if (!rule.allows(z) || (z < silent.size() && silent[z])) continue;
             for (bool spot : {true, false}) {
@@ -135,7 +145,8 @@
     double slack = tables.due(job, now + fetch + run, missed) - (now + fetch + run);
     if (missed > 0) slack = 0;
     if (spec.job_class < tables.classes.size() && tables.classes[spec.job_class].start_within_s > 0)
-        slack = std::min(slack, job.came_at() + tables.classes[spec.job_class].start_within_s - now - fetch);
+        slack = std::min(
+            slack, job.came_at() + tables.classes[spec.job_class].start_within_s - now - fetch);
     return slack > 1e17 ? run : std::max(0.0, slack);
 }
 
@@ -165,8 +176,8 @@
         double boot = 1e18;
         for (Index t = 0; t < tables.types.size(); ++t)
             if (tables.type_fits(c.last, t))
-                boot = std::min(boot,
-                                tables.boot_factor * tables.types[t].type.boot_s + tables.fetch_s(c.last, t));
+                boot = std::min(boot, tables.boot_factor * tables.types[t].type.boot_s +
+                                          tables.fetch_s(c.last, t));
         double fresh = boot + 2 * settings.report_s;
         if (boot > 1e17 || fresh <= c.start_within_s) continue;
         // As many as come, and a little more, while a new machine boots; and room for the largest.
@@ -183,12 +194,13 @@
             return static_cast<int64_t>(std::ceil(mean + std::sqrt(mean)));
         };
         Spare spare{&c.last, std::max<int64_t>(largest, within(fresh)), 0};
-        // Where machines are cleared soon enough, what comes until then finds empty ones that lower work
-        // leaves. Never so many that a small fleet has none left for that work.
+        // Where machines are cleared soon enough, what comes until then finds empty ones that lower
+        // work leaves. Never so many that a small fleet has none left for that work.
         if (tables.large(c.last) && settings.clear_s + settings.report_s <= c.start_within_s) {
             int64_t hold = 0;
             for (auto& m : tables.machines)
-                if (m && m->up && tables.machine_allowed(c.last, *m) && !tables.spares_gpus(c.last, m->type))
+                if (m && m->up && tables.machine_allowed(c.last, *m) &&
+                    !tables.spares_gpus(c.last, m->type))
                     hold += c.last.need.times_in(m->size);
             spare.at_once = std::min(within(settings.clear_s), hold / kMostKept);
         }
@@ -207,7 +219,8 @@
     bool late = true;       // room comes later than the job would like, and nothing can be rented
     double latest = 1e18;
     int rented = 0;
-    std::map<size_t, Coming> machines;  // as they would be; beyond those that are known, the rented ones
+    std::map<size_t, Coming>
+        machines;  // as they would be; beyond those that are known, the rented ones
     Wanted wanted;
     // Of several zones, one where the job is served in time, with the fewest machines rented.
     auto rank() const { return std::make_tuple(late, late ? latest : 0, rented, latest); }
@@ -218,12 +231,14 @@
     double at;
     size_t machine, taken;
     uint32_t stamp = 0;  // void once the machine has another
-    bool operator<(const Opening& o) const { return std::tie(at, machine) < std::tie(o.at, o.machine); }
+    bool operator<(const Opening& o) const {
+        return std::tie(at, machine) < std::tie(o.at, o.machine);
+    }
     bool operator>(const Opening& o) const { return o < *this; }
 };
 
-// Openings in order. What changes goes into a short list beside the long one, and what it replaces stays
-// there as void: taken out and put in at once, each change moved half of the long list.
+// Openings in order. What changes goes into a short list beside the long one, and what it replaces
+// stays there as void: taken out and put in at once, each change moved half of the long list.
 struct Openings {
     struct Cursor {
         size_t base = 0, fresh = 0;
@@ -231,7 +246,9 @@
     std::vector<Opening> base, fresh;
     size_t begin = 0;  // of the long list: what is before is void
 
-    void insert(const Opening& o) { fresh.insert(std::upper_bound(fresh.begin(), fresh.end(), o), o); }
+    void insert(const Opening& o) {
+        fresh.insert(std::upper_bound(fresh.begin(), fresh.end(), o), o);
+    }
     // `gone`: whether an opening is void.
     template <class Gone>
     void tidy(Gone&& gone) {
@@ -261,9 +278,9 @@
     static constexpr size_t kMostFresh = 256;
 };
 
-// The machines for tasks that are alike in all that counts here, the one with room the soonest first. Jobs of
-// a class mostly are: looked at anew for each job, the product of jobs and machines was nearly all that a
-// plan cost.
+// The machines for tasks that are alike in all that counts here, the one with room the soonest
+// first. Jobs of a class mostly are: looked at anew for each job, the product of jobs and machines
+// was nearly all that a plan cost.
 struct Kind {
     JobSpec like;  // of the first such job
     std::vector<bool> fits_type;
@@ -333,7 +350,8 @@
 
     // As all machines stand now.
     Kind& kind_of(const JobSpec& spec) {
-        auto it = std::find_if(kinds.begin(), kinds.end(), [&](auto& k) { return k.like.fits_as(spec); });
+        auto it =
+            std::find_if(kinds.begin(), kinds.end(), [&](auto& k) { return k.like.fits_as(spec); });
         bool known = it != kinds.end();
         if (!known) {
             if (kinds.size() < std::max<size_t>(most_kinds, 1)) {
@@ -363,23 +381,26 @@
         return k;
     }
 
-    // A machine is rented where room comes later than this share of its boot. A cheap one is rented sooner:
-    // where work never stops, tasks used to wait as long as a boot for each other's room, whatever more
-    // machines cost.
+    // A machine is rented where room comes later than this share of its boot. A cheap one is rented
+    // sooner: where work never stops, tasks used to wait as long as a boot for each other's room,
+    // whatever more machines cost.
     double eager(const Coming& offer) const {
         if (offer.type == kNone || dearest <= 0) return kSooner;
         return kSooner * std::max(kEager, std::sqrt(tables.types[offer.type].type.price / dearest));
     }
 
-    // `tasks` of the job, in the zone `only` (kNone: any). `kind`: of the job, as all machines stand now.
-    Plan plan(const Job& job, const Kind& kind, size_t tasks, Index only, ZoneRule rule, double slack) const {
+    // `tasks` of the job, in the zone `only` (kNone: any). `kind`: of the job, as all machines
+    // stand now.
+    Plan plan(const Job& job, const Kind& kind, size_t tasks, Index only, ZoneRule rule,
+              double slack) const {
         auto& spec = job.spec;
         Plan plan;
         plan.late = false;
         plan.latest = 0;
         double run = tables.expected_run_s(spec);
-        // The machine with room the soonest goes first: from the list of the kind as far as this plan has not
-        // used them, and from those that it has. `uses`: of the machine when this was reckoned.
+        // The machine with room the soonest goes first: from the list of the kind as far as this
+        // plan has not used them, and from those that it has. `uses`: of the machine when this was
+        // reckoned.
         struct Next {
             Opening open;
             uint32_t uses;
@@ -402,12 +423,13 @@
         };
         auto machine = [&](size_t i) -> Coming& {
             auto it = plan.machines.find(i);
-            return it != plan.machines.end() ? it->second : plan.machines.emplace(i, coming[i]).first->second;
+            return it != plan.machines.end() ? it->second
+                                             : plan.machines.emplace(i, coming[i]).first->second;
         };
         size_t known = coming.size();
         Coming offer{kNone, kNone, false, 0, {}, {}};
-        int64_t most =
-            0;  // tasks that the largest machine holds: with fewer left the offers' order may change
+        int64_t most = 0;  // tasks that the largest machine holds: with fewer left the offers'
+                           // order may change
         for (Index t = 0; t < tables.types.size(); ++t)
             if (tables.type_fits(spec, t))
                 most = std::max(most, spec.need.times_in(tables.types[t].type.size));
@@ -422,7 +444,9 @@
             auto elsewhere = [&](const Opening& o) {
                 return only != kNone && coming[o.machine].zone != only;
             };
-            auto passed = [&](const Opening& o) { return kind.gone(o) || elsewhere(o) || stale(o, 0); };
+            auto passed = [&](const Opening& o) {
+                return kind.gone(o) || elsewhere(o) || stale(o, 0);
+            };
             while (!again.empty() && stale(again.front().open, again.front().uses)) {
                 std::pop_heap(again.begin(), again.end(), std::greater<>());
                 again.pop_back();
@@ -432,21 +456,22 @@
             auto* soonest = from_list ? first : again.empty() ? nullptr : &again.front().open;
             if (rest == tasks || ruled || static_cast<int64_t>(rest) < most)
                 offer = cheapest_offer(tables, spec, rest, only, rule, silent, now);
-            // Waiting for room that will be there no later than a new machine costs nothing; longer waits are
-            // taken as far as the job can afford them.
+            // Waiting for room that will be there no later than a new machine costs nothing; longer
+            // waits are taken as far as the job can afford them.
             double filled = 1;
             if (offer.type != kNone)
-                filled = std::min(
-                    1.0, static_cast<double>(rest) / static_cast<double>(spec.need.times_in(offer.room)));
+                filled = std::min(1.0, static_cast<double>(rest) /
+                                           static_cast<double>(spec.need.times_in(offer.room)));
             double patience = (kPatience + kThrift * (1 - filled)) * slack;
             double best_at = soonest ? soonest->at : 1e18;
-            bool wait =
-                soonest && (offer.type == kNone || best_at <= std::max(eager(offer) * offer.from, patience));
+            bool wait = soonest && (offer.type == kNone ||
+                                    best_at <= std::max(eager(offer) * offer.from, patience));
             Opening next{offer.from, known, 0};
             // What is coming up was rented for such work already.
             const Opening* rises = nullptr;
             if (!wait) {
-                while (!risen.empty() && stale(risen.back().open, risen.back().uses)) risen.pop_back();
+                while (!risen.empty() && stale(risen.back().open, risen.back().uses))
+                    risen.pop_back();
                 rises = !risen.empty() ? &risen.back().open : kind.rising.next(rising, passed);
             }
             if (rises && rises->at <= kSooner * offer.from) {
@@ -501,7 +526,8 @@
         std::vector<std::pair<int64_t, Index>> rooms;
         for (Index z = 0; z < tables.names.zones.size(); ++z)
             if (rule.allows(z)) rooms.emplace_back(z < kind.rooms.size() ? -kind.rooms[z] : 0, z);
-        std::stable_sort(rooms.begin(), rooms.end(), [](auto& a, auto& b) { return a.first < b.first; });
+        std::stable_sort(rooms.begin(), rooms.end(),
+                         [](auto& a, auto& b) { return a.first < b.first; });
         std::vector<Index> out;
         for (auto& r : rooms) out.push_back(r.second);
         return out;
@@ -510,8 +536,8 @@
 
 }  // namespace
 
-std::vector<Rental> plan_rentals(const Tables& tables, const Usable& usable, const SizingSettings& settings,
-                                 double now) {
+std::vector<Rental> plan_rentals(const Tables& tables, const Usable& usable,
+                                 const SizingSettings& settings, double now) {
     double dearest = 0;
     for (auto& t : tables.types)
         if (t.offered) dearest = std::max(dearest, t.type.price);
@@ -560,8 +586,9 @@
         nobody.spec = *spare.like;
         ZoneRule anywhere(tables, nobody);
         while (free < spare.tasks) {
-            auto offer = cheapest_offer(tables, *spare.like, static_cast<size_t>(spare.tasks - free), kNone,
-                                        anywhere, layout.silent, now);
+            auto offer =
+                cheapest_offer(tables, *spare.like, static_cast<size_t>(spare.tasks - free), kNone,
+                               anywhere, layout.silent, now);
             if (offer.type == kNone) break;
             ++wanted[{offer.type, offer.zone, offer.spot}];
             free += std::max<int64_t>(1, spare.like->need.times_in(offer.room));
@@ -569,7 +596,8 @@
     }
     std::vector<Rental> out;
     for (auto& [key, n] : wanted)
-        out.push_back({std::get<0>(key), std::get<1>(key), std::get<2>(key), std::min(n, kMaxRental)});
+        out.push_back(
+            {std::get<0>(key), std::get<1>(key), std::get<2>(key), std::min(n, kMaxRental)});
     return out;
 }
 
@@ -579,7 +607,8 @@
 }
 
 bool wants(const Tables& tables, const Job& job, const Machine& m) {
-    return suits(tables, job.spec, m) && tables.within_limit(tables.teams[job.spec.team], job.spec.need);
+    return suits(tables, job.spec, m) &&
+           tables.within_limit(tables.teams[job.spec.team], job.spec.need);
 }
 }  // namespace
 
@@ -591,13 +620,14 @@
         auto& job = *tables.jobs[ref.job];
         auto& task = job.tasks[ref.task];
         return job.spec.kind == JobKind::Array && job.spec.checkpoint_s > 0 && !job.spec.one_zone &&
-               !job.spec.spread && job.active() && task.phase == TaskPhase::Running && !task.stopping &&
-               task.running_at > 0 && now - task.running_at >= kSettled_s;
+               !job.spec.spread && job.active() && task.phase == TaskPhase::Running &&
+               !task.stopping && task.running_at > 0 && now - task.running_at >= kSettled_s;
     };
     for (Index i = 0; i < tables.machines.size(); ++i) {
         auto* m = tables.machines[i].get();
         if (!m || m->tasks.empty() || !usable(*m) || m->reserved_for != kNone) continue;
-        if (!std::all_of(m->tasks.begin(), m->tasks.end(), [&](auto& ref) { return movable(ref); })) continue;
+        if (!std::all_of(m->tasks.begin(), m->tasks.end(), [&](auto& ref) { return movable(ref); }))
+            continue;
         if (std::any_of(waiting.begin(), waiting.end(),
                         [&](Index j) { return wants(tables, *tables.jobs[j], *m); }))
             continue;
@@ -605,7 +635,8 @@
         // Room elsewhere, on machines that stay in use anyway.
         std::vector<std::pair<const Machine*, Resources>> others;
         for (auto& o : tables.machines)
-            if (o && o.get() != m && usable(*o) && !o->tasks.empty() && o->tasks.size() >= m->tasks.size())
+            if (o && o.get() != m && usable(*o) && !o->tasks.empty() &&
+                o->tasks.size() >= m->tasks.size())
                 others.emplace_back(o.get(), o->room());
         double longest = 0, moving = 0;
         bool fits = true;
@@ -639,7 +670,8 @@
     for (auto j : waiting_jobs(tables, now)) {
         auto& job = *tables.jobs[j];
         auto& spec = job.spec;
-        if (spec.kind == JobKind::Gang && std::none_of(gangs.begin(), gangs.end(), [&](auto* other) {
+        if (spec.kind == JobKind::Gang &&
+            std::none_of(gangs.begin(), gangs.end(), [&](auto* other) {
                 return other->spec.team == spec.team && other->spec.fits_as(spec);
             }))
             gangs.push_back(&job);
@@ -667,12 +699,15 @@
         }
         if (m->reserved(now)) continue;
         if (m->type >= tables.types.size() || !tables.types[m->type].offered) continue;
-        // Only a gang has to wait for several machines at once: a single task that could be placed here would
-        // have been. Hundreds of idle machines were once kept for jobs held back by their team's limit.
-        if (std::any_of(gangs.begin(), gangs.end(), [&](auto* job) { return wants(tables, *job, *m); }))
+        // Only a gang has to wait for several machines at once: a single task that could be placed
+        // here would have been. Hundreds of idle machines were once kept for jobs held back by
+        // their team's limit.
+        if (std::any_of(gangs.begin(), gangs.end(),
+                        [&](auto* job) { return wants(tables, *job, *m); }))
             continue;
         double keep = settings.idle_keep_boots * tables.types[m->type].type.boot_s;
-        if (now - m->rented < kLeastCharge_s || now - std::max(m->empty_since, m->up_at) < keep) continue;
+        if (now - m->rented < kLeastCharge_s || now - std::max(m->empty_since, m->up_at) < keep)
+            continue;
         if (!keeps(*m)) out.push_back(i);
     }
     return out;
--- a/src/coordination/sizing.h
+++ b/src/coordination/sizing.h
@@ -18,8 +18,8 @@
 struct SizingSettings {
     double idle_keep_boots = 0.3;
     double report_s = 1;
-    // Kinds of equal tasks whose machines are kept in order between jobs; 0: looked at anew for each job. The
-    // plan is the same.
+    // Kinds of equal tasks whose machines are kept in order between jobs; 0: looked at anew for
+    // each job. The plan is the same.
     size_t kept_kinds = 8;
     double clear_s = 13;  // until a machine is cleared for a job that comes now
 };
@@ -27,16 +27,16 @@
 // What such classes of the last minutes ask for (Spare).
 std::vector<Spare> spares(const Tables& tables, const SizingSettings& settings, double now);
 
-// By zone: most machines there that once reported are silent. The zone is cut off: its machines are sound,
-// and one rented there could not be used.
+// By zone: most machines there that once reported are silent. The zone is cut off: its machines are
+// sound, and one rented there could not be used.
 std::vector<bool> silent_zones(const Tables& tables, const Usable& usable);
 
 // What waiting work needs beyond the machines that are up or coming up.
-std::vector<Rental> plan_rentals(const Tables& tables, const Usable& usable, const SizingSettings& settings,
-                                 double now);
+std::vector<Rental> plan_rentals(const Tables& tables, const Usable& usable,
+                                 const SizingSettings& settings, double now);
 
-// The dearest machine whose running tasks can all save and go on where there is room already, if moving them
-// costs less than the machine would until they end. kNone: there is none.
+// The dearest machine whose running tasks can all save and go on where there is room already, if
+// moving them costs less than the machine would until they end. kNone: there is none.
 Index plan_closing(const Tables& tables, const Usable& usable, double now);
 
 // Machines that serve nothing any more.
