--- a/src/coordination/starved.cpp
+++ b/src/coordination/starved.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr std::array<const char*, kHeldKinds> kNames = {"nothing",     "back_off", "spared", "reserved",
-                                                        "quarantined", "unheard",  "leaving"};
+constexpr std::array<const char*, kHeldKinds> kNames = {
+    "nothing", "back_off", "spared", "reserved", "quarantined", "unheard", "leaving"};
 
 HeldBy holds(const Tables& tables, const Machine& m, const Usable& usable, Index job, double now) {
     if (m.notice_until >= 0 || m.closing || m.returning) return HeldBy::Leaving;
@@ -21,8 +21,8 @@
 }
 
 // The machine that is held least of those that hold the whole job together; nothing: they don't.
-std::optional<Starved> starved(const Tables& tables, const std::vector<Index>& roomy, const Usable& usable, Index j,
-                               double now) {
+std::optional<Starved> starved(const Tables& tables, const std::vector<Index>& roomy,
+                               const Usable& usable, Index j, double now) {
     auto& job = *tables.jobs[j];
     auto& spec = job.spec;
     // Of an array one task is enough to begin; all others begin whole.
@@ -57,24 +57,30 @@
 
 }  // namespace
 
-std::vector<Starved> starved_jobs(const Tables& tables, const Usable& usable, double now, double waits_s) {
+std::vector<Starved> starved_jobs(const Tables& tables, const Usable& usable, double now,
+                                  double waits_s) {
     std::vector<Index> waiting;
     Resources least;
     for (Index j = 0; j < tables.jobs.size(); ++j) {
         auto* job = tables.jobs[j].get();
-        if (!job || !job->active() || job->waits || job->placed > 0 || job->done > 0 || job->pending == 0) continue;
+        if (!job || !job->active() || job->waits || job->placed > 0 || job->done > 0 ||
+            job->pending == 0)
+            continue;
         if (now - job->came_at() < waits_s) continue;
         auto& need = job->spec.need;
-        least = waiting.empty() ? need
-                                : Resources{std::min(least.cpu, need.cpu), std::min(least.gpu, need.gpu),
-                                            std::min(least.mem, need.mem)};
+        least = waiting.empty()
+                    ? need
+                    : Resources{std::min(least.cpu, need.cpu), std::min(least.gpu, need.gpu),
+                                std::min(least.mem, need.mem)};
         waiting.push_back(j);
     }
-    // The machines that could hold any of them: where many wait, most are full, and need not be looked at for each.
+    // The machines that could hold any of them: where many wait, most are full, and need not be
+    // looked at for each.
     std::vector<Index> roomy;
     for (Index i = 0; i < tables.machines.size() && !waiting.empty(); ++i) {
         auto* m = tables.machines[i].get();
-        if (m && m->up && !m->doomed && m->zone != kNone && least.fits_in(m->room())) roomy.push_back(i);
+        if (m && m->up && !m->doomed && m->zone != kNone && least.fits_in(m->room()))
+            roomy.push_back(i);
     }
     std::vector<Starved> out;
     for (auto j : waiting)
@@ -85,7 +91,8 @@
 void starved_gauges(const std::vector<Starved>& starved, std::map<std::string, double>& out) {
     std::array<double, kHeldKinds> count{};
     for (auto& s : starved) ++count[static_cast<size_t>(s.held)];
-    for (size_t k = 0; k < kHeldKinds; ++k) out[std::string("jobs_starved_") + kNames[k]] = count[k];
+    for (size_t k = 0; k < kHeldKinds; ++k)
+        out[std::string("jobs_starved_") + kNames[k]] = count[k];
     out["jobs_starved"] = static_cast<double>(starved.size());
 }
 
--- a/src/coordination/starved.h
+++ b/src/coordination/starved.h
@@ -1,5 +1,5 @@
-// Jobs that wait for nothing: a machine that fits has room and their team is under its limit. Pure functions of the tables
-// and a given time; they decide nothing.
+// Jobs that wait for nothing: a machine that fits has room and their team is under its limit. Pure
+// functions of the tables and a given time; they decide nothing.
 #pragma once
 #include <map>
 #include <string>
@@ -31,9 +31,10 @@
 // Well before users call it that.
 inline constexpr double kStarvedAfter_s = 60;
 
-// Of the jobs of which nothing has been placed for `waits_s` seconds since they could begin. Machines that never were up
-// or are given up have no room.
-std::vector<Starved> starved_jobs(const Tables& tables, const Usable& usable, double now, double waits_s);
+// Of the jobs of which nothing has been placed for `waits_s` seconds since they could begin.
+// Machines that never were up or are given up have no room.
+std::vector<Starved> starved_jobs(const Tables& tables, const Usable& usable, double now,
+                                  double waits_s);
 
 void starved_gauges(const std::vector<Starved>& starved, std::map<std::string, double>& out);
 
--- a/src/doors/decide.cpp
+++ b/src/doors/decide.cpp
@@ -41,8 +41,8 @@
         return std::any_of(marks.items.begin(), marks.items.end(),
                            [&](auto& item) { return item.key == mark_key(name); });
     };
-    return marked(settings.name) &&
-           std::all_of(settings.peers.begin(), settings.peers.end(), [&](auto& p) { return marked(p.name); });
+    return marked(settings.name) && std::all_of(settings.peers.begin(), settings.peers.end(),
+                                                [&](auto& p) { return marked(p.name); });
 }
 
 }  // namespace weirmill
--- a/src/doors/decide.h
+++ b/src/doors/decide.h
@@ -11,9 +11,9 @@
 
 namespace weirmill {
 
-// What was read of a job: its door record first, then the log, then its final state. Records move in this
-// order, so a job that was accepted before the first read is found by one of them; what is further along
-// counts.
+// What was read of a job: its door record first, then the log, then its final state. Records move
+// in this order, so a job that was accepted before the first read is found by one of them; what is
+// further along counts.
 struct Seen {
     std::optional<DoorRecord> door;
     const LogView::Job* live = nullptr;
@@ -35,15 +35,15 @@
 
 Standing standing(const Seen& seen);
 
-// What a user is told who asks `op` of the job; a cancellation that does not hold yet is not told as one.
-// 503: not now.
+// What a user is told who asks `op` of the job; a cancellation that does not hold yet is not told
+// as one. 503: not now.
 PeerReply door_reply(const std::string& id, const Standing& s, PeerOp op);
 
 // Doors open only where every controller collects what they take: each of them has left its mark.
 bool all_collect(const Settings& settings, const StatePage& marks);
 
-// How long a door waits for the leader's answer before it acts itself: some deviations above the usual time,
-// as a retransmission timer has it. The bounds are in seconds.
+// How long a door waits for the leader's answer before it acts itself: some deviations above the
+// usual time, as a retransmission timer has it. The bounds are in seconds.
 class Patience {
   public:
     void took(double s) {
--- a/src/doors/door.cpp
+++ b/src/doors/door.cpp
@@ -15,32 +15,35 @@
 namespace {
 
 constexpr int kSegmentsAPage = 50;
-constexpr double kWarm_s = 2;    // between passes over the log that nobody asked for
-constexpr double kMarks_s = 10;  // between looks at the other controllers' marks and the machine types
-constexpr double kQuiet_s = 6;   // the state service counts as out of reach after this long without an answer
+constexpr double kWarm_s = 2;  // between passes over the log that nobody asked for
+constexpr double kMarks_s =
+    10;  // between looks at the other controllers' marks and the machine types
+constexpr double kQuiet_s =
+    6;  // the state service counts as out of reach after this long without an answer
 constexpr double kFresh_s = 1.2;  // for one shared pass
 constexpr double kRead_s = 0.8;   // for one key
 constexpr double kWrite_s = 1.0;
 constexpr double kCancelled_s = 2;  // for the leader to carry a cancellation out
 constexpr double kLook_s = 0.3;
-// Passes over the log begin so far apart, so that many polls share one; sooner only for who was just
-// recorded.
+// Passes over the log begin so far apart, so that many polls share one; sooner only for who was
+// just recorded.
 constexpr double kApart_s = 0.2;
-// Shares of the state service's rates; the rest is the leader's, who may be at work although this node can't
-// hear it.
+// Shares of the state service's rates; the rest is the leader's, who may be at work although this
+// node can't hear it.
 constexpr double kReadShare = 0.2, kWriteShare = 0.25;
-// What a request may take of the reads, about. It is turned away at the door where that is not there: let in,
-// requests that come without a pause each took a part, and none got to its end.
+// What a request may take of the reads, about. It is turned away at the door where that is not
+// there: let in, requests that come without a pause each took a part, and none got to its end.
 constexpr double kReadsARequest = 4;
 constexpr size_t kDependenciesRead = 8;  // not alive, of one submission
-constexpr size_t kRecordSpare = 200;  // of a value's limit: the log's entry is longer than the door's record
+constexpr size_t kRecordSpare =
+    200;  // of a value's limit: the log's entry is longer than the door's record
 
 PeerReply come_back(int seconds = 1) { return {503, R"({"error":"not now"})", seconds, 0}; }
 
 }  // namespace
 
-Door::Door(asio::io_context& io, const Settings& settings, const Properties& properties, StateClient& state,
-           Metrics& metrics, std::function<bool()> resting)
+Door::Door(asio::io_context& io, const Settings& settings, const Properties& properties,
+           StateClient& state, Metrics& metrics, std::function<bool()> resting)
     : io_(io),
       settings_(settings),
       properties_(properties),
@@ -62,13 +65,14 @@
 
 template <class T>
 bool Door::heard(const StateResult<T>& result) {
-    bool answered =
-        result || result.outcome == StateOutcome::Missing || result.outcome == StateOutcome::Conflict;
+    bool answered = result || result.outcome == StateOutcome::Missing ||
+                    result.outcome == StateOutcome::Conflict;
     if (answered) heard_at_ = steady_now();
     return answered;
 }
 
-// The mark is written even where doors are closed here: this controller collects what others' doors took.
+// The mark is written even where doors are closed here: this controller collects what others' doors
+// took.
 asio::awaitable<void> Door::mark_loop() {
     for (bool marked = false;;) {
         if (!marked) {
@@ -88,7 +92,8 @@
             }
             auto types = co_await state_.get(kTypesKey, kRead_s);
             try {
-                if (types) tables_.set_types(parse_machine_types(json::serialize(types.value.value)));
+                if (types)
+                    tables_.set_types(parse_machine_types(json::serialize(types.value.value)));
             } catch (const BadMessage& e) {
                 spdlog::error("door: malformed record {}: {}", kTypesKey, e.what());
             }
@@ -114,8 +119,8 @@
         asio::co_spawn(io_, pass_loop(), asio::detached);
     }
     auto ok = co_await over.wait(kFresh_s);
-    // Whoever asked goes on at once; should a later pass have started the view over by then, it tells
-    // nothing.
+    // Whoever asked goes on at once; should a later pass have started the view over by then, it
+    // tells nothing.
     co_return ok.value_or(false) && whole_;
 }
 
@@ -283,12 +288,14 @@
             live = co_await look(d, false);
         }
         if (!live || live->standing.at == Standing::At::Unclear) co_return come_back();
-        if (live->standing.at == Standing::At::Nowhere) co_return co_await refuse(spec.id, std::move(never));
+        if (live->standing.at == Standing::At::Nowhere)
+            co_return co_await refuse(spec.id, std::move(never));
         // A job that names a cancelled one is accepted, and cancelled with it.
         if (live->standing.state == JobState::Cancelled) record.cancelled = true;
     }
     // A longer one is told in pieces by the leader; this door has one value for it.
-    if (door_record(record).size() + kRecordSpare > settings_.value_kb * 1024) co_return come_back();
+    if (door_record(record).size() + kRecordSpare > settings_.value_kb * 1024)
+        co_return come_back();
     if (view_.tasks() + spec.tasks > tables_.max_tasks) co_return come_back(10);
     if (!may_write(steady_now())) co_return come_back();
     auto moment = view_.moment();
@@ -304,15 +311,17 @@
     }
     if (result.too_fast) writes_.too_fast();
     if (!heard(result)) co_return come_back();
-    // It may have been accepted, and even cancelled, by a leader before: then the log tells, up to now at
-    // least.
+    // It may have been accepted, and even cancelled, by a leader before: then the log tells, up to
+    // now at least.
     if (!co_await fresh(true)) co_return come_back();
     auto live = in_log(spec.id);
-    if (live.standing.at == Standing::At::Log) co_return door_reply(spec.id, live.standing, PeerOp::Submit);
+    if (live.standing.at == Standing::At::Log)
+        co_return door_reply(spec.id, live.standing, PeerOp::Submit);
     if (view_.may_have_ended(spec.id, moment)) co_return come_back();
     metrics_.count("door_jobs_accepted_total");
     spdlog::debug("door: {} accepted", spec.id);
-    co_return PeerReply{201, job_answer(spec.id, record.cancelled ? JobState::Cancelled : JobState::Queued)};
+    co_return PeerReply{
+        201, job_answer(spec.id, record.cancelled ? JobState::Cancelled : JobState::Queued)};
 }
 
 asio::awaitable<PeerReply> Door::cancel(std::string id) {
@@ -322,21 +331,22 @@
     bool open = s.state == JobState::Queued || s.state == JobState::Running;
     if (s.at == Standing::At::Nowhere || s.at == Standing::At::Unclear || !open)
         co_return door_reply(id, s, PeerOp::Cancel);
-    // In the log, the leader alone can cancel it: a request is left for it. A job that no leader has
-    // collected is cancelled by its door's record.
+    // In the log, the leader alone can cancel it: a request is left for it. A job that no leader
+    // has collected is cancelled by its door's record.
     bool requested = seen->record && seen->record->cancelled;
     if (!requested) {
         if (!may_write(steady_now())) co_return come_back();
         auto txn = door_cancel(id, seen->version, seen->record.value_or(DoorRecord{}));
         auto result = co_await state_.txn(std::move(txn), kWrite_s);
         if (result.too_fast) writes_.too_fast();
-        // Without an answer it may have been carried out, or be later: what is recorded is looked at either way.
+        // Without an answer it may have been carried out, or be later: what is recorded is looked
+        // at either way.
         if (!heard(result) && result.outcome != StateOutcome::Unknown) co_return come_back();
         if (result.outcome == StateOutcome::Conflict) co_return come_back();
         metrics_.count("door_cancellations_total");
     }
-    // A leader may have collected it before, and even ended it since: looked at again, from the first place
-    // on.
+    // A leader may have collected it before, and even ended it since: looked at again, from the
+    // first place on.
     co_return co_await until_cancelled(std::move(id));
 }
 
--- a/src/doors/door.h
+++ b/src/doors/door.h
@@ -1,7 +1,7 @@
-// The door: serves users through the state service while no leader answers this controller. An actor of its
-// own; it owns its copy of the log, and the rate at which it reads and writes. docs/design-doors.md has the
-// argument why that is safe beside any leader, and docs/operations.md, "When nobody leads", what operators
-// see.
+// The door: serves users through the state service while no leader answers this controller. An
+// actor of its own; it owns its copy of the log, and the rate at which it reads and writes.
+// docs/design-doors.md has the argument why that is safe beside any leader, and docs/operations.md,
+// "When nobody leads", what operators see.
 #pragma once
 #include <deque>
 #include <functional>
@@ -20,10 +20,11 @@
     Door(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
          StateClient& state, Metrics& metrics, std::function<bool()> resting);
 
-    // It can serve: every controller collects, the copy of the log is whole, and the state service answered
-    // lately.
+    // It can serve: every controller collects, the copy of the log is whole, and the state service
+    // answered lately.
     bool open() const;
-    // Submit, Status and Cancel. 503 with when to come back whenever the state service does not tell enough.
+    // Submit, Status and Cancel. 503 with when to come back whenever the state service does not
+    // tell enough.
     boost::asio::awaitable<PeerReply> serve(PeerCall call);
 
   private:
@@ -36,8 +37,8 @@
     boost::asio::awaitable<void> warm_loop();
     boost::asio::awaitable<void> pass_loop();
     boost::asio::awaitable<bool> pass();
-    // The view shows all that was recorded before this was asked. `at_once`: without waiting for others who
-    // ask.
+    // The view shows all that was recorded before this was asked. `at_once`: without waiting for
+    // others who ask.
     boost::asio::awaitable<bool> fresh(bool at_once);
     boost::asio::awaitable<std::optional<Look>> look(std::string id, bool record_too);
     boost::asio::awaitable<PeerReply> submit(std::string body);
--- a/src/doors/log_view.cpp
+++ b/src/doors/log_view.cpp
@@ -21,7 +21,8 @@
 std::string LogView::after() const { return open_ > 0 ? segment_key(open_ - 1) : ""; }
 
 bool LogView::take(const StatePage& page, bool begins) {
-    if (begins && open_ > 0 && (page.items.empty() || page.items[0].key != segment_key(open_))) return false;
+    if (begins && open_ > 0 && (page.items.empty() || page.items[0].key != segment_key(open_)))
+        return false;
     for (auto& item : page.items) {
         uint64_t number = segment_number(item.key);
         if (number == 0) read::bad("key");
@@ -55,7 +56,8 @@
         auto* job = find(*left.back());
         left.pop_back();
         if (!job)
-            continue;  // ended as done: a cancelled one leaves the log after its dependants' own entries
+            continue;  // ended as done: a cancelled one leaves the log after its dependants' own
+                       // entries
         if (job->cancelled) return true;
         for (auto& d : job->awaits)
             if (seen.insert(d).second) left.push_back(&d);
--- a/src/doors/log_view.h
+++ b/src/doors/log_view.h
@@ -1,10 +1,10 @@
-// A copy of what the leader's log tells of jobs, kept by a controller that does not lead: which are alive,
-// how far they are, and whether they are cancelled. Owned by the door; the leader's own tables are
-// bookkeeping/tables.h.
+// A copy of what the leader's log tells of jobs, kept by a controller that does not lead: which are
+// alive, how far they are, and whether they are cancelled. Owned by the door; the leader's own
+// tables are bookkeeping/tables.h.
 //
-// It is read forward: segments only grow and are only dropped from the oldest on, so that each pass reads
-// from the newest known segment. A pass that does not find that segment has missed some: the view starts
-// over.
+// It is read forward: segments only grow and are only dropped from the oldest on, so that each pass
+// reads from the newest known segment. A pass that does not find that segment has missed some: the
+// view starts over.
 #pragma once
 #include <deque>
 #include <string>
@@ -28,12 +28,13 @@
     void clear();
     // From which key on the next pass reads (exclusive); empty: from the first.
     std::string after() const;
-    // One page of segments, in order; `begins`: the first of a pass. False: segments are gone that were not
-    // read to their end; start over. Throws BadMessage.
+    // One page of segments, in order; `begins`: the first of a pass. False: segments are gone that
+    // were not read to their end; start over. Throws BadMessage.
     bool take(const StatePage& page, bool begins);
 
     const Job* find(const std::string& id) const;
-    // The job's cancellation is recorded, by its own entry or by that of a job that it needs. `id` is alive.
+    // The job's cancellation is recorded, by its own entry or by that of a job that it needs. `id`
+    // is alive.
     bool cancelled(const std::string& id) const;
     // Whether the job's end was read since `moment()` was `since`, or that can't be told any more.
     uint64_t moment() const { return first_ended_ + ended_.size(); }
@@ -52,7 +53,8 @@
         uint64_t next = 0;
     };
     std::unordered_map<std::string, Job> jobs_;
-    std::unordered_map<std::string, Pieces> pieces_;  // of records that are not told to their end yet
+    std::unordered_map<std::string, Pieces>
+        pieces_;  // of records that are not told to their end yet
     size_t tasks_ = 0;
     uint64_t open_ = 0;              // the newest segment read; 0: none
     size_t open_read_ = 0;           // entries of it that were taken
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 bool set_up_logging() {
-    auto logger =
-        std::make_shared<spdlog::logger>("weirmill", std::make_shared<spdlog::sinks::stderr_sink_st>());
+    auto logger = std::make_shared<spdlog::logger>(
+        "weirmill", std::make_shared<spdlog::sinks::stderr_sink_st>());
     spdlog::set_default_logger(logger);
     spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%eZ %l %v", spdlog::pattern_time_type::utc);
     const char* level = std::getenv("LOG_LEVEL");
@@ -39,19 +39,23 @@
     std::string config, properties_file;
     bool check = false;
     app.set_version_flag("--version", std::string("weirmill ") + WEIRMILL_VERSION);
-    app.add_option("--config", config, "the platform's settings file (TOML)")->required()->type_name("FILE");
-    app.add_option("--properties", properties_file, "the operators' own settings (Java-style properties)")
+    app.add_option("--config", config, "the platform's settings file (TOML)")
+        ->required()
+        ->type_name("FILE");
+    app.add_option("--properties", properties_file,
+                   "the operators' own settings (Java-style properties)")
         ->type_name("FILE");
     app.add_flag("--check-config", check, "check the settings and exit");
     CLI11_PARSE(app, argc, argv);
     if (!set_up_logging()) return 2;
     try {
         auto settings = weirmill::load_settings(config);
-        auto properties =
-            properties_file.empty() ? weirmill::Properties{} : weirmill::load_properties(properties_file);
+        auto properties = properties_file.empty() ? weirmill::Properties{}
+                                                  : weirmill::load_properties(properties_file);
         for (auto* e : {&settings.api, &settings.peer, &settings.cloud, &settings.state})
             weirmill::resolve(*e);
-        if (auto warning = weirmill::grace_warning(settings); !warning.empty()) spdlog::warn(warning);
+        if (auto warning = weirmill::grace_warning(settings); !warning.empty())
+            spdlog::warn(warning);
         if (check) {
             std::cout << "settings are sound\n";
             return 0;
--- a/src/membership/decide.cpp
+++ b/src/membership/decide.cpp
@@ -66,10 +66,12 @@
     return own;
 }
 
-std::optional<std::string> way_to_leader(const std::string& leader, std::span<const PeerView> others) {
+std::optional<std::string> way_to_leader(const std::string& leader,
+                                         std::span<const PeerView> others) {
     for (auto& p : others) {
         auto& h = p.links.hears;
-        if (p.heard && p.name != leader && std::find(h.begin(), h.end(), leader) != h.end()) return p.name;
+        if (p.heard && p.name != leader && std::find(h.begin(), h.end(), leader) != h.end())
+            return p.name;
     }
     return std::nullopt;
 }
@@ -84,15 +86,16 @@
     return last.count == 0 || wall - last.at > hold_after(last, times) + 2 * clock_off_s;
 }
 
-HandOvers next_hand_over(const HandOvers& last, const LinkTimes& times, std::string from, std::string to,
-                         double wall) {
+HandOvers next_hand_over(const HandOvers& last, const LinkTimes& times, std::string from,
+                         std::string to, double wall) {
     // As long again without one as was waited for several times over: the links have come to rest.
     bool quiet = wall - last.at > 8 * hold_after(last, times);
     return {std::move(from), std::move(to), quiet ? 1 : last.count + 1, wall};
 }
 
-double campaign_wait(const std::string& self, const LinkReport& own, std::span<const PeerView> others,
-                     const HandOvers& last, double clock_off_s, double wall) {
+double campaign_wait(const std::string& self, const LinkReport& own,
+                     std::span<const PeerView> others, const HandOvers& last, double clock_off_s,
+                     double wall) {
     bool fresh = last.count > 0 && std::abs(wall - last.at) < kYieldFresh_s + 2 * clock_off_s;
     if (fresh && last.to == self) return -1;
     double wait = fresh ? (last.from == self ? 2 * kLetGo_s : kLetGo_s) : 0;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -15,16 +15,19 @@
 
 constexpr double kTicks = 2;  // in the time between pings
 constexpr double kRead_s = 0.8;
-constexpr double kHint_s = 0.15;       // a campaign does not wait longer for what the last hand-over was
+constexpr double kHint_s = 0.15;  // a campaign does not wait longer for what the last hand-over was
 constexpr double kRecordPings = 4;     // lease of a record of links, in times between pings
 constexpr double kLeastLease_s = 0.1;  // protocol, "POST /leases"
 // A record is written anew where a count moved by this share.
 constexpr uint32_t kMovedShare = 10;
 
-bool moved(uint32_t a, uint32_t b) { return a > b ? (a - b) * kMovedShare > a : (b - a) * kMovedShare > b; }
+bool moved(uint32_t a, uint32_t b) {
+    return a > b ? (a - b) * kMovedShare > a : (b - a) * kMovedShare > b;
+}
 
 bool moved(const LinkReport& a, const LinkReport& b) {
-    return a.state != b.state || a.hears != b.hears || moved(a.direct, b.direct) || moved(a.reach, b.reach);
+    return a.state != b.state || a.hears != b.hears || moved(a.direct, b.direct) ||
+           moved(a.reach, b.reach);
 }
 
 }  // namespace
@@ -85,8 +88,8 @@
 }
 
 Membership::Peer* Membership::peer(const std::string& name) {
-    bool named =
-        std::any_of(settings_.peers.begin(), settings_.peers.end(), [&](auto& p) { return p.name == name; });
+    bool named = std::any_of(settings_.peers.begin(), settings_.peers.end(),
+                             [&](auto& p) { return p.name == name; });
     return named ? &peers_[name] : nullptr;
 }
 
@@ -137,10 +140,12 @@
         if (renewed && !moved(links, published_)) co_return;
     }
     if (lease_ == 0) {
-        auto lease = co_await state_.grant(std::max(kLeastLease_s, kRecordPings * settings_.ping_s), kRead_s);
+        auto lease = co_await state_.grant(std::max(kLeastLease_s, kRecordPings * settings_.ping_s),
+                                           kRead_s);
         if (!lease) co_return;
         lease_ = lease.value;
-        // The record ended with its lease. Taken for standing, one whose writing then failed stayed away.
+        // The record ended with its lease. Taken for standing, one whose writing then failed stayed
+        // away.
         published_ = {};
     }
     auto txn = link_record(settings_.name, links, lease_);
@@ -192,8 +197,9 @@
     if (!may_hand_over(last_, times_, settings_.clock_off_ms / 1000, wall)) co_return;
     if (hooks_.leads_since() != since || better_.empty()) co_return;
     auto theirs = *view(better_, now);
-    spdlog::info("links: hands over to {}: workers direct={} reach={} of {}, there direct={} reach={}",
-                 better_, mine.direct, mine.reach, mine.known, theirs.direct, theirs.reach);
+    spdlog::info(
+        "links: hands over to {}: workers direct={} reach={} of {}, there direct={} reach={}",
+        better_, mine.direct, mine.reach, mine.known, theirs.direct, theirs.reach);
     metrics_.count("hand_overs_total");
     hooks_.hand_over(next_hand_over(last_, times_, settings_.name, better_, wall));
     better_.clear();
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,7 +1,8 @@
-// What this controller knows of links. An actor that owns the peers' views and the time of their last word,
-// says this controller's own to them, over pings or, where one is out of reach, under a leased key, and asks
-// a leader to hand over where another would serve the workers better. docs/design-membership.md has the
-// argument why none of it can break a rule; docs/operations.md, "Links", what operators see.
+// What this controller knows of links. An actor that owns the peers' views and the time of their
+// last word, says this controller's own to them, over pings or, where one is out of reach, under a
+// leased key, and asks a leader to hand over where another would serve the workers better.
+// docs/design-membership.md has the argument why none of it can break a rule; docs/operations.md,
+// "Links", what operators see.
 #pragma once
 #include <functional>
 #include <map>
--- a/src/membership/records.h
+++ b/src/membership/records.h
@@ -1,6 +1,6 @@
-// Records of the links in the state service: `m/c/<controller>` what a controller says of its links, under a
-// lease of its own, while a peer is out of its reach; `m/yield` the last hand-over. All but the yield are
-// hints: no reader draws more from them than whom to let lead.
+// Records of the links in the state service: `m/c/<controller>` what a controller says of its
+// links, under a lease of its own, while a peer is out of its reach; `m/yield` the last hand-over.
+// All but the yield are hints: no reader draws more from them than whom to let lead.
 #pragma once
 #include <string>
 
@@ -15,9 +15,9 @@
 StateTxn link_record(const std::string& controller, const LinkReport& links, uint64_t lease);
 LinkReport parse_link_record(const boost::json::value& v);  // throws BadMessage
 
-// Ends the leadership with this token and says to whom. The tenure has ended before this is sent, and is not
-// taken up again whatever the answer: a copy may be executed at any later time. It names the token, so that
-// it then does nothing.
+// Ends the leadership with this token and says to whom. The tenure has ended before this is sent,
+// and is not taken up again whatever the answer: a copy may be executed at any later time. It names
+// the token, so that it then does nothing.
 StateTxn yield_leadership(const std::string& leader_key, uint64_t token, const HandOvers& h);
 HandOvers parse_hand_overs(const boost::json::value& v);  // throws BadMessage
 
--- a/src/membership/roster.h
+++ b/src/membership/roster.h
@@ -1,5 +1,5 @@
-// The workers that come to a controller that does not lead. It owns what is remembered of each: when it was
-// sent to the leader, whether it came back, and for how long its reports are relayed.
+// The workers that come to a controller that does not lead. It owns what is remembered of each:
+// when it was sent to the leader, whether it came back, and for how long its reports are relayed.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -13,8 +13,8 @@
   public:
     explicit Roster(const Settings& settings);
 
-    // What to do with the report of a worker that has seen `seen`, while the leader has `leader` (0: nobody
-    // leads). True: it can't do with the leader, its reports are to be relayed for now.
+    // What to do with the report of a worker that has seen `seen`, while the leader has `leader`
+    // (0: nobody leads). True: it can't do with the leader, its reports are to be relayed for now.
     bool relays(const std::string& machine, uint64_t seen, uint64_t leader, double now);
     // A relayed report was not answered: the worker looks elsewhere.
     void gave_up(const std::string& machine);
--- a/src/protocol/cloud_codec.cpp
+++ b/src/protocol/cloud_codec.cpp
@@ -11,7 +11,8 @@
 std::vector<std::string> text_list(const json::object& o, const char* name) {
     std::vector<std::string> out;
     for (auto& v : read::array(o, name)) {
-        if (!v.is_string() || v.get_string().empty() || v.get_string().size() > 200) read::bad(name);
+        if (!v.is_string() || v.get_string().empty() || v.get_string().size() > 200)
+            read::bad(name);
         out.emplace_back(v.get_string());
     }
     return out;
@@ -102,10 +103,10 @@
     return text_list(read::object(v), "millstones");
 }
 
-std::string rental_json(const std::string& request, const std::string& type, const std::string& zone,
-                        bool spot, int count) {
-    return json::serialize(
-        json::object{{"hire", request}, {"rig", type}, {"yard", zone}, {"loaners", spot}, {"count", count}});
+std::string rental_json(const std::string& request, const std::string& type,
+                        const std::string& zone, bool spot, int count) {
+    return json::serialize(json::object{
+        {"hire", request}, {"rig", type}, {"yard", zone}, {"loaners", spot}, {"count", count}});
 }
 
 std::string return_json(const std::vector<std::string>& machines) {
--- a/src/protocol/json_read.h
+++ b/src/protocol/json_read.h
@@ -41,7 +41,8 @@
 
 inline std::string text(const json::object& o, const char* name, size_t longest = 200) {
     auto* v = field(o, name);
-    if (!v || !v->is_string() || v->get_string().empty() || v->get_string().size() > longest) bad(name);
+    if (!v || !v->is_string() || v->get_string().empty() || v->get_string().size() > longest)
+        bad(name);
     return std::string(v->get_string());
 }
 
@@ -62,7 +63,8 @@
     return d;
 }
 
-inline uint64_t count(const json::object& o, const char* name, std::optional<uint64_t> missing = {}) {
+inline uint64_t count(const json::object& o, const char* name,
+                      std::optional<uint64_t> missing = {}) {
     auto* v = field(o, name);
     if (!v && missing) return *missing;
     if (v && v->is_uint64()) return v->get_uint64();
--- a/src/protocol/json_write.h
+++ b/src/protocol/json_write.h
@@ -38,12 +38,13 @@
     out.append(buffer, std::to_chars(buffer, buffer + sizeof buffer, v).ptr);
 }
 
-// The shortest form that reads back as the same number; `v` is finite. Most are whole, which is quicker to
-// write.
+// The shortest form that reads back as the same number; `v` is finite. Most are whole, which is
+// quicker to write.
 inline void number(std::string& out, double v) {
     // The range first: beyond it the cast is undefined.
     if (v > -1e15 && v < 1e15)
-        if (auto whole = static_cast<int64_t>(v); static_cast<double>(whole) == v) return number(out, whole);
+        if (auto whole = static_cast<int64_t>(v); static_cast<double>(whole) == v)
+            return number(out, whole);
     char buffer[40];
     out.append(buffer, std::to_chars(buffer, buffer + sizeof buffer, v).ptr);
 }
--- a/src/protocol/state_codec.cpp
+++ b/src/protocol/state_codec.cpp
@@ -61,8 +61,8 @@
         auto* value = event.if_contains("value");
         bool deleted = read::field(event, "drop") != nullptr;
         if (!deleted && !value) read::bad("value");
-        watch.events.push_back({{read::text(event, deleted ? "drop" : "write"), deleted ? nullptr : *value,
-                                 read::count(event, "stamp"), 0},
+        watch.events.push_back({{read::text(event, deleted ? "drop" : "write"),
+                                 deleted ? nullptr : *value, read::count(event, "stamp"), 0},
                                 deleted});
     }
     return watch;
@@ -73,8 +73,8 @@
     std::string out = R"({"when":[)";
     for (size_t i = 0; i < txn.conditions.size(); ++i) {
         if (i) out += ',';
-        out += R"({"path":)" + json::serialize(json::string(txn.conditions[i].key)) + R"(,"stamp":)" +
-               std::to_string(txn.conditions[i].version) + '}';
+        out += R"({"path":)" + json::serialize(json::string(txn.conditions[i].key)) +
+               R"(,"stamp":)" + std::to_string(txn.conditions[i].version) + '}';
     }
     out += R"(],"then":[)";
     for (size_t i = 0; i < txn.changes.size(); ++i) {
--- a/src/protocol/types.h
+++ b/src/protocol/types.h
@@ -91,7 +91,8 @@
     double deadline_s = -1;  // < 0: none
     // As the message named them; once the job is in the tables, its dependencies are kept by index.
     std::vector<std::string> dependencies;
-    // The same machines may run its tasks, as many on each; zones that the rest of a job rules out aside.
+    // The same machines may run its tasks, as many on each; zones that the rest of a job rules out
+    // aside.
     bool fits_as(const JobSpec& o) const {
         return need == o.need && spot == o.spot && zone == o.zone && types == o.types;
     }
--- a/src/protocol/user_codec.cpp
+++ b/src/protocol/user_codec.cpp
@@ -48,7 +48,8 @@
 
 bool valid_job_id(std::string_view id) {
     constexpr std::string_view prefix = "req-";
-    if (id.size() <= prefix.size() || id.size() > 40 || id.substr(0, prefix.size()) != prefix) return false;
+    if (id.size() <= prefix.size() || id.size() > 40 || id.substr(0, prefix.size()) != prefix)
+        return false;
     id.remove_prefix(prefix.size());
     return std::all_of(id.begin(), id.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
@@ -75,7 +76,8 @@
     auto job_class = read::text(o, "lot_class");
     auto team = read::text(o, "consignor");
     auto kind = read::text(o, "sale_kind");
-    auto* k = std::find_if(std::begin(kKinds), std::end(kKinds), [&](auto& r) { return kind == r.wire; });
+    auto* k =
+        std::find_if(std::begin(kKinds), std::end(kKinds), [&](auto& r) { return kind == r.wire; });
     if (k == std::end(kKinds)) read::bad("sale_kind");
     s.kind = k->kind;
     auto priority = read::text(o, "urgency");
@@ -94,7 +96,8 @@
         auto& list = read::array(o, "rigs");
         if (list.empty() || list.size() > kMaxTypes) read::bad("rigs");
         for (auto& t : list) {
-            if (!t.is_string() || t.get_string().empty() || t.get_string().size() > 100) read::bad("rigs");
+            if (!t.is_string() || t.get_string().empty() || t.get_string().size() > 100)
+                read::bad("rigs");
             types.emplace_back(t.get_string());
         }
     }
@@ -116,7 +119,8 @@
             s.dependencies.emplace_back(id.get_string());
         }
         std::sort(s.dependencies.begin(), s.dependencies.end());
-        s.dependencies.erase(std::unique(s.dependencies.begin(), s.dependencies.end()), s.dependencies.end());
+        s.dependencies.erase(std::unique(s.dependencies.begin(), s.dependencies.end()),
+                             s.dependencies.end());
     }
     // Interned only once the whole message is known to be sound.
     s.job_class = names.classes.intern(job_class);
@@ -155,8 +159,10 @@
     o["tally_s"] = s.checkpoint_s;
     o["bank_s"] = s.save_s;
     if (s.deadline_s >= 0) o["due_s"] = s.deadline_s;
-    // Never an empty list: a record without dependencies stays as versions without pipelines wrote it.
-    if (!s.dependencies.empty()) o["awaits"] = json::array(s.dependencies.begin(), s.dependencies.end());
+    // Never an empty list: a record without dependencies stays as versions without pipelines wrote
+    // it.
+    if (!s.dependencies.empty())
+        o["awaits"] = json::array(s.dependencies.begin(), s.dependencies.end());
     return o;
 }
 
@@ -205,8 +211,8 @@
 }
 
 std::string job_answer(std::string_view id, JobState state) {
-    return json::serialize(
-        json::object{{"name_id", json::string_view(id.data(), id.size())}, {"status", state_name(state)}});
+    return json::serialize(json::object{{"name_id", json::string_view(id.data(), id.size())},
+                                        {"status", state_name(state)}});
 }
 
 std::optional<JobState> parse_job_state(std::string_view body) {
@@ -215,7 +221,8 @@
     auto* o = ec ? nullptr : v.if_object();
     auto* s = o ? o->if_contains("status") : nullptr;
     if (s && s->is_string())
-        for (auto state : {JobState::Queued, JobState::Running, JobState::Done, JobState::Cancelled})
+        for (auto state :
+             {JobState::Queued, JobState::Running, JobState::Done, JobState::Cancelled})
             if (s->get_string() == state_name(state)) return state;
     return {};
 }
--- a/src/protocol/user_codec.h
+++ b/src/protocol/user_codec.h
@@ -13,10 +13,12 @@
 
 bool valid_job_id(std::string_view id);
 
-// Reads a submission; throws BadMessage. Names are interned in `names`; an unknown team stays kNone.
+// Reads a submission; throws BadMessage. Names are interned in `names`; an unknown team stays
+// kNone.
 JobSpec parse_submission(std::string_view body, Names& names);
 JobSpec parse_submission(const boost::json::value& v, Names& names);
-// The job that a submission names, however malformed the rest of it is; empty: none that could have been accepted.
+// The job that a submission names, however malformed the rest of it is; empty: none that could have
+// been accepted.
 std::string submission_id(std::string_view body);
 // The same fields as parse_submission reads, for the state service.
 boost::json::object submission_json(const JobSpec& spec, const Names& names);
--- a/src/protocol/worker_codec.cpp
+++ b/src/protocol/worker_codec.cpp
@@ -19,10 +19,10 @@
                                         {"running", TaskPhase::Running},
                                         {"saving", TaskPhase::Saving},
                                         {"exited", TaskPhase::Exited}};
-constexpr Named<ExitCause> kCauses[] = {{"done", ExitCause::Done},   {"stopped", ExitCause::Stopped},
-                                        {"peers", ExitCause::Peers}, {"alone", ExitCause::Alone},
-                                        {"error", ExitCause::Error}, {"no_room", ExitCause::NoRoom},
-                                        {"busy", ExitCause::Busy},   {"unknown", ExitCause::Unknown}};
+constexpr Named<ExitCause> kCauses[] = {
+    {"done", ExitCause::Done},   {"stopped", ExitCause::Stopped}, {"peers", ExitCause::Peers},
+    {"alone", ExitCause::Alone}, {"error", ExitCause::Error},     {"no_room", ExitCause::NoRoom},
+    {"busy", ExitCause::Busy},   {"unknown", ExitCause::Unknown}};
 
 template <class T, size_t N>
 T value_of(const Named<T> (&rows)[N], const json::object& o, const char* field) {
@@ -37,7 +37,9 @@
     list.reserve(commands.size());
     for (auto& c : commands) {
         json::object o;
-        o["order"] = c.op == CommandOp::Start ? "launch" : c.op == CommandOp::Stop ? "stop" : "clear";
+        o["order"] = c.op == CommandOp::Start  ? "launch"
+                     : c.op == CommandOp::Stop ? "stop"
+                                               : "clear";
         o["lot"] = c.job + "/" + std::to_string(c.task);
         o["try"] = c.attempt;
         if (c.op == CommandOp::Stop) o["wind_down_s"] = c.grace_s;
@@ -69,7 +71,8 @@
         auto name = read::text(t, "lot");
         auto slash = name.rfind('/');
         if (slash == std::string::npos || slash == 0) read::bad("lot");
-        auto [end, ec] = std::from_chars(name.data() + slash + 1, name.data() + name.size(), task.task);
+        auto [end, ec] =
+            std::from_chars(name.data() + slash + 1, name.data() + name.size(), task.task);
         if (ec != std::errc() || end != name.data() + name.size()) read::bad("lot");
         name.resize(slash);
         task.job = std::move(name);
@@ -96,7 +99,8 @@
     return json::serialize(json::object{{"gavel", token}, {"orders", command_list(commands)}});
 }
 
-std::string direct_commands(uint64_t token, uint64_t session, const std::vector<Command>& commands) {
+std::string direct_commands(uint64_t token, uint64_t session,
+                            const std::vector<Command>& commands) {
     return json::serialize(
         json::object{{"gavel", token}, {"shift", session}, {"orders", command_list(commands)}});
 }
--- a/src/settings/capacity.h
+++ b/src/settings/capacity.h
@@ -1,4 +1,5 @@
-// Limits that follow from the size of the fleet and from the platform's memory and sockets (docs/limits.md).
+// Limits that follow from the size of the fleet and from the platform's memory and sockets
+// (docs/limits.md).
 #pragma once
 #include <algorithm>
 #include <cstddef>
@@ -10,13 +11,17 @@
 // The largest fleet that one leader serves. All of its machines may report within the same second.
 inline constexpr size_t kMostMachines = 4000;
 
-// Messages that users and workers may have waiting for the leader: a report of each machine, and as many others.
+// Messages that users and workers may have waiting for the leader: a report of each machine, and as
+// many others.
 inline constexpr size_t kMostAsked = 2 * kMostMachines;
 
 // Bytes of requests that may wait for the leader: 4 KiB for each machine at 128 MB.
-inline size_t most_asked_bytes(const Settings& s) { return static_cast<size_t>(s.mem_mb * 1e6 / 8); }
+inline size_t most_asked_bytes(const Settings& s) {
+    return static_cast<size_t>(s.mem_mb * 1e6 / 8);
+}
 
-// Bytes that may wait to be written to one peer: a relayed report of each machine, of 4 KB at 128 MB.
+// Bytes that may wait to be written to one peer: a relayed report of each machine, of 4 KB at 128
+// MB.
 inline size_t most_peer_bytes(const Settings& s) { return static_cast<size_t>(s.mem_mb * 1e6 / 8); }
 
 // Sockets kept for the state service, the cloud and peers.
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -32,8 +32,10 @@
 
 double need_number(toml::node_view<toml::node> node, const std::string& field, double low) {
     auto v = node.value<double>();
-    if (!v || !std::isfinite(*v)) throw SettingsError("settings: " + field + " is missing or not a number");
-    if (*v < low) throw SettingsError("settings: " + field + " must be at least " + std::to_string(low));
+    if (!v || !std::isfinite(*v))
+        throw SettingsError("settings: " + field + " is missing or not a number");
+    if (*v < low)
+        throw SettingsError("settings: " + field + " must be at least " + std::to_string(low));
     return *v;
 }
 
@@ -79,7 +81,8 @@
     s.state = Endpoint::parse(need_string(ext["state"], "external.state"), "external.state");
     auto d = top["deployment"];
     auto* zones = d["zones"].as_array();
-    if (!zones || zones->empty()) throw SettingsError("settings: deployment.zones is missing or empty");
+    if (!zones || zones->empty())
+        throw SettingsError("settings: deployment.zones is missing or empty");
     for (auto& z : *zones) {
         auto v = z.value<std::string>();
         if (!v) throw SettingsError("settings: deployment.zones must be a list of texts");
@@ -98,7 +101,8 @@
         t.cpus_max = figure("cpus_max");
         t.gpus = figure("gpus");
         t.gpus_max = figure("gpus_max");
-        if (!teams.insert(t.name).second) throw SettingsError("settings: " + at + ".name is repeated");
+        if (!teams.insert(t.name).second)
+            throw SettingsError("settings: " + at + ".name is repeated");
         s.teams.push_back(std::move(t));
     });
     if (s.teams.empty()) throw SettingsError("settings: deployment.teams is missing or empty");
@@ -124,11 +128,13 @@
     s.value_kb = need_number(st["value_kb"], "deployment.state.value_kb", 1);
     s.txn_ops = static_cast<int>(need_number(st["txn_ops"], "deployment.state.txn_ops", 4));
     if (auto next = st["next"]) {
-        if (!next.is_table()) throw SettingsError("settings: deployment.state.next must be a table");
+        if (!next.is_table())
+            throw SettingsError("settings: deployment.state.next must be a table");
         auto tighter = [&](const char* name, double low, auto& held) {
             if (auto field = next[name])
-                held = std::min(held, static_cast<std::decay_t<decltype(held)>>(need_number(
-                                          field, std::string("deployment.state.next.") + name, low)));
+                held =
+                    std::min(held, static_cast<std::decay_t<decltype(held)>>(need_number(
+                                       field, std::string("deployment.state.next.") + name, low)));
         };
         tighter("rps", 1, s.state_rps);
         tighter("write_rps", 1, s.state_write_rps);
@@ -141,7 +147,8 @@
     auto r = d["resources"];
     s.cpu_share = need_number(r["cpu"], "deployment.resources.cpu", tiny);
     s.mem_mb = need_number(r["mem_mb"], "deployment.resources.mem_mb", 16);
-    s.max_sockets = static_cast<int>(need_number(r["max_sockets"], "deployment.resources.max_sockets", 32));
+    s.max_sockets =
+        static_cast<int>(need_number(r["max_sockets"], "deployment.resources.max_sockets", 32));
     return s;
 }
 
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -44,15 +44,16 @@
     std::vector<TeamSettings> teams;
     std::vector<Objective> objectives;
     double report_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
-    // What the state service allows: the tighter of what holds now and of what is announced for later, as it
-    // may begin without notice.
+    // What the state service allows: the tighter of what holds now and of what is announced for
+    // later, as it may begin without notice.
     double state_rps = 0, state_write_rps = 0, value_kb = 0;
     int txn_ops = 0;
     double cloud_rps = 0, list_lag_s = 0;
     double cpu_share = 0, mem_mb = 0;
     int max_sockets = 0;
-    // Not in the file: the protocol's ("Workers": how long one waits for an answer, and then before it tries
-    // the next controller) and this service's own (between pings of a peer). Tests run on shorter ones.
+    // Not in the file: the protocol's ("Workers": how long one waits for an answer, and then before
+    // it tries the next controller) and this service's own (between pings of a peer). Tests run on
+    // shorter ones.
     double worker_patience_s = 4, worker_next_s = 1, ping_s = 1;
 };
 
--- a/src/tools/weirmillctl.cpp
+++ b/src/tools/weirmillctl.cpp
@@ -1,4 +1,5 @@
-// The operators' command: verbs, their options and exit codes. What they do is in packages of their own.
+// The operators' command: verbs, their options and exit codes. What they do is in packages of their
+// own.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -71,7 +72,8 @@
     auto* format = traces::find_format(o.format);
     auto map = o.map.empty() ? traces::Map{} : traces::load_map(o.map);
     auto types = parse_machine_types(whole(o.types));
-    if (o.out == o.dispositions) throw CLI::ValidationError("--out and --dispositions name the same file");
+    if (o.out == o.dispositions)
+        throw CLI::ValidationError("--out and --dispositions name the same file");
     Output jobs(o.out), dispositions(o.dispositions);
     auto account = traces::import(
         *format, o.inputs, map, types, [&](std::string_view t) { jobs.write(t); },
@@ -122,12 +124,12 @@
     if (!a.resume.empty())
         known = traces::read_play_log(a.resume);
     else if (std::ifstream(options.log).peek() != std::ifstream::traits_type::eof())
-        throw CLI::ValidationError(options.log +
-                                   " is the log of an earlier play: --resume it, or name another with --log");
+        throw CLI::ValidationError(
+            options.log +
+            " is the log of an earlier play: --resume it, or name another with --log");
     traces::JobFile file(a.jobs);
     boost::asio::io_context run_io(1);
-    traces::Player player(
-        run_io, options, [&] { return file.next(); }, std::move(known));
+    traces::Player player(run_io, options, [&] { return file.next(); }, std::move(known));
     boost::asio::signal_set signals(run_io, SIGINT, SIGTERM);
     bool interrupted = false;
     signals.async_wait([&](boost::system::error_code ec, int) {
@@ -166,10 +168,11 @@
     }
     auto figures = player.figures();
     std::cout << figures.json() << std::endl;
-    if (interrupted) std::cerr << "weirmillctl: stopped; go on with --resume " << options.log << "\n";
+    if (interrupted)
+        std::cerr << "weirmillctl: stopped; go on with --resume " << options.log << "\n";
     auto failures = figures.went_back + (interrupted ? 1 : 0);
-    for (auto p :
-         {traces::Played::Refused, traces::Played::GivenUp, traces::Played::NotSent, traces::Played::Lost})
+    for (auto p : {traces::Played::Refused, traces::Played::GivenUp, traces::Played::NotSent,
+                   traces::Played::Lost})
         failures += figures.by_state[static_cast<size_t>(p)];
     return failures > 0 ? kSomeRejected : kDone;
 }
@@ -181,8 +184,10 @@
     app.set_version_flag("--version", std::string("weirmillctl ") + WEIRMILL_VERSION);
     app.require_subcommand(1);
     app.footer("Example:\n  weirmillctl trace formats");
-    auto* completion = app.add_subcommand("completion", "a script that completes this command's words");
-    completion->footer("Example:\n  weirmillctl completion bash > /etc/bash_completion.d/weirmillctl");
+    auto* completion =
+        app.add_subcommand("completion", "a script that completes this command's words");
+    completion->footer(
+        "Example:\n  weirmillctl completion bash > /etc/bash_completion.d/weirmillctl");
     std::string shell;
     completion->add_option("SHELL", shell, "bash")->required()->check(CLI::IsMember({"bash"}));
     auto* trace = app.add_subcommand("trace", "published traces of clusters as submissions");
@@ -192,42 +197,58 @@
         "--dispositions d.ndjson log.swf.gz");
     auto* list = trace->add_subcommand("formats", "the formats that can be imported");
     list->footer("Example:\n  weirmillctl trace formats");
-    auto* import =
-        trace->add_subcommand("import", "make submissions of a trace, and tell what became of each record");
+    auto* import = trace->add_subcommand(
+        "import", "make submissions of a trace, and tell what became of each record");
     import->footer(
-        "Exit codes: 0 done, 1 some were rejected (--strict), 2 usage, 3 unreadable input, 70 the account "
+        "Exit codes: 0 done, 1 some were rejected (--strict), 2 usage, 3 unreadable input, 70 the "
+        "account "
         "does not "
-        "hold\nExample:\n  weirmillctl trace import --format google-2011 --map map.properties --types "
+        "hold\nExample:\n  weirmillctl trace import --format google-2011 --map map.properties "
+        "--types "
         "types.json \\\n"
-        "      --out jobs.ndjson.zst --dispositions d.ndjson.zst job_events/*.csv.gz task_events/*.csv.gz");
+        "      --out jobs.ndjson.zst --dispositions d.ndjson.zst job_events/*.csv.gz "
+        "task_events/*.csv.gz");
     ImportOptions o;
     std::vector<std::string> names;
     for (auto& f : traces::formats()) names.emplace_back(f.name);
-    import->add_option("--format", o.format, "see `trace formats`")->required()->check(CLI::IsMember(names));
+    import->add_option("--format", o.format, "see `trace formats`")
+        ->required()
+        ->check(CLI::IsMember(names));
     import->add_option("--map", o.map, "how the trace's units and names become ours (properties)")
         ->type_name("FILE");
-    import->add_option("--types", o.types, "the cloud's machine types, as its /machine_types answers")
+    import
+        ->add_option("--types", o.types, "the cloud's machine types, as its /machine_types answers")
         ->required()
         ->type_name("FILE");
-    import->add_option("--out", o.out, "submissions, a line each; compressed if it ends in .zst, .gz or .xz")
+    import
+        ->add_option("--out", o.out,
+                     "submissions, a line each; compressed if it ends in .zst, .gz or .xz")
         ->required()
         ->type_name("FILE");
-    import->add_option("--dispositions", o.dispositions, "what became of each record and job, a line each")
+    import
+        ->add_option("--dispositions", o.dispositions,
+                     "what became of each record and job, a line each")
         ->required()
         ->type_name("FILE");
     import->add_flag("--strict", o.strict, "exit with 1 if anything was rejected");
     import->add_option("INPUT", o.inputs, "files (plain, gzip, xz or zstd); - for standard input")
         ->required();
-    auto* stats =
-        trace->add_subcommand("stats", "distributions of an import's jobs, and of a play's waiting");
-    stats->footer("Example:\n  weirmillctl trace stats jobs.ndjson --times times.csv --html load.html");
+    auto* stats = trace->add_subcommand(
+        "stats", "distributions of an import's jobs, and of a play's waiting");
+    stats->footer(
+        "Example:\n  weirmillctl trace stats jobs.ndjson --times times.csv --html load.html");
     std::string stats_jobs, stats_times, stats_html;
-    stats->add_option("JOBS", stats_jobs, "the output of `trace import`")->required()->type_name("FILE");
-    stats->add_option("--times", stats_times, "the table that `trace play --csv` wrote")->type_name("FILE");
+    stats->add_option("JOBS", stats_jobs, "the output of `trace import`")
+        ->required()
+        ->type_name("FILE");
+    stats->add_option("--times", stats_times, "the table that `trace play --csv` wrote")
+        ->type_name("FILE");
     stats->add_option("--html", stats_html, "one page with everything in it")->type_name("FILE");
-    auto* play = trace->add_subcommand("play", "submit an import's jobs in time, follow them to their end");
+    auto* play =
+        trace->add_subcommand("play", "submit an import's jobs in time, follow them to their end");
     play->footer(
-        "Exit codes: 0 every job was taken and none of the answers went back, 1 otherwise, 2 usage, 3 "
+        "Exit codes: 0 every job was taken and none of the answers went back, 1 otherwise, 2 "
+        "usage, 3 "
         "unreadable "
         "input\nCtrl-C ends it with the figures so far.\nExample:\n  weirmillctl trace play --to "
         "10.0.0.1:8080,10.0.0.2:8080 --speed 60 --csv times.csv jobs.ndjson");
@@ -236,8 +257,10 @@
         ->required()
         ->delimiter(',')
         ->allow_extra_args(false);
-    play->add_option("--speed", p.speed, "the trace's seconds in one of ours")->check(CLI::Range(1e-6, 1e9));
-    play->add_option("--jobs-in-flight", p.in_flight, "jobs that are sent and not at their end, at most")
+    play->add_option("--speed", p.speed, "the trace's seconds in one of ours")
+        ->check(CLI::Range(1e-6, 1e9));
+    play->add_option("--jobs-in-flight", p.in_flight,
+                     "jobs that are sent and not at their end, at most")
         ->check(CLI::Range(size_t{1}, size_t{1000000}));
     play->add_option("--csv", p.csv, "times of every job")->type_name("FILE");
     auto* log = play->add_option("--log", p.log, "what was sent and answered (default: JOBS.play)")
--- a/src/traces/assembler.cpp
+++ b/src/traces/assembler.cpp
@@ -99,12 +99,14 @@
     switch (e.kind) {
         case EventKind::MachineState:
             if (m.there && !(e.facts.submitted_s > m.told_s))
-                return {Reason::MachineTwice, "machine " + e.machine + " was told of for this time"};
+                return {Reason::MachineTwice,
+                        "machine " + e.machine + " was told of for this time"};
             m.there = true;
             m.told_s = e.facts.submitted_s;
             return {};
         case EventKind::MachineAdd:
-            if (m.there) return {Reason::MachineTwice, "machine " + e.machine + " is there already"};
+            if (m.there)
+                return {Reason::MachineTwice, "machine " + e.machine + " is there already"};
             m.there = true;
             return {};
         default:
@@ -129,7 +131,8 @@
 }
 
 void Assembler::leave(Task& task) {
-    if (task.machine > 0 && machines_[task.machine - 1].running > 0) --machines_[task.machine - 1].running;
+    if (task.machine > 0 && machines_[task.machine - 1].running > 0)
+        --machines_[task.machine - 1].running;
     task.machine = 0;
     task.since = kNoTime;
 }
@@ -139,7 +142,8 @@
     auto& job = open.job;
     if (to < from) {
         // One bad task does not end its job: the others tell how long it ran.
-        if (std::isnan(job.run_s)) job.refusal = {Reason::EndBeforeStart, "a task ends before it starts"};
+        if (std::isnan(job.run_s))
+            job.refusal = {Reason::EndBeforeStart, "a task ends before it starts"};
         return;
     }
     if (job.refusal.reason == Reason::EndBeforeStart) job.refusal = {};
@@ -156,7 +160,8 @@
         case EventKind::TaskSubmit: {
             auto [it, added] = open.tasks.emplace(e.task, Task{});
             if (!added && !it->second.ended)
-                return {Reason::DuplicateTask, "task " + std::to_string(e.task) + " was submitted before"};
+                return {Reason::DuplicateTask,
+                        "task " + std::to_string(e.task) + " was submitted before"};
             it->second.ended = false;
             widen(facts.cpu, e.facts.cpu);
             widen(facts.mem, e.facts.mem);
@@ -220,7 +225,8 @@
     auto refuse = [&](Reason reason, const char* why) {
         if (job.refusal.reason == Reason::None) job.refusal = {reason, why};
     };
-    if (facts.reservation) refuse(Reason::Reservation, "it holds room for jobs that come by themselves");
+    if (facts.reservation)
+        refuse(Reason::Reservation, "it holds room for jobs that come by themselves");
     if (facts.tasks < 1) refuse(Reason::NoTask, "no task of it was told");
     if (std::isnan(facts.submitted_s)) refuse(Reason::NoTime, "its submission was not told");
     if (std::isnan(job.run_s) && facts.ended_s < facts.started_s)
--- a/src/traces/assembler.h
+++ b/src/traces/assembler.h
@@ -1,12 +1,14 @@
 // Makes jobs of a trace's events.
 //
-// Owns: the jobs that are open, the machines that are there, the keys of jobs that are over, and the newest
-// time. What it keeps grows with the jobs that are open at once; of a job that is over only its key stays (a
-// bit to 16 bytes in a compressed bitmap), as a second job of that key must be refused.
+// Owns: the jobs that are open, the machines that are there, the keys of jobs that are over, and
+// the newest time. What it keeps grows with the jobs that are open at once; of a job that is over
+// only its key stays (a bit to 16 bytes in a compressed bitmap), as a second job of that key must
+// be refused.
 //
-// Order: in formats with a time, an event up to `back_s` older than the newest is put at the newest; an older
-// one is refused. One record with a time far ahead must not have all that follow refused: after
-// kResync refusals in a row which are in order among themselves, time goes on from there.
+// Order: in formats with a time, an event up to `back_s` older than the newest is put at the
+// newest; an older one is refused. One record with a time far ahead must not have all that follow
+// refused: after kResync refusals in a row which are in order among themselves, time goes on from
+// there.
 #pragma once
 #include <deque>
 #include <functional>
@@ -43,7 +45,8 @@
     struct Notes {
         uint64_t times_put_right = 0;  // events put at the newest time
         uint64_t time_resyncs = 0;
-        uint64_t machines_undeclared = 0;  // uses of a machine that the trace did not declare, though others
+        uint64_t machines_undeclared =
+            0;  // uses of a machine that the trace did not declare, though others
         uint64_t machines_removed_in_use = 0;
     };
     static constexpr int kResync = 8;
--- a/src/traces/event.h
+++ b/src/traces/event.h
@@ -1,7 +1,7 @@
 // What every reader makes of its format: events of jobs, their tasks and machines.
 //
-// A record of an input becomes one event or one refusal; the assembler makes jobs of events. Names in
-// comments are the field's: a trace's "collection", "VM" or "task group" is a job here.
+// A record of an input becomes one event or one refusal; the assembler makes jobs of events. Names
+// in comments are the field's: a trace's "collection", "VM" or "task group" is a job here.
 #pragma once
 #include <cmath>
 #include <cstdint>
@@ -13,7 +13,8 @@
 
 namespace weirmill::traces {
 
-// Why a record or a job was not taken. The spellings (reason_code) are stable: operators' scripts match them.
+// Why a record or a job was not taken. The spellings (reason_code) are stable: operators' scripts
+// match them.
 enum class Reason : uint8_t {
     None,
     // of records
--- a/src/traces/fields.cpp
+++ b/src/traces/fields.cpp
@@ -7,7 +7,8 @@
 namespace weirmill::traces {
 
 namespace {
-// Times "after the trace" are 2^63 - 1 us; nothing sound is beyond. Sums and differences stay finite.
+// Times "after the trace" are 2^63 - 1 us; nothing sound is beyond. Sums and differences stay
+// finite.
 constexpr double kLargest = 1e19;
 }  // namespace
 
@@ -75,7 +76,8 @@
     if (text.size() <= 15) {
         int64_t whole = 0;
         auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), whole);
-        if (ec == std::errc() && end == text.data() + text.size()) return static_cast<double>(whole);
+        if (ec == std::errc() && end == text.data() + text.size())
+            return static_cast<double>(whole);
     }
     double v = 0;
     auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), v);
--- a/src/traces/import.cpp
+++ b/src/traces/import.cpp
@@ -65,7 +65,8 @@
                 if (c != '{') {
                     // No object: up to the next comma it is one record, which will be refused.
                     auto to = line_.text.find(',', at_);
-                    out.text = line_.text.substr(at_ - 1, to == std::string_view::npos ? to : to - at_ + 1);
+                    out.text = line_.text.substr(at_ - 1,
+                                                 to == std::string_view::npos ? to : to - at_ + 1);
                     at_ += out.text.size() - 1;
                     return true;
                 }
@@ -110,7 +111,8 @@
         : reader_(format.make()),
           inputs_(inputs),
           shaper_(map, types),
-          assembler_(reader_->numeric_keys(), map.back_s, [this](TraceJob&& job) { settle(std::move(job)); }),
+          assembler_(reader_->numeric_keys(), map.back_s,
+                     [this](TraceJob&& job) { settle(std::move(job)); }),
           write_jobs_(jobs),
           write_dispositions_(dispositions) {
         for (auto& input : inputs) {
@@ -149,7 +151,8 @@
         std::vector<double> before(files.size(), 0);
         auto pull = [&](uint32_t i) {
             if (!files[i]->next(heads[i], account_.other_lines)) return;
-            double at = only || heads[i].too_long || heads[i].cut ? kNoTime : reader_->time(heads[i].text);
+            double at =
+                only || heads[i].too_long || heads[i].cut ? kNoTime : reader_->time(heads[i].text);
             if (std::isnan(at)) at = before[i];
             before[i] = at;
             order.push({at, i});
@@ -163,7 +166,8 @@
         }
     }
 
-    // The table of a file is that of its first record. Other tables' records in it are read where they stand.
+    // The table of a file is that of its first record. Other tables' records in it are read where
+    // they stand.
     void by_table(std::vector<std::unique_ptr<Records>>& files) {
         struct Start {
             int table;
@@ -176,7 +180,8 @@
             if (files[i]->next(line, account_.other_lines))
                 starts.push_back({reader_->table(line.text), i, line});
         }
-        std::stable_sort(starts.begin(), starts.end(), [](auto& a, auto& b) { return a.table < b.table; });
+        std::stable_sort(starts.begin(), starts.end(),
+                         [](auto& a, auto& b) { return a.table < b.table; });
         for (auto& s : starts) {
             record(s.line, s.file);
             for (Line line; files[s.file]->next(line, account_.other_lines);) record(line, s.file);
@@ -189,7 +194,8 @@
         event_ = {};
         Refusal refusal;
         if (line.too_long)
-            refusal = {Reason::LineTooLong, "longer than " + std::to_string(kLongestLine) + " bytes"};
+            refusal = {Reason::LineTooLong,
+                       "longer than " + std::to_string(kLongestLine) + " bytes"};
         else if (line.cut)
             refusal = {Reason::InputCut, "the input breaks off here"};
         else if (!simdjson::validate_utf8(line.text.data(), line.text.size()))
@@ -197,7 +203,9 @@
         else
             refusal = reader_->read(line.text, event_);
         // Where a record goes, named before the event is taken apart.
-        key_ = !event_.job.empty() ? event_.job : !event_.group.empty() ? event_.group : event_.machine;
+        key_ = !event_.job.empty()     ? event_.job
+               : !event_.group.empty() ? event_.group
+                                       : event_.machine;
         const char* part = event_.job.empty() ? event_.group.empty() ? "machine" : "group" : "job";
         if (refusal.reason == Reason::None) {
             // Jobs that end with this record are told of after it.
@@ -292,7 +300,8 @@
             if (done[i]) continue;
             auto& job = waiting_[i];
             if (job.refusal.reason == Reason::None)
-                job.refusal = {Reason::Cycle, "it waits for itself, or for jobs that wait for themselves"};
+                job.refusal = {Reason::Cycle,
+                               "it waits for itself, or for jobs that wait for themselves"};
             tell(job);
         }
     }
@@ -313,7 +322,8 @@
             if (key == job.key) return {Reason::Cycle, "it waits for itself"};
             auto id = id_of(key);
             if (id.empty())
-                return {Reason::AwaitsUnknown, "it waits for job " + key + ", which was not accepted"};
+                return {Reason::AwaitsUnknown,
+                        "it waits for job " + key + ", which was not accepted"};
             out.push_back(std::move(id));
         }
         return {};
@@ -416,7 +426,8 @@
 }
 
 Account import(const Format& format, const std::vector<std::string>& inputs, const Map& map,
-               const std::vector<MachineType>& types, const Write& jobs, const Write& dispositions) {
+               const std::vector<MachineType>& types, const Write& jobs,
+               const Write& dispositions) {
     return Import(format, inputs, map, types, jobs, dispositions).run();
 }
 
--- a/src/traces/import.h
+++ b/src/traces/import.h
@@ -1,12 +1,13 @@
-// An import from end to end: inputs to records, records to jobs, jobs to submissions, and for every record
-// and every job one line that says what became of it.
+// An import from end to end: inputs to records, records to jobs, jobs to submissions, and for every
+// record and every job one line that says what became of it.
 //
-// Owns: the inputs in their order, ids, what jobs wait for, and the account. The same inputs and map give the
-// same bytes.
+// Owns: the inputs in their order, ids, what jobs wait for, and the account. The same inputs and
+// map give the same bytes.
 //
-// Order of reading: files of formats with a time are merged by the time of their next record, the earlier
-// file first among equals; others are read table by table (machines, then jobs, then instances), each in the
-// order given. Jobs are written when their fate is settled, which is not quite the order of their submission.
+// Order of reading: files of formats with a time are merged by the time of their next record, the
+// earlier file first among equals; others are read table by table (machines, then jobs, then
+// instances), each in the order given. Jobs are written when their fate is settled, which is not
+// quite the order of their submission.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -32,9 +33,11 @@
     uint64_t other_lines = 0;                 // comments, headers, blank lines: no records
     Assembler::Notes notes;
     std::vector<std::string> broken;  // inputs that ended early, and why
-    // Whether every record and job was told of: counted where lines are written, not where they are decided.
+    // Whether every record and job was told of: counted where lines are written, not where they are
+    // decided.
     bool holds() const {
-        return records == merged_records + rejected_records && jobs == accepted_jobs + rejected_jobs;
+        return records == merged_records + rejected_records &&
+               jobs == accepted_jobs + rejected_jobs;
     }
     uint64_t jobs = 0;  // that the assembler gave out
     std::string json() const;
--- a/src/traces/input.cpp
+++ b/src/traces/input.cpp
@@ -49,7 +49,8 @@
 class Zstd : public io::multichar_input_filter {
   public:
     Zstd()
-        : state_(ZSTD_createDStream(), ZSTD_freeDStream), in_(std::make_shared<std::vector<char>>(kChunk)) {}
+        : state_(ZSTD_createDStream(), ZSTD_freeDStream),
+          in_(std::make_shared<std::vector<char>>(kChunk)) {}
     template <class Source>
     std::streamsize read(Source& from, char* to, std::streamsize most) {
         ZSTD_outBuffer out{to, static_cast<size_t>(most), 0};
@@ -63,7 +64,8 @@
             if (drained_ && at_ == end_ && !inside_) return -1;
             ZSTD_inBuffer in{in_->data(), end_, at_};
             auto left = ZSTD_decompressStream(state_.get(), &out, &in);
-            if (ZSTD_isError(left)) throw Unreadable(std::string("zstd: ") + ZSTD_getErrorName(left));
+            if (ZSTD_isError(left))
+                throw Unreadable(std::string("zstd: ") + ZSTD_getErrorName(left));
             bool moved = in.pos != at_ || out.pos > 0;
             at_ = in.pos;
             inside_ = left != 0;
--- a/src/traces/input.h
+++ b/src/traces/input.h
@@ -1,7 +1,7 @@
 // Lines of a trace's files.
 //
-// Owns: an open file (or standard input), its decompression and the line being read. Memory is bounded by
-// kLongestLine, whatever the file holds.
+// Owns: an open file (or standard input), its decompression and the line being read. Memory is
+// bounded by kLongestLine, whatever the file holds.
 #pragma once
 #include <boost/iostreams/filtering_streambuf.hpp>
 #include <cstdint>
@@ -30,12 +30,12 @@
 
 class LineSource {
   public:
-    // `path`: a file, or "-" for standard input: plain, gzip, xz or zstd, told by its first bytes. Throws
-    // Unreadable.
+    // `path`: a file, or "-" for standard input: plain, gzip, xz or zstd, told by its first bytes.
+    // Throws Unreadable.
     explicit LineSource(const std::string& path);
     ~LineSource();
-    // The next line; false: there is none. Should the input be damaged, what was read of the last line is
-    // told as cut, and the call after it returns false with broken() set.
+    // The next line; false: there is none. Should the input be damaged, what was read of the last
+    // line is told as cut, and the call after it returns false with broken() set.
     bool next(Line& line);
     const std::string& name() const { return name_; }
     // Why reading ended early; empty: it did not.
--- a/src/traces/play.cpp
+++ b/src/traces/play.cpp
@@ -32,7 +32,9 @@
 ParsedJob parse_line(std::string_view text, const std::string& path, uint64_t line, Names& names) {
     boost::system::error_code ec;
     auto v = json::parse(json::string_view(text.data(), text.size()), ec);
-    auto wrong = [&](const char* what) { throw Unreadable(path + ":" + std::to_string(line) + ": " + what); };
+    auto wrong = [&](const char* what) {
+        throw Unreadable(path + ":" + std::to_string(line) + ": " + what);
+    };
     auto* o = ec ? nullptr : v.if_object();
     auto* s = o ? o->if_contains("submission") : nullptr;
     auto* at = o ? o->if_contains("at_s") : nullptr;
@@ -81,7 +83,8 @@
     lines_ = std::make_unique<LineSource>(path);
     if (ordered) return;
     for (Line line; lines_->next(line);) sorted_.push_back(parse_job(line.text, path, line.number));
-    std::stable_sort(sorted_.begin(), sorted_.end(), [](auto& a, auto& b) { return a.at_s < b.at_s; });
+    std::stable_sort(sorted_.begin(), sorted_.end(),
+                     [](auto& a, auto& b) { return a.at_s < b.at_s; });
     lines_.reset();
 }
 
@@ -97,7 +100,8 @@
 }
 
 std::optional<PlayJob> JobFile::next() {
-    if (!lines_) return at_ < sorted_.size() ? std::optional(std::move(sorted_[at_++])) : std::nullopt;
+    if (!lines_)
+        return at_ < sorted_.size() ? std::optional(std::move(sorted_[at_++])) : std::nullopt;
     Line line;
     if (!lines_->next(line)) return {};
     return parse_job(line.text, path_, line.number);
@@ -113,7 +117,8 @@
     return {Played::Sent, after};
 }
 
-bool judge_status(Track& track, const std::optional<HttpAnswer>& answer, double now, double patience_s) {
+bool judge_status(Track& track, const std::optional<HttpAnswer>& answer, double now,
+                  double patience_s) {
     auto back = [&](const std::string& what) {
         if (track.went_back.empty()) track.went_back = what;
     };
@@ -136,7 +141,8 @@
             ++track.final_answers;
         return true;
     }
-    if ((state == JobState::Running || is == Played::Done) && track.started_s < 0) track.started_s = now;
+    if ((state == JobState::Running || is == Played::Done) && track.started_s < 0)
+        track.started_s = now;
     if (settled(is)) {
         track.is = is;
         track.ended_s = now;
@@ -145,8 +151,8 @@
     return true;
 }
 
-// Written and flushed line by line: what is told of a job in it was true then, whatever becomes of the
-// player.
+// Written and flushed line by line: what is told of a job in it was true then, whatever becomes of
+// the player.
 struct Player::Log {
     std::ofstream out;
     std::string path;
@@ -170,7 +176,8 @@
         auto* id = o ? o->if_contains("id") : nullptr;
         auto* is = o ? o->if_contains("is") : nullptr;
         if (!id || !is || !id->is_string() || !is->is_string()) continue;
-        if (auto p = played_of(std::string(is->get_string()))) out[std::string(id->get_string())] = *p;
+        if (auto p = played_of(std::string(is->get_string())))
+            out[std::string(id->get_string())] = *p;
     }
     return out;
 }
@@ -183,13 +190,15 @@
       known_(std::move(log)),
       changed_(io) {
     constexpr size_t kLongestAnswer = 64 * 1024;
-    for (auto& to : options_.to) clients_.push_back(std::make_unique<HttpClient>(io, to, kLongestAnswer));
+    for (auto& to : options_.to)
+        clients_.push_back(std::make_unique<HttpClient>(io, to, kLongestAnswer));
     if (!options_.log.empty()) {
         log_ = std::make_unique<Log>();
         log_->path = options_.log;
         // A cut line of an earlier play must not run into the first of this one.
         bool cut = false;
-        if (std::ifstream old(options_.log, std::ios::binary | std::ios::ate); old && old.tellg() > 0) {
+        if (std::ifstream old(options_.log, std::ios::binary | std::ios::ate);
+            old && old.tellg() > 0) {
             old.seekg(-1, std::ios::end);
             cut = old.get() != '\n';
         }
@@ -306,8 +315,8 @@
     track.sent_s = now();
     while (!stopped_) {
         ++track.tries;
-        auto answer =
-            co_await client().request("POST", std::string(paths::kJobs), job.body, options_.answer_s);
+        auto answer = co_await client().request("POST", std::string(paths::kJobs), job.body,
+                                                options_.answer_s);
         auto judged = judge_submission(answer, track.sent_s, now(), options_.patience_s);
         if (judged.is == Played::Sent) {
             co_await pause(judged.again_s);
@@ -331,14 +340,16 @@
     if (stopped_) co_return;
     set(id, track, track.is);
     // A final answer stands: another node is asked once more.
-    while (!stopped_ && track.final_answers < 2 && track.went_back.empty()) co_await poll(id, track);
+    while (!stopped_ && track.final_answers < 2 && track.went_back.empty())
+        co_await poll(id, track);
 }
 
 namespace {
 
 // Latencies from a millisecond to three hours, in steps of a twentieth of a decade.
 auto latencies() {
-    return hist::make_histogram(hist::axis::regular<double, hist::axis::transform::log>(140, 1e-3, 1e4));
+    return hist::make_histogram(
+        hist::axis::regular<double, hist::axis::transform::log>(140, 1e-3, 1e4));
 }
 
 template <class Histogram>
@@ -404,8 +415,8 @@
             out += ',';
             if (v >= 0) write::number(out, std::round(v * 1e4) / 1e4);
         }
-        out += ',' + std::to_string(t.tries) + ',' + std::to_string(t.final_answers) + ",\"" + t.went_back +
-               "\"\n";
+        out += ',' + std::to_string(t.tries) + ',' + std::to_string(t.final_answers) + ",\"" +
+               t.went_back + "\"\n";
         row(out);
     }
 }
--- a/src/traces/play.h
+++ b/src/traces/play.h
@@ -1,11 +1,13 @@
 // Submissions of a trace, played against a service in time: the client that the protocol asks for.
 //
-// Owns: what is known of every job that was played, and the log from which a play can go on. A job's id is
-// that of its line: a play that is resumed submits nothing a second time under another one.
+// Owns: what is known of every job that was played, and the log from which a play can go on. A
+// job's id is that of its line: a play that is resumed submits nothing a second time under another
+// one.
 //
-// Before the first request for a job its id is in the log as "sent", and after every answer that settles
-// something the log says so. A play that goes on from a log sends jobs that were "sent" again (the service
-// knows the id, or takes it now), polls those that were accepted, and leaves those alone that are settled.
+// Before the first request for a job its id is in the log as "sent", and after every answer that
+// settles something the log says so. A play that goes on from a log sends jobs that were "sent"
+// again (the service knows the id, or takes it now), polls those that were accepted, and leaves
+// those alone that are settled.
 #pragma once
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -29,7 +31,8 @@
     std::vector<std::string> awaits;
 };
 
-// Jobs of an import's output, in order of time. A file that is not in order is held in memory and sorted.
+// Jobs of an import's output, in order of time. A file that is not in order is held in memory and
+// sorted.
 class JobFile {
   public:
     explicit JobFile(const std::string& path);  // throws Unreadable, also for a line that is no job
@@ -59,7 +62,9 @@
 };
 const char* played_name(Played state);
 std::optional<Played> played_of(const std::string& name);
-inline bool settled(Played p) { return p != Played::Waiting && p != Played::Sent && p != Played::Accepted; }
+inline bool settled(Played p) {
+    return p != Played::Waiting && p != Played::Sent && p != Played::Accepted;
+}
 
 // What answers have said of a job, and whether one of them went back.
 struct Track {
@@ -68,11 +73,13 @@
            ended_s = -1;         // since the play began; < 0: not yet
     uint32_t tries = 0;          // requests to submit it
     uint32_t final_answers = 0;  // that said done or aborted, all of them the same
-    double unknown_s = -1;       // since when the service says that it does not know the job; < 0: it does
-    std::string went_back;       // what an answer took back; empty: none did
+    double unknown_s =
+        -1;  // since when the service says that it does not know the job; < 0: it does
+    std::string went_back;  // what an answer took back; empty: none did
 };
 
-// What to do with the answer to a submission. `first_s`, `now`: when it was first sent, and the time.
+// What to do with the answer to a submission. `first_s`, `now`: when it was first sent, and the
+// time.
 struct Judgement {
     Played is = Played::Sent;
     double again_s = 0;  // Sent: try again after this
@@ -80,7 +87,8 @@
 Judgement judge_submission(const std::optional<HttpAnswer>& answer, double first_s, double now,
                            double patience_s);
 // Takes the answer to a poll into account; pure but for `track`. False: it told nothing.
-bool judge_status(Track& track, const std::optional<HttpAnswer>& answer, double now, double patience_s);
+bool judge_status(Track& track, const std::optional<HttpAnswer>& answer, double now,
+                  double patience_s);
 
 struct PlayOptions {
     std::vector<Endpoint> to;
--- a/src/traces/readers_csv.cpp
+++ b/src/traces/readers_csv.cpp
@@ -1,5 +1,5 @@
-// The formats whose records are rows: SWF, Google ClusterData 2011, Alibaba 2018 and GPU 2020, Azure VM V1.
-// Columns are those of the formats' published descriptions.
+// The formats whose records are rows: SWF, Google ClusterData 2011, Alibaba 2018 and GPU 2020,
+// Azure VM V1. Columns are those of the formats' published descriptions.
 #include <algorithm>
 #include <string>
 
@@ -11,7 +11,9 @@
 Refusal bad_columns(size_t got, const char* wanted) {
     return {Reason::BadColumns, std::to_string(got) + " fields, where the format has " + wanted};
 }
-Refusal bad_row() { return {Reason::BadColumns, "the row's quotes are not closed or stand inside a field"}; }
+Refusal bad_row() {
+    return {Reason::BadColumns, "the row's quotes are not closed or stand inside a field"};
+}
 
 // -1 stands for "not known" in SWF.
 double known(double v) { return v == -1 ? kNoTime : v; }
@@ -55,7 +57,8 @@
             facts.started_s = facts.submitted_s + (std::isnan(wait) ? 0 : wait);
             facts.ended_s = facts.started_s + run;
         }
-        facts.tasks = asked > 0 ? asked : used;  // processors: as many tasks as the map makes of them
+        facts.tasks =
+            asked > 0 ? asked : used;  // processors: as many tasks as the map makes of them
         facts.cpu = 1;
         // Kilobytes for each processor.
         double kb = asked_kb > 0 ? asked_kb : used_kb;
@@ -154,7 +157,8 @@
     CsvRow row_;
 };
 
-// "M1", "R2_1", "J3_1_2": what a task of a DAG is, its number, and those it waits for. Others stand alone.
+// "M1", "R2_1", "J3_1_2": what a task of a DAG is, its number, and those it waits for. Others stand
+// alone.
 bool dag_name(std::string_view name, std::string& number, std::vector<std::string>& awaits) {
     size_t i = 0;
     while (i < name.size() && std::isalpha(static_cast<unsigned char>(name[i]))) ++i;
@@ -177,15 +181,16 @@
     return true;
 }
 
-// Alibaba 2018: machine_meta (7 fields), batch_task (9), batch_instance (14); times in seconds, CPUs in
-// hundredths, memory as a share of a machine's. A job here is one task group, as its instances are alike.
+// Alibaba 2018: machine_meta (7 fields), batch_task (9), batch_instance (14); times in seconds,
+// CPUs in hundredths, memory as a share of a machine's. A job here is one task group, as its
+// instances are alike.
 class Alibaba2018 : public Reader {
   public:
     bool graphs() const override { return true; }
     bool comment(std::string_view text, uint64_t line) const override {
-        return text.empty() ||
-               (line == 1 && (text.substr(0, 9) == "task_name" || text.substr(0, 13) == "instance_name" ||
-                              text.substr(0, 10) == "machine_id"));
+        return text.empty() || (line == 1 && (text.substr(0, 9) == "task_name" ||
+                                              text.substr(0, 13) == "instance_name" ||
+                                              text.substr(0, 10) == "machine_id"));
     }
     int table(std::string_view text) const override {
         auto fields = std::count(text.begin(), text.end(), ',') + 1;
@@ -244,8 +249,8 @@
     CsvRow row_;
 };
 
-// Alibaba GPU 2020: pai_job (6 fields), pai_task (10), pai_instance (9); CPUs and GPUs in hundredths, memory
-// in GB. The tasks of one role are a job here; all of them run together.
+// Alibaba GPU 2020: pai_job (6 fields), pai_task (10), pai_instance (9); CPUs and GPUs in
+// hundredths, memory in GB. The tasks of one role are a job here; all of them run together.
 class AlibabaGpu2020 : public Reader {
   public:
     bool comment(std::string_view text, uint64_t line) const override {
@@ -297,8 +302,8 @@
     CsvRow row_;
 };
 
-// Azure VM traces V1: vmtable, 11 fields; times in seconds. A VM runs until it is deleted; one that is there
-// at the end of the trace has the trace's end as its own.
+// Azure VM traces V1: vmtable, 11 fields; times in seconds. A VM runs until it is deleted; one that
+// is there at the end of the trace has the trace's end as its own.
 class AzureVm : public Reader {
   public:
     bool comment(std::string_view text, uint64_t line) const override {
@@ -341,12 +346,12 @@
         {"swf", "Standard Workload Format 2.2", "the log", make_swf},
         {"google-2011", "Google ClusterData 2011", "job_events, task_events, machine_events (CSV)",
          make_google_2011},
-        {"google-2019", "Google ClusterData 2019", "collection, instance and machine events (JSON lines)",
-         make_google_2019},
-        {"alibaba-2018", "Alibaba cluster trace 2018", "batch_task, batch_instance, machine_meta (CSV)",
-         make_alibaba_2018},
-        {"alibaba-gpu-2020", "Alibaba GPU cluster trace 2020", "pai_job, pai_task, pai_instance (CSV)",
-         make_alibaba_gpu_2020},
+        {"google-2019", "Google ClusterData 2019",
+         "collection, instance and machine events (JSON lines)", make_google_2019},
+        {"alibaba-2018", "Alibaba cluster trace 2018",
+         "batch_task, batch_instance, machine_meta (CSV)", make_alibaba_2018},
+        {"alibaba-gpu-2020", "Alibaba GPU cluster trace 2020",
+         "pai_job, pai_task, pai_instance (CSV)", make_alibaba_gpu_2020},
         {"philly", "Microsoft Philly", "cluster_job_log (JSON)", make_philly},
         {"azure-vm", "Azure VM traces V1", "vmtable (CSV)", make_azure_vm},
     };
--- a/src/traces/readers_json.cpp
+++ b/src/traces/readers_json.cpp
@@ -1,4 +1,5 @@
-// The formats whose records are JSON: Google ClusterData 2019 (a line each), Microsoft Philly (one array).
+// The formats whose records are JSON: Google ClusterData 2019 (a line each), Microsoft Philly (one
+// array).
 #include <simdjson.h>
 
 #include <algorithm>
@@ -17,7 +18,8 @@
 Refusal parse_object(dom::parser& parser, std::string_view text, dom::object& out) {
     dom::element doc;
     if (auto error = parser.parse(text.data(), text.size()).get(doc))
-        return {Reason::BadJson, std::string("not JSON that can be used: ") + simdjson::error_message(error)};
+        return {Reason::BadJson,
+                std::string("not JSON that can be used: ") + simdjson::error_message(error)};
     if (doc.get(out)) return {Reason::BadJson, "not an object"};
     return {};
 }
@@ -81,8 +83,8 @@
             if (!o["start_after_collection_ids"].get(before))
                 for (auto id : before) {
                     std::string_view s;
-                    facts.awaits.push_back(
-                        f.numeric_key(id.get(s) ? simdjson::minify(id) : std::string(s), "start_after"));
+                    facts.awaits.push_back(f.numeric_key(
+                        id.get(s) ? simdjson::minify(id) : std::string(s), "start_after"));
                 }
         } else {
             e.task = f.integer(instance, "instance_index", true);
@@ -93,9 +95,9 @@
             }
         }
         if (!f.ok()) return r;
-        static const char* const kTypes[] = {"SUBMIT", "QUEUE",          "ENABLE",        "SCHEDULE",
-                                             "EVICT",  "FAIL",           "FINISH",        "KILL",
-                                             "LOST",   "UPDATE_PENDING", "UPDATE_RUNNING"};
+        static const char* const kTypes[] = {
+            "SUBMIT", "QUEUE", "ENABLE", "SCHEDULE",       "EVICT",         "FAIL",
+            "FINISH", "KILL",  "LOST",   "UPDATE_PENDING", "UPDATE_RUNNING"};
         size_t t = 0;
         while (t < std::size(kTypes) && type != kTypes[t] && type != std::to_string(t)) ++t;
         if (t == std::size(kTypes)) return {Reason::BadEvent, "event type " + type};
@@ -123,24 +125,25 @@
     static constexpr const char kForm[] = "dddd-dd-dd dd:dd:dd";
     bool sound = text.size() == sizeof kForm - 1;
     for (size_t i = 0; sound && i < text.size(); ++i)
-        sound =
-            kForm[i] == 'd' ? std::isdigit(static_cast<unsigned char>(text[i])) != 0 : text[i] == kForm[i];
+        sound = kForm[i] == 'd' ? std::isdigit(static_cast<unsigned char>(text[i])) != 0
+                                : text[i] == kForm[i];
     static constexpr int kFrom[] = {0, 5, 8, 11, 14, 17}, kTo[] = {4, 7, 10, 13, 16, 19};
-    for (int i = 0; sound && i < 6; ++i) std::from_chars(text.data() + kFrom[i], text.data() + kTo[i], n[i]);
+    for (int i = 0; sound && i < 6; ++i)
+        std::from_chars(text.data() + kFrom[i], text.data() + kTo[i], n[i]);
     using namespace std::chrono;
     if (sound) {
         year_month_day day{year(n[0]), month(static_cast<unsigned>(n[1])),
                            std::chrono::day(static_cast<unsigned>(n[2]))};
         if (day.ok() && n[3] < 24 && n[4] < 60 && n[5] < 61)
-            return static_cast<double>(sys_days(day).time_since_epoch().count()) * 86400.0 + n[3] * 3600 +
-                   n[4] * 60 + n[5];
+            return static_cast<double>(sys_days(day).time_since_epoch().count()) * 86400.0 +
+                   n[3] * 3600 + n[4] * 60 + n[5];
     }
     f.refuse(Reason::BadNumber, std::string(name) + " is not a time");
     return kNoTime;
 }
 
-// Philly: cluster_job_log. GPUs are those of the last attempt that ran; each machine's share is a task, or
-// each GPU where shares differ.
+// Philly: cluster_job_log. GPUs are those of the last attempt that ran; each machine's share is a
+// task, or each GPU where shares differ.
 class Philly : public Reader {
   public:
     Cut cut() const override { return Cut::JsonArray; }
--- a/src/traces/script.cpp
+++ b/src/traces/script.cpp
@@ -17,10 +17,10 @@
     luaL_requiref(lua, LUA_TABLIBNAME, luaopen_table, 1);
     luaL_requiref(lua, LUA_STRLIBNAME, luaopen_string, 1);
     luaL_requiref(lua, LUA_MATHLIBNAME, luaopen_math, 1);
-    // Ways to files, to code that was not in the script, and to answers that differ from run to run. pcall
-    // would catch the end of the budget.
-    for (auto* name :
-         {"dofile", "loadfile", "load", "print", "warn", "collectgarbage", "pcall", "xpcall", "require"}) {
+    // Ways to files, to code that was not in the script, and to answers that differ from run to
+    // run. pcall would catch the end of the budget.
+    for (auto* name : {"dofile", "loadfile", "load", "print", "warn", "collectgarbage", "pcall",
+                       "xpcall", "require"}) {
         lua_pushnil(lua);
         lua_setglobal(lua, name);
     }
@@ -30,8 +30,8 @@
         lua_setfield(lua, -2, name);
     }
     lua_getglobal(lua, "string");
-    // Their work is done in C, beyond the count of instructions; that of find and match is bounded by the
-    // short texts that scripts are given.
+    // Their work is done in C, beyond the count of instructions; that of find and match is bounded
+    // by the short texts that scripts are given.
     for (auto* name : {"rep", "dump", "gsub", "gmatch"}) {
         lua_pushnil(lua);
         lua_setfield(lua, -2, name);
@@ -48,15 +48,15 @@
 
 struct TextField {
     const char* name;
-    std::string Draft::*field;
+    std::string Draft::* field;
 };
 struct NumberField {
     const char* name;
-    double Draft::*field;
+    double Draft::* field;
 };
 struct FlagField {
     const char* name;
-    bool Draft::*field;
+    bool Draft::* field;
 };
 constexpr TextField kTexts[] = {{"user", &Draft::user},   {"group", &Draft::group},
                                 {"queue", &Draft::queue}, {"class", &Draft::job_class},
--- a/src/traces/script.h
+++ b/src/traces/script.h
@@ -1,5 +1,5 @@
-// The map's script: decides per job where properties do not reach. Lua without io, os, load or modules, with
-// bounds on instructions and memory.
+// The map's script: decides per job where properties do not reach. Lua without io, os, load or
+// modules, with bounds on instructions and memory.
 //
 //     function job(j)
 //         if j.user == "batch" then return nil, "not wanted" end   -- refused, with this sentence
--- a/src/traces/shape.cpp
+++ b/src/traces/shape.cpp
@@ -64,7 +64,8 @@
         const char* name;
         Map::Names* names;
     };
-    const Group groups[] = {{"team.", &map.team}, {"urgency.", &map.urgency}, {"class.", &map.job_class}};
+    const Group groups[] = {
+        {"team.", &map.team}, {"urgency.", &map.urgency}, {"class.", &map.job_class}};
     std::vector<std::string> keys;
     // Keys come in a tree; dots in values of a trace ("user.a.b") make deeper ones.
     auto walk = [&](auto& self, const std::string& at) -> void {
@@ -78,11 +79,14 @@
     keys.erase(std::unique(keys.begin(), keys.end()), keys.end());
     for (auto& key : keys) {
         auto value = file->getRawString(key);
-        auto wrong = [&](const std::string& why) { throw MapError(path + ": " + key + ": " + why); };
-        if (auto* row =
-                std::find_if(std::begin(rows), std::end(rows), [&](auto& r) { return key == r.name; });
+        auto wrong = [&](const std::string& why) {
+            throw MapError(path + ": " + key + ": " + why);
+        };
+        if (auto* row = std::find_if(std::begin(rows), std::end(rows),
+                                     [&](auto& r) { return key == r.name; });
             row != std::end(rows)) {
-            auto [end, ec] = std::from_chars(value.data(), value.data() + value.size(), *row->value);
+            auto [end, ec] =
+                std::from_chars(value.data(), value.data() + value.size(), *row->value);
             if (ec != std::errc() || end != value.data() + value.size()) wrong("not a number");
             if (!(*row->value >= row->low && *row->value <= row->high)) wrong("out of range");
             continue;
@@ -125,7 +129,8 @@
     return map;
 }
 
-Shaper::Shaper(Map map, std::vector<MachineType> types) : map_(std::move(map)), types_(std::move(types)) {
+Shaper::Shaper(Map map, std::vector<MachineType> types)
+    : map_(std::move(map)), types_(std::move(types)) {
     for (auto& t : types_) widest_ = std::max(widest_, static_cast<double>(t.size.cpu) / 1000);
     if (!map_.script.empty()) script_.emplace(map_.script);
 }
@@ -174,8 +179,8 @@
     d.mem_gb = f.mem > 0 ? f.mem * map_.mem_gb : map_.default_mem_gb;
     if (f.divisible) {
         // Processors of one task as far as a machine holds them, and as equal as they can be.
-        double most =
-            map_.pack_cores > 0 ? map_.pack_cores : std::max(1.0, std::floor(widest_ / d.cores) * d.cores);
+        double most = map_.pack_cores > 0 ? map_.pack_cores
+                                          : std::max(1.0, std::floor(widest_ / d.cores) * d.cores);
         double each = std::max(1.0, std::floor(most / d.cores));
         d.tasks = std::ceil(f.tasks / each);
         each = std::ceil(f.tasks / d.tasks);
@@ -195,7 +200,8 @@
     if (d.tasks > kMaxTasks)
         return {Reason::TooManyTasks, "more than " + std::to_string(kMaxTasks) + " tasks"};
     if (std::isnan(d.run_s)) return {Reason::NoEnd, "nothing tells how long it ran"};
-    if (!(d.run_s <= 1e9)) return {Reason::BadNumber, "a run time beyond what a submission may have"};
+    if (!(d.run_s <= 1e9))
+        return {Reason::BadNumber, "a run time beyond what a submission may have"};
     auto wanted = urgency(d.urgency);
     if (!wanted) return {Reason::ScriptFailed, "the urgency is none of prod, high, normal, low"};
     if (d.team.empty() || d.team.size() > 200 || d.job_class.empty() || d.job_class.size() > 200)
@@ -208,7 +214,8 @@
     for (double v : {d.cores, d.gpus, d.mem_gb})
         if (!(v >= 0 && v < 1e6)) return no_fit();
     spec.need = {milli_up(d.cores), milli_up(d.gpus), milli_up(d.mem_gb)};
-    if (std::none_of(types_.begin(), types_.end(), [&](auto& t) { return spec.need.fits_in(t.size); }))
+    if (std::none_of(types_.begin(), types_.end(),
+                     [&](auto& t) { return spec.need.fits_in(t.size); }))
         return no_fit();
     spec.kind = d.gang ? JobKind::Gang : JobKind::Array;
     spec.priority = *wanted;
--- a/src/traces/shape.h
+++ b/src/traces/shape.h
@@ -1,5 +1,5 @@
-// What a job of a trace becomes here: the map's units, teams, urgencies and classes, then the script, then
-// what a submission must be to be taken.
+// What a job of a trace becomes here: the map's units, teams, urgencies and classes, then the
+// script, then what a submission must be to be taken.
 #pragma once
 #include <memory>
 #include <optional>
--- a/src/traces/stats.cpp
+++ b/src/traces/stats.cpp
@@ -59,19 +59,22 @@
     constexpr double kWidth = 600, kHeight = 120;
     uint64_t most = 1;
     for (auto& b : bars) most = std::max(most, b.n);
-    std::string out = "<figure><figcaption>" + escaped(title) +
-                      " <small>(highest bar: " + std::to_string(most) +
-                      ")</small></figcaption><svg viewBox=\"0 0 600 140\" role=\"img\" aria-label=\"" +
-                      escaped(title) + "\">";
+    std::string out =
+        "<figure><figcaption>" + escaped(title) + " <small>(highest bar: " + std::to_string(most) +
+        ")</small></figcaption><svg viewBox=\"0 0 600 140\" role=\"img\" aria-label=\"" +
+        escaped(title) + "\">";
     double step = kWidth / static_cast<double>(std::max<size_t>(bars.size(), 1));
     for (size_t i = 0; i < bars.size(); ++i) {
         if (bars[i].n == 0) continue;
-        double h = std::max(1.0, kHeight * static_cast<double>(bars[i].n) / static_cast<double>(most));
+        double h =
+            std::max(1.0, kHeight * static_cast<double>(bars[i].n) / static_cast<double>(most));
         char rect[160];
-        std::snprintf(rect, sizeof rect, "<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\">",
+        std::snprintf(rect, sizeof rect,
+                      "<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\">",
                       step * static_cast<double>(i), kHeight - h, std::max(0.5, step - 1), h);
         out += rect;
-        out += "<title>" + escaped(bars[i].label) + ": " + std::to_string(bars[i].n) + "</title></rect>";
+        out += "<title>" + escaped(bars[i].label) + ": " + std::to_string(bars[i].n) +
+               "</title></rect>";
     }
     return out + "<text x=\"0\" y=\"136\">" + escaped(left) +
            "</text><text x=\"600\" y=\"136\" text-anchor=\"end\">" + escaped(right) +
@@ -175,7 +178,8 @@
 
 std::string LoadStats::json() const {
     auto one = [](const ClassStats& c) {
-        std::string out = "{\"jobs\":" + std::to_string(c.jobs) + ",\"gangs\":" + std::to_string(c.gangs) +
+        std::string out = "{\"jobs\":" + std::to_string(c.jobs) +
+                          ",\"gangs\":" + std::to_string(c.gangs) +
                           ",\"tasks\":" + std::to_string(c.tasks);
         auto number = [&](const std::string& name, double v) {
             out += ",\"" + name + "\":";
@@ -183,8 +187,9 @@
         };
         number("core_hours", c.core_hours);
         number("gpu_hours", c.gpu_hours);
-        for (auto [name, spread] :
-             {std::pair{"width_cores", &c.width}, {"length_s", &c.length}, {"waiting_s", &c.waiting}}) {
+        for (auto [name, spread] : {std::pair{"width_cores", &c.width},
+                                    {"length_s", &c.length},
+                                    {"waiting_s", &c.waiting}}) {
             if (spread->count() == 0) continue;
             for (auto [q, share] : {std::pair{"p50", 0.5}, {"p95", 0.95}, {"p99", 0.99}})
                 number(std::string(name) + "_" + q, spread->at(share));
@@ -209,27 +214,35 @@
         "</title><style>\n"
         "body{font:16px/1.4 system-ui,sans-serif;margin:0 "
         "auto;max-width:60rem;padding:1rem;color:#222;background:#fff}\n"
-        "table{border-collapse:collapse;width:100%;display:block;overflow-x:auto}th,td{padding:.3rem "
+        "table{border-collapse:collapse;width:100%;display:block;overflow-x:auto}th,td{padding:."
+        "3rem "
         ".6rem;text-align:right;"
-        "border-bottom:1px solid #ccc;white-space:nowrap}th:first-child,td:first-child{text-align:left}\n"
+        "border-bottom:1px solid "
+        "#ccc;white-space:nowrap}th:first-child,td:first-child{text-align:left}\n"
         "figure{margin:1rem "
-        "0}svg{width:100%;height:auto}rect{fill:#2a6f97}text{font-size:12px;fill:#444}small{color:#555}\n"
-        "@media print{body{max-width:none;font-size:11pt}figure,tr{break-inside:avoid}table{display:table}}\n"
+        "0}svg{width:100%;height:auto}rect{fill:#2a6f97}text{font-size:12px;fill:#444}small{color:#"
+        "555}\n"
+        "@media "
+        "print{body{max-width:none;font-size:11pt}figure,tr{break-inside:avoid}table{display:table}"
+        "}\n"
         "</style></head><body>\n<h1>" +
-        escaped(title) + "</h1>\n<p>" + std::to_string(all_.jobs) + " jobs, " + std::to_string(all_.tasks) +
-        " tasks, " + shown(all_.core_hours) + " core hours and " + shown(all_.gpu_hours) +
+        escaped(title) + "</h1>\n<p>" + std::to_string(all_.jobs) + " jobs, " +
+        std::to_string(all_.tasks) + " tasks, " + shown(all_.core_hours) + " core hours and " +
+        shown(all_.gpu_hours) +
         " GPU hours as estimated.</p>\n<table><tr>"
         "<th>class</th><th>jobs</th><th>gangs</th><th>tasks</th><th>core hours</th><th>GPU "
         "hours</th><th>width, median</th>"
-        "<th>95%</th><th>length, median</th><th>95%</th><th>waiting, median</th><th>95%</th></tr>\n";
+        "<th>95%</th><th>length, median</th><th>95%</th><th>waiting, "
+        "median</th><th>95%</th></tr>\n";
     auto row = [&](const std::string& name, const ClassStats& c) {
         auto waits = c.waiting.count() > 0;
         out += "<tr><td>" + escaped(name) + "</td>";
-        for (auto& cell : {std::to_string(c.jobs), std::to_string(c.gangs), std::to_string(c.tasks),
-                           shown(c.core_hours), shown(c.gpu_hours), shown(c.width.at(0.5)) + " cores",
-                           shown(c.width.at(0.95)), shown_s(c.length.at(0.5)), shown_s(c.length.at(0.95)),
-                           waits ? shown_s(c.waiting.at(0.5)) : "\xe2\x80\x93",
-                           waits ? shown_s(c.waiting.at(0.95)) : "\xe2\x80\x93"})
+        for (auto& cell :
+             {std::to_string(c.jobs), std::to_string(c.gangs), std::to_string(c.tasks),
+              shown(c.core_hours), shown(c.gpu_hours), shown(c.width.at(0.5)) + " cores",
+              shown(c.width.at(0.95)), shown_s(c.length.at(0.5)), shown_s(c.length.at(0.95)),
+              waits ? shown_s(c.waiting.at(0.5)) : "\xe2\x80\x93",
+              waits ? shown_s(c.waiting.at(0.95)) : "\xe2\x80\x93"})
             out += "<td>" + cell + "</td>";
         out += "</tr>\n";
     };
@@ -239,7 +252,8 @@
     std::vector<Bar> bars;
     auto& counts = arrivals_.counts();
     for (size_t i = 0; i < counts.size(); ++i)
-        bars.push_back({counts[i], "from " + shown_s(static_cast<double>(i) * arrivals_.bucket_s())});
+        bars.push_back(
+            {counts[i], "from " + shown_s(static_cast<double>(i) * arrivals_.bucket_s())});
     if (!bars.empty())
         out += chart("Jobs that arrive in each " + shown_s(arrivals_.bucket_s()), bars, "0 s",
                      shown_s(static_cast<double>(counts.size()) * arrivals_.bucket_s()));
@@ -275,7 +289,8 @@
         Fields f(none);
         constexpr size_t kSent = 3, kStarted = 5, kColumns = 10;
         if (!row.parse(line.text) || row.size() != kColumns)
-            throw Unreadable(times + ":" + std::to_string(line.number) + ": not a row of a play's times");
+            throw Unreadable(times + ":" + std::to_string(line.number) +
+                             ": not a row of a play's times");
         double wait = f.amount(row[kStarted], "") - f.amount(row[kSent], "");
         if (auto it = class_of.find(std::string(row[0])); it != class_of.end() && wait >= 0)
             stats.waited(it->second, wait);
--- a/src/traces/stats.h
+++ b/src/traces/stats.h
@@ -1,8 +1,8 @@
-// What a load looks like: distributions of arrival, width, length and (after a play) waiting, by class, as
-// text and as one self-contained HTML page.
+// What a load looks like: distributions of arrival, width, length and (after a play) waiting, by
+// class, as text and as one self-contained HTML page.
 //
-// Owns: counts, whose size grows with classes and not with jobs; arrivals widen their buckets as time goes
-// on.
+// Owns: counts, whose size grows with classes and not with jobs; arrivals widen their buckets as
+// time goes on.
 #pragma once
 #include <boost/histogram.hpp>
 #include <cstdint>
@@ -16,8 +16,8 @@
 
 namespace weirmill::traces {
 
-// A distribution over decades: amounts from 1e-3 to 1e7, twenty steps a decade; larger and smaller ones count
-// at the ends.
+// A distribution over decades: amounts from 1e-3 to 1e7, twenty steps a decade; larger and smaller
+// ones count at the ends.
 class Spread {
   public:
     Spread();
@@ -25,7 +25,8 @@
     uint64_t count() const { return count_; }
     // The upper edge of the step in which the share lies; 0: nothing was counted.
     double at(double share) const;
-    // Counts in `bins` equal steps (on the logarithm) between the smallest and the largest amount seen.
+    // Counts in `bins` equal steps (on the logarithm) between the smallest and the largest amount
+    // seen.
     struct Bin {
         double from, to;
         uint64_t n;
@@ -58,7 +59,8 @@
 struct ClassStats {
     uint64_t jobs = 0, gangs = 0, tasks = 0;
     double core_hours = 0, gpu_hours = 0;  // as estimated
-    Spread width, length, waiting;  // cores of a job; s of a task; s from submission to the first start
+    Spread width, length,
+        waiting;  // cores of a job; s of a task; s from submission to the first start
 };
 
 class LoadStats {
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -18,8 +18,9 @@
 HttpClient::HttpClient(asio::io_context& io, Endpoint to, size_t body_limit)
     : io_(io), to_(std::move(to)), body_limit_(body_limit) {}
 
-asio::awaitable<std::optional<HttpAnswer>> HttpClient::request(const char* method, std::string target,
-                                                               std::string body, double timeout_s) {
+asio::awaitable<std::optional<HttpAnswer>> HttpClient::request(const char* method,
+                                                               std::string target, std::string body,
+                                                               double timeout_s) {
     Stream stream;
     auto deadline = std::chrono::duration_cast<std::chrono::steady_clock::duration>(
         std::chrono::duration<double>(timeout_s));
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -23,8 +23,9 @@
     HttpClient(boost::asio::io_context& io, Endpoint to, size_t body_limit);
 
     // Nothing: no answer came, and whether the request was executed is unknown.
-    boost::asio::awaitable<std::optional<HttpAnswer>> request(const char* method, std::string target,
-                                                              std::string body, double timeout_s);
+    boost::asio::awaitable<std::optional<HttpAnswer>> request(const char* method,
+                                                              std::string target, std::string body,
+                                                              double timeout_s);
 
   private:
     using Stream = std::unique_ptr<boost::beast::tcp_stream>;
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -16,8 +16,9 @@
 namespace {
 constexpr auto kIdle = 75s;     // a silent keep-alive connection, while there are few
 constexpr auto kIdleNear = 5s;  // near the limit
-// Shares of the limit: from the first on, silent connections are kept for a shorter time; from the second on, those of
-// machines are closed with their answers. The rest is for users, and for machines that come one after another.
+// Shares of the limit: from the first on, silent connections are kept for a shorter time; from the
+// second on, those of machines are closed with their answers. The rest is for users, and for
+// machines that come one after another.
 constexpr double kMany = 0.5, kNear = 0.75;
 constexpr auto kLeastSilent = 1s;  // one silent for less may have a request on its way
 constexpr auto kRoomPause = 100ms;
@@ -33,8 +34,12 @@
     return {address, e.port};
 }
 
-HttpServer::HttpServer(asio::io_context& io, const Endpoint& at, int max_connections, HttpHandler handler)
-    : acceptor_(io), max_connections_(max_connections), connections_(std::make_shared<Connections>(io)), handler_(std::move(handler)) {
+HttpServer::HttpServer(asio::io_context& io, const Endpoint& at, int max_connections,
+                       HttpHandler handler)
+    : acceptor_(io),
+      max_connections_(max_connections),
+      connections_(std::make_shared<Connections>(io)),
+      handler_(std::move(handler)) {
     auto endpoint = resolve(at);
     acceptor_.open(endpoint.protocol());
     acceptor_.set_option(tcp::acceptor::reuse_address(true));
@@ -95,7 +100,8 @@
     boost::system::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
     auto peer = socket.remote_endpoint(ignored);
-    std::string from = ignored ? "?" : peer.address().to_string() + ":" + std::to_string(peer.port());
+    std::string from =
+        ignored ? "?" : peer.address().to_string() + ":" + std::to_string(peer.port());
     beast::tcp_stream stream(std::move(socket));
     beast::flat_buffer buffer(kMaxBody + 16 * 1024);
     bool from_machine = false;
@@ -144,7 +150,8 @@
         if (from_machine && connections_->count > kNear * max_connections_) keep = false;
         http::response<http::string_body> out(static_cast<http::status>(reply.status), version);
         out.set(http::field::content_type, reply.content_type);
-        if (reply.retry_after_s > 0) out.set(http::field::retry_after, std::to_string(reply.retry_after_s));
+        if (reply.retry_after_s > 0)
+            out.set(http::field::retry_after, std::to_string(reply.retry_after_s));
         out.body() = std::move(reply.body);
         out.keep_alive(keep);
         out.prepare_payload();
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -25,19 +25,22 @@
     std::string body;
     int retry_after_s = 0;  // 0: no header
     const char* content_type = "application/json";
-    bool from_machine = false;  // asked by one of many that each ask rarely: closed first when sockets run short
+    bool from_machine =
+        false;  // asked by one of many that each ask rarely: closed first when sockets run short
 };
 
 using HttpHandler = std::function<boost::asio::awaitable<HttpReply>(HttpRequest)>;
 
 inline constexpr size_t kMaxBody = 64 * 1024;
 
-// Connections are kept between requests while there are few. Near the limit they are kept for a shorter time, and
-// those of machines are closed with their answers. At the limit the one that has been silent the longest makes room,
-// machines' first; where each is being answered, further ones wait in the listen backlog.
+// Connections are kept between requests while there are few. Near the limit they are kept for a
+// shorter time, and those of machines are closed with their answers. At the limit the one that has
+// been silent the longest makes room, machines' first; where each is being answered, further ones
+// wait in the listen backlog.
 class HttpServer {
   public:
-    HttpServer(boost::asio::io_context& io, const Endpoint& at, int max_connections, HttpHandler handler);
+    HttpServer(boost::asio::io_context& io, const Endpoint& at, int max_connections,
+               HttpHandler handler);
     uint16_t port() const { return acceptor_.local_endpoint().port(); }
 
   private:
--- a/src/transport/one_shot.h
+++ b/src/transport/one_shot.h
@@ -20,8 +20,9 @@
     boost::asio::awaitable<std::optional<T>> wait(double seconds) const {
         auto state = state_;
         if (!state->value) {
-            state->timer.expires_after(std::chrono::duration_cast<std::chrono::steady_clock::duration>(
-                std::chrono::duration<double>(seconds)));
+            state->timer.expires_after(
+                std::chrono::duration_cast<std::chrono::steady_clock::duration>(
+                    std::chrono::duration<double>(seconds)));
             co_await state->timer.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
         }
         co_return std::move(state->value);
@@ -44,11 +45,13 @@
 }
 
 inline double wall_now() {
-    return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch()).count();
+    return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch())
+        .count();
 }
 
 inline double steady_now() {
-    return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch()).count();
+    return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch())
+        .count();
 }
 
 }  // namespace weirmill
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -27,7 +27,9 @@
     return out;
 }
 
-std::string text_of(capnp::Data::Reader d) { return {reinterpret_cast<const char*>(d.begin()), d.size()}; }
+std::string text_of(capnp::Data::Reader d) {
+    return {reinterpret_cast<const char*>(d.begin()), d.size()};
+}
 capnp::Data::Reader data_of(const std::string& s) {
     return {reinterpret_cast<const kj::byte*>(s.data()), s.size()};
 }
@@ -60,7 +62,8 @@
 
 // One connection, either side: a reader hands frames on, a writer drains the queue.
 struct Wire : std::enable_shared_from_this<Wire> {
-    Wire(tcp::socket s, size_t queue_limit) : socket(std::move(s)), most_queued_bytes(queue_limit) {}
+    Wire(tcp::socket s, size_t queue_limit)
+        : socket(std::move(s)), most_queued_bytes(queue_limit) {}
 
     tcp::socket socket;
     std::deque<std::string> queue;
@@ -107,7 +110,8 @@
             unsigned char head[4];
             auto [ec, n] = co_await asio::async_read(self->socket, asio::buffer(head), kQuiet);
             (void)n;
-            uint32_t size = head[0] | head[1] << 8 | head[2] << 16 | static_cast<uint32_t>(head[3]) << 24;
+            uint32_t size =
+                head[0] | head[1] << 8 | head[2] << 16 | static_cast<uint32_t>(head[3]) << 24;
             if (ec) break;
             if (size > kMaxFrame || size % sizeof(capnp::word) != 0) {
                 spdlog::error("peer: refused a frame of {} bytes", size);
@@ -130,7 +134,8 @@
     }
 };
 
-PeerServer::PeerServer(asio::io_context& io, const Endpoint& at, PeerHandler handler, size_t queue_bytes)
+PeerServer::PeerServer(asio::io_context& io, const Endpoint& at, PeerHandler handler,
+                       size_t queue_bytes)
     : acceptor_(io, resolve(at), true), handler_(std::move(handler)), queue_bytes_(queue_bytes) {
     asio::co_spawn(io, accept_loop(), asio::detached);
 }
@@ -149,8 +154,11 @@
         auto on_frame = [this, wire = wire.get()](peer::Frame::Reader frame) {
             if (!frame.isCall()) return;
             auto in = frame.getCall();
-            PeerCall call{static_cast<PeerOp>(in.getOp()), std::string(in.getSubject().cStr()),
-                          text_of(in.getBody()), in.getVia(), std::string(in.getSender().cStr()),
+            PeerCall call{static_cast<PeerOp>(in.getOp()),
+                          std::string(in.getSubject().cStr()),
+                          text_of(in.getBody()),
+                          in.getVia(),
+                          std::string(in.getSender().cStr()),
                           read_links(in)};
             asio::co_spawn(
                 wire->socket.get_executor(),
@@ -186,7 +194,8 @@
 
 bool PeerClient::connected() const { return link_ && !link_->wire->dead; }
 
-// A socket for each call that found no link, in a burst of them, once took all the sockets there are.
+// A socket for each call that found no link, in a burst of them, once took all the sockets there
+// are.
 asio::awaitable<bool> PeerClient::connect(double timeout_s) {
     if (connected()) co_return true;
     if (connecting_) {
@@ -227,8 +236,8 @@
         auto it = link->waiting.find(frame.getSeq());
         if (it == link->waiting.end()) return;
         auto in = frame.getReply();
-        it->second.set(PeerReply{in.getStatus(), text_of(in.getBody()), in.getRetryAfterS(), in.getToken(),
-                                 in.getUndecided(), read_links(in)});
+        it->second.set(PeerReply{in.getStatus(), text_of(in.getBody()), in.getRetryAfterS(),
+                                 in.getToken(), in.getUndecided(), read_links(in)});
     };
     asio::co_spawn(io_, Wire::read_loop(link->wire, on_frame), asio::detached);
     link_ = link;
@@ -257,8 +266,9 @@
     link->wire->send(frame_text(message));
     auto reply = co_await answer.wait(std::max(0.01, until - steady_now()));
     link->waiting.erase(seq);
-    // A link on which nothing was answered since may be held by a cut: the next call opens a fresh one. Where
-    // others were answered, the peer is busy, and all that is on its way would be lost with the link.
+    // A link on which nothing was answered since may be held by a cut: the next call opens a fresh
+    // one. Where others were answered, the peer is busy, and all that is on its way would be lost
+    // with the link.
     if (!reply && link_ == link && link->answered_at < sent_at) {
         link->wire->close();
         link_.reset();
--- a/src/transport/peer_link.h
+++ b/src/transport/peer_link.h
@@ -1,4 +1,5 @@
-// Calls between controllers: Cap'n Proto messages, length-framed, over one kept TCP stream per peer.
+// Calls between controllers: Cap'n Proto messages, length-framed, over one kept TCP stream per
+// peer.
 #pragma once
 #include <deque>
 #include <functional>
@@ -19,7 +20,8 @@
 struct PeerCall {
     PeerOp op = PeerOp::Ping;
     std::string subject, body;
-    bool via = false;      // the sender can't reach the leader: to be passed on, but by the callee alone
+    bool via =
+        false;  // the sender can't reach the leader: to be passed on, but by the callee alone
     std::string sender{};  // the controller that calls; empty: this one
     LinkReport links{};    // with a ping
 };
@@ -40,7 +42,8 @@
 
 class PeerServer {
   public:
-    // `queue_bytes`: answers that may wait to be written to one peer. Beyond it the connection is closed.
+    // `queue_bytes`: answers that may wait to be written to one peer. Beyond it the connection is
+    // closed.
     PeerServer(boost::asio::io_context& io, const Endpoint& at, PeerHandler handler,
                size_t queue_bytes = kPeerQueueBytes);
     uint16_t port() const { return acceptor_.local_endpoint().port(); }
--- a/tests/begin_test.cpp
+++ b/tests/begin_test.cpp
@@ -20,7 +20,8 @@
     auto waits = w.job(w.spec("req-4", JobKind::Array, 1, 1));
     auto cancelled = w.job(w.spec("req-5", JobKind::Array, 1, 1));
     auto fresh = w.job(w.spec("req-6", JobKind::Array, 1, 1));
-    for (auto j : {old, older, begun, waits, cancelled, fresh}) w.tables.jobs[j]->seen_at = w.now - 169;
+    for (auto j : {old, older, begun, waits, cancelled, fresh})
+        w.tables.jobs[j]->seen_at = w.now - 169;
     w.tables.jobs[older]->seen_at = w.now - 200;
     w.tables.jobs[fresh]->seen_at = w.now - 167;
     w.tables.jobs[waits]->waits = true;
@@ -64,7 +65,8 @@
     spec.one_zone = true;
     auto wide = w.job(spec);
     w.running(w.spec("req-9", JobKind::Gang, 1, 7, 0, Priority::High), {on[4]});
-    EXPECT_EQ(gather_machines(w.tables, any_machine, wide, w.now), (std::vector<Index>{on[0], on[1]}));
+    EXPECT_EQ(gather_machines(w.tables, any_machine, wide, w.now),
+              (std::vector<Index>{on[0], on[1]}));
     w.running(w.spec("req-8", JobKind::Gang, 1, 7, 0, Priority::High), {on[0]});
     auto kept = gather_machines(w.tables, any_machine, wide, w.now);
     EXPECT_EQ(kept, (std::vector<Index>{on[2], on[3]}));
--- a/tests/cancel_model_test.cpp
+++ b/tests/cancel_model_test.cpp
@@ -1,9 +1,11 @@
-// A timed model of cancellations: an old leader that the state service refuses, a next one, a door and one worker with a
-// task of the job, in steps of time. It explores every schedule of refusals, one outage of the state service (leases have
-// their full time again afterwards), renewals that are answered late or never, a transaction carried out late, reports to
-// either leader, and who tells the user when. The grace, the leader's sureness and the margins are the real functions. No
-// schedule keeps the task on its machine beyond cancel_s after the user was told; with the grace a step longer than the
-// longest that holds, or any guard taken away at that length, one does (docs/design.md, "Cancellations and the grace").
+// A timed model of cancellations: an old leader that the state service refuses, a next one, a door
+// and one worker with a task of the job, in steps of time. It explores every schedule of refusals,
+// one outage of the state service (leases have their full time again afterwards), renewals that are
+// answered late or never, a transaction carried out late, reports to either leader, and who tells
+// the user when. The grace, the leader's sureness and the margins are the real functions. No
+// schedule keeps the task on its machine beyond cancel_s after the user was told; with the grace a
+// step longer than the longest that holds, or any guard taken away at that length, one does
+// (docs/design.md, "Cancellations and the grace").
 #include <gtest/gtest.h>
 
 #include <array>
@@ -21,18 +23,27 @@
 
 enum Guard : uint8_t {
     kWhole,
-    kCountsFromRequest,   // a renewal counts from the request that it answers, not from its answer
-    kMissingEnds,         // a renewal of a lease that is gone ends the tenure
-    kStopsWhenAsked,      // tasks are stopped when the cancellation is asked for, not when its record is known
-    kDoorTellsRecorded,   // a door tells what is recorded, not what it has asked the leader to record
-    kUnsureLeaderStops,   // a leader unsure of its lease still tells workers to stop what it knows as cancelled
+    kCountsFromRequest,  // a renewal counts from the request that it answers, not from its answer
+    kMissingEnds,        // a renewal of a lease that is gone ends the tenure
+    kStopsWhenAsked,  // tasks are stopped when the cancellation is asked for, not when its record
+                      // is known
+    kDoorTellsRecorded,   // a door tells what is recorded, not what it has asked the leader to
+                          // record
+    kUnsureLeaderStops,   // a leader unsure of its lease still tells workers to stop what it knows
+                          // as cancelled
     kHeldAnswersAreLate,  // a report that was held is looked at again before it is answered
     kRecordNamesToken,    // the record of a cancellation asks for the leadership
     kLowerTokenDropped,   // protocol: a worker drops the answers of an earlier leader than it knows
 };
-const char* const kNames[] = {"nothing", "counting from the request", "the end by a lease that is gone",
-                              "stops when asked", "a door tells recorded ones alone", "stops by an unsure leader",
-                              "another look at held reports", "the record's token", "lower tokens dropped"};
+const char* const kNames[] = {"nothing",
+                              "counting from the request",
+                              "the end by a lease that is gone",
+                              "stops when asked",
+                              "a door tells recorded ones alone",
+                              "stops by an unsure leader",
+                              "another look at held reports",
+                              "the record's token",
+                              "lower tokens dropped"};
 
 struct Times {
     double step_s;       // of the model
@@ -42,27 +53,31 @@
 
 struct State {
     uint8_t t;
-    uint8_t outage, refused;        // 0 not yet, 1 now, 2 over
-    uint8_t holder, ends;           // whose key it is (0 none, 1 old, 2 next), and when its lease ends
-    uint8_t since, asked;           // the old leader: the request that its sureness counts from; one without an answer + 1
-    uint8_t over, stopping;         // its tenure has ended; it stops the task
-    uint8_t txn;                    // of its cancellation: 1 sent, 2 carried out
+    uint8_t outage, refused;  // 0 not yet, 1 now, 2 over
+    uint8_t holder, ends;     // whose key it is (0 none, 1 old, 2 next), and when its lease ends
+    uint8_t since, asked;  // the old leader: the request that its sureness counts from; one without
+                           // an answer + 1
+    uint8_t over, stopping;  // its tenure has ended; it stops the task
+    uint8_t txn;             // of its cancellation: 1 sent, 2 carried out
     uint8_t next_since, next_leads, next_knows;
-    uint8_t recorded, told;         // told: when + 1
-    uint8_t sent, token, task;      // the worker: its last answered report; highest token; the task is there
-    uint8_t spare[6];               // to whole words
+    uint8_t recorded, told;  // told: when + 1
+    uint8_t sent, token,
+        task;          // the worker: its last answered report; highest token; the task is there
+    uint8_t spare[6];  // to whole words
 };
 static_assert(std::has_unique_object_representations_v<State> && sizeof(State) == 24);
 using Words = std::array<uint64_t, 3>;
 struct HashWords {
     size_t operator()(const Words& w) const {
-        return ((w[0] * 0x9E3779B97F4A7C15u ^ w[1]) * 0xC2B2AE3D27D4EB4Fu ^ w[2]) * 0x165667B19E3779F9u;
+        return ((w[0] * 0x9E3779B97F4A7C15u ^ w[1]) * 0xC2B2AE3D27D4EB4Fu ^ w[2]) *
+               0x165667B19E3779F9u;
     }
 };
 
 class Model {
   public:
-    Model(const Settings& s, Times times, Guard without) : settings_(s), times_(times), without_(without) {
+    Model(const Settings& s, Times times, Guard without)
+        : settings_(s), times_(times), without_(without) {
         lease_ = static_cast<int>(std::lround(times.lease_s / times.step_s));
         worker_ = static_cast<int>(std::floor(s.lease_s * (1 + kDrift) / times.step_s));
         cancel_ = static_cast<int>(std::floor(s.cancel_s / times.step_s));
@@ -88,12 +103,16 @@
         return sure_until(since * times_.step_s, times_.lease_s) / times_.step_s;
     }
     bool sure(int since, int t) const { return t < sure_end(since); }
-    bool answers(int since, int t) const { return t <= sure_end(since) + times_.grace_s / times_.step_s; }
-    // The old leader is last sure, and the user asks, within the first steps: later ones are the same, moved on.
+    bool answers(int since, int t) const {
+        return t <= sure_end(since) + times_.grace_s / times_.step_s;
+    }
+    // The old leader is last sure, and the user asks, within the first steps: later ones are the
+    // same, moved on.
     int horizon() const { return lease_ + 3; }
-    // What can make no difference any more is made equal. What could only end the task sooner is left out of the
-    // schedules: that the old leader learns of the record or of the next one, or that the next one ends; and the worker
-    // reports to the old leader whenever that one would keep the task.
+    // What can make no difference any more is made equal. What could only end the task sooner is
+    // left out of the schedules: that the old leader learns of the record or of the next one, or
+    // that the next one ends; and the worker reports to the old leader whenever that one would keep
+    // the task.
     void tidy(State& s) const {
         if (s.over) s.since = s.asked = 0;
         if (!s.next_leads) s.next_since = s.next_knows = 0;
@@ -149,7 +168,8 @@
         if (s.txn == 1 && up && (s.holder == 1 || !holds(kRecordNamesToken)))
             with(s, [](State& n) { n.txn = 2, n.recorded = 1; });
         // A door reads it and tells.
-        if (up && !s.told && s.recorded) with(s, [&](State& n) { n.told = static_cast<uint8_t>(t + 1); });
+        if (up && !s.told && s.recorded)
+            with(s, [&](State& n) { n.told = static_cast<uint8_t>(t + 1); });
         if (up && !s.told && !holds(kDoorTellsRecorded))
             with(s, [&](State& n) { n.told = static_cast<uint8_t>(t + 1); });
     }
@@ -171,7 +191,8 @@
         }
         if (s.asked) {
             with(s, [&](State& n) {
-                n.since = std::max<uint8_t>(n.since, holds(kCountsFromRequest) ? n.asked - 1 : static_cast<uint8_t>(t));
+                n.since = std::max<uint8_t>(
+                    n.since, holds(kCountsFromRequest) ? n.asked - 1 : static_cast<uint8_t>(t));
                 n.asked = 0;
             });
             with(s, [](State& n) { n.asked = 0; });
@@ -248,7 +269,8 @@
         Model model(s, {row.step_s, row.leader_s, answering_grace(s)}, kWhole);
         EXPECT_FALSE(model.breaks()) << row.what;
         EXPECT_GT(model.states(), 1000u) << row.what;
-        std::cout << row.what << ": grace " << answering_grace(s) << " s, " << model.states() << " states\n";
+        std::cout << row.what << ": grace " << answering_grace(s) << " s, " << model.states()
+                  << " states\n";
     }
 }
 
@@ -261,16 +283,21 @@
             longest = grace;
         }
         ASSERT_GE(longest, answering_grace(s)) << row.what;
-        EXPECT_TRUE(Model(s, {row.step_s, row.leader_s, longest + row.step_s}, kWhole).breaks()) << row.what;
-        std::cout << row.what << ": the longest that holds " << longest << " s, ours " << answering_grace(s) << " s\n";
+        EXPECT_TRUE(Model(s, {row.step_s, row.leader_s, longest + row.step_s}, kWhole).breaks())
+            << row.what;
+        std::cout << row.what << ": the longest that holds " << longest << " s, ours "
+                  << answering_grace(s) << " s\n";
         for (int g = kCountsFromRequest; g <= kRecordNamesToken; ++g) {
             Model model(s, {row.step_s, row.leader_s, longest}, static_cast<Guard>(g));
             EXPECT_TRUE(model.breaks()) << row.what << ", without " << kNames[g];
-            std::cout << "  without " << kNames[g] << ": " << (model.breaks() ? "found" : "not found") << " after "
-                      << model.states() << " states\n";
+            std::cout << "  without " << kNames[g] << ": "
+                      << (model.breaks() ? "found" : "not found") << " after " << model.states()
+                      << " states\n";
         }
-        // Not needed for the time: an earlier leader's answers end with its grace whoever takes them.
-        EXPECT_FALSE(Model(s, {row.step_s, row.leader_s, longest}, kLowerTokenDropped).breaks()) << row.what;
+        // Not needed for the time: an earlier leader's answers end with its grace whoever takes
+        // them.
+        EXPECT_FALSE(Model(s, {row.step_s, row.leader_s, longest}, kLowerTokenDropped).breaks())
+            << row.what;
     }
 }
 
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -30,7 +30,8 @@
     EXPECT_TRUE(first.one_zone && first.spot && !first.spread);
     EXPECT_EQ(first.zone, kNone);
     EXPECT_EQ(w.tables.names.teams.name(first.team), "red");
-    auto again = parse_submission(json::serialize(submission_json(first, w.tables.names)), w.tables.names);
+    auto again =
+        parse_submission(json::serialize(submission_json(first, w.tables.names)), w.tables.names);
     EXPECT_EQ(json::serialize(submission_json(again, w.tables.names)),
               json::serialize(submission_json(first, w.tables.names)));
 }
@@ -74,8 +75,9 @@
         json::value awaits;
         std::vector<std::string> read;
     };
-    const Row rows[] = {
-        {nullptr, {}}, {json::array{}, {}}, {json::array{"req-2", "req-1", "req-2"}, {"req-1", "req-2"}}};
+    const Row rows[] = {{nullptr, {}},
+                        {json::array{}, {}},
+                        {json::array{"req-2", "req-1", "req-2"}, {"req-1", "req-2"}}};
     for (auto& row : rows) {
         test::World w;
         auto o = sound_submission();
@@ -101,8 +103,9 @@
     EXPECT_EQ(r.tasks[1].cause, ExitCause::Stopped);
     EXPECT_TRUE(r.tasks[1].saved);
     const std::pair<const char*, const char*> swaps[] = {
-        {"\"shift\":1", "\"shift\":-1"},  {"\"tick\":88", "\"tick\":\"x\""}, {"req-000412/3", "req-000412"},
-        {"req-000412/3", "req-000412/x"}, {"\"running\"", "\"dreaming\""},   {"\"stopped\"", "\"bored\""},
+        {"\"shift\":1", "\"shift\":-1"}, {"\"tick\":88", "\"tick\":\"x\""},
+        {"req-000412/3", "req-000412"},  {"req-000412/3", "req-000412/x"},
+        {"\"running\"", "\"dreaming\""}, {"\"stopped\"", "\"bored\""},
         {"\"lots\":[", "\"lot_s\":["}};
     for (auto& [from, to] : swaps) {
         std::string bad = good;
@@ -117,17 +120,19 @@
                                   {CommandOp::Forget, "req-3", 0, 1, 0}};
     auto v = json::parse(report_answer(41, commands)).as_object();
     EXPECT_EQ(v["gavel"], 41);
-    EXPECT_EQ(v["orders"].as_array()[0], (json::value{{"order", "launch"}, {"lot", "req-1/4"}, {"try", 2}}));
-    EXPECT_EQ(v["orders"].as_array()[1],
-              (json::value{{"order", "stop"}, {"lot", "req-2/1"}, {"try", 1}, {"wind_down_s", 10.0}}));
+    EXPECT_EQ(v["orders"].as_array()[0],
+              (json::value{{"order", "launch"}, {"lot", "req-1/4"}, {"try", 2}}));
+    EXPECT_EQ(
+        v["orders"].as_array()[1],
+        (json::value{{"order", "stop"}, {"lot", "req-2/1"}, {"try", 1}, {"wind_down_s", 10.0}}));
     EXPECT_EQ(v["orders"].as_array()[2].as_object()["order"], "clear");
     EXPECT_EQ(redirect_answer("millstone-2"), R"({"clerk":"millstone-2"})");
     EXPECT_EQ(redirect_answer(""), "{}");
 }
 
 TEST(CloudCodec, ReadsTypesAndPages) {
-    auto types =
-        parse_machine_types(R"({"rigs":[{"label":"g8","cores":96,"accelerators":8,"mem_gb":768,"local_gb":200,
+    auto types = parse_machine_types(
+        R"({"rigs":[{"label":"g8","cores":96,"accelerators":8,"mem_gb":768,"local_gb":200,
         "fetch_gb_per_s":1.0,"hourly":12.0,"spot_price":4.5,"startup_s":45,"yards":["a","b"]}]})");
     ASSERT_EQ(types.size(), 1u);
     EXPECT_EQ(types[0].size, (Resources{96000, 8000, 768000}));
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -36,7 +36,8 @@
         size_t n;
         std::vector<size_t> picked;
     };
-    // Server 2 costs nothing once job a is stopped; then c goes from 4, which leaves 5 with half a job.
+    // Server 2 costs nothing once job a is stopped; then c goes from 4, which leaves 5 with half a
+    // job.
     const Row rows[] = {{0, {}},
                         {1, {0}},
                         {2, {0, 1}},
@@ -83,16 +84,20 @@
         {"equal priority", Priority::High, Priority::High, "blue", "blue", 7, 0},
         {"higher priority", Priority::High, Priority::Low, "blue", "blue", 7, 0},
         {"lower priority", Priority::Low, Priority::Normal, "blue", "blue", 7, 1},
-        {"beyond its guarantee, for a team that is owed", Priority::High, Priority::Low, "blue", "red", 7, 1},
+        {"beyond its guarantee, for a team that is owed", Priority::High, Priority::Low, "blue",
+         "red", 7, 1},
         {"within its own guarantee", Priority::High, Priority::Low, "red", "red", 7, 0},
-        {"a small task needs no machine to itself", Priority::Low, Priority::High, "blue", "blue", 2, 0},
+        {"a small task needs no machine to itself", Priority::Low, Priority::High, "blue", "blue",
+         2, 0},
     };
     for (auto& row : rows) {
         World w;
         auto m = w.machine("m0");
         w.running(w.spec("req-1", JobKind::Array, 1, 8, 0, row.victim, row.victim_team), {m});
-        w.job(w.spec("req-2", JobKind::Array, 1, row.waiting_cpus, 0, row.waiting, row.waiting_team));
-        EXPECT_EQ(plan_preemption(w.tables, any_machine, w.now).clearings.size(), row.clearings) << row.why;
+        w.job(
+            w.spec("req-2", JobKind::Array, 1, row.waiting_cpus, 0, row.waiting, row.waiting_team));
+        EXPECT_EQ(plan_preemption(w.tables, any_machine, w.now).clearings.size(), row.clearings)
+            << row.why;
     }
 }
 
@@ -107,13 +112,15 @@
 }
 
 TEST(Preemption, JobsOfARoundDoNotCountOnTheSameFreeRoom) {
-    // Eight gangs of 32 once counted on the same 13 free machines each: all had 19 cleared, and none began.
+    // Eight gangs of 32 once counted on the same 13 free machines each: all had 19 cleared, and
+    // none began.
     World w;
     auto free = w.machine("free");
     std::vector<Index> busy;
     for (int i = 0; i < 3; ++i) {
         busy.push_back(w.machine("m" + std::to_string(i)));
-        w.running(w.spec("req-1" + std::to_string(i), JobKind::Array, 1, 8, 0, Priority::Low), {busy.back()});
+        w.running(w.spec("req-1" + std::to_string(i), JobKind::Array, 1, 8, 0, Priority::Low),
+                  {busy.back()});
     }
     auto first = w.job(w.spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
     auto second = w.job(w.spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High));
@@ -138,11 +145,13 @@
     }
     place_waiting(w.tables, any_machine, w.now);
     auto next = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
-    EXPECT_EQ(place_waiting(w.tables, any_machine, w.now), (std::vector<Placement>{{next, 0, m1, 1}}));
+    EXPECT_EQ(place_waiting(w.tables, any_machine, w.now),
+              (std::vector<Placement>{{next, 0, m1, 1}}));
 }
 
 TEST(Placement, AGangGoesWhereItsImageIsAndNotOnSpotMachines) {
-    // It waits for its last machine to fetch the image, and loses the work of all with any one of them.
+    // It waits for its last machine to fetch the image, and loses the work of all with any one of
+    // them.
     struct Row {
         const char* why;
         uint32_t tasks;
@@ -164,7 +173,8 @@
         auto spec = w.spec("req-1", JobKind::Gang, row.tasks, 7);
         spec.one_zone = true;
         spec.image_gb = 6;
-        for (auto& name : row.image_on) w.tables.machines[w.tables.find_machine(name)]->images = {spec.image};
+        for (auto& name : row.image_on)
+            w.tables.machines[w.tables.find_machine(name)]->images = {spec.image};
         w.job(spec);
         std::vector<std::string> on;
         for (auto& p : place_waiting(w.tables, any_machine, w.now))
@@ -189,8 +199,8 @@
 }
 
 TEST(Gangs, TasksThatWouldWaitTooLongForAFetchAreLaunchedAfterIt) {
-    // An image that takes longer to fetch than tasks wait for each other: those that had it gave up, the
-    // fetch was given up with them, and the gang began anew for ever.
+    // An image that takes longer to fetch than tasks wait for each other: those that had it gave
+    // up, the fetch was given up with them, and the gang began anew for ever.
     struct Row {
         const char* why;
         double gb;                   // at 1 GB/s, by protocol up to half as long again
@@ -202,7 +212,12 @@
     // Patience: 30 s, less a late report of 2.5 s and one to spare.
     const Row rows[] = {
         {"a short fetch", 15, false, 0, {true, false, true}, {true, true, true}},
-        {"a long one: who fetches goes first", 30, false, 0, {true, false, true}, {false, true, false}},
+        {"a long one: who fetches goes first",
+         30,
+         false,
+         0,
+         {true, false, true},
+         {false, true, false}},
         {"just launched", 30, true, 0, {true, false, true}, {false, true, false}},
         {"it may take 45 s, 15 have gone", 30, true, 15, {true, false, true}, {false, true, false}},
         {"19 have gone", 30, true, 19, {true, false, true}, {true, true, true}},
@@ -229,7 +244,8 @@
 }
 
 TEST(Placement, LowerWorkLeavesMachinesEmptyForGangsThatComeOften) {
-    // Each machine that a gang left was filled by small tasks and cleared for the next gang seconds later.
+    // Each machine that a gang left was filled by small tasks and cleared for the next gang seconds
+    // later.
     World w;
     auto partly = w.machine("m0");
     for (auto* name : {"m1", "m2", "m3"}) w.machine(name);
@@ -238,7 +254,8 @@
     std::vector<Spare> spare{{&gang, 2, 2}};
     w.job(w.spec("req-1", JobKind::Array, 20, 4, 0, Priority::Low));
     auto placed = place_waiting(w.tables, any_machine, w.now, 100, spare);
-    EXPECT_EQ(placed.size(), 3u);  // one beside the other, two on the one empty machine that is not kept
+    EXPECT_EQ(placed.size(),
+              3u);  // one beside the other, two on the one empty machine that is not kept
     auto first = w.job(w.spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
     place_waiting(w.tables, any_machine, w.now, 100, spare);
     EXPECT_EQ(w.tables.jobs[first]->placed, 2u);
@@ -252,7 +269,8 @@
         int machines;
         std::vector<std::pair<int64_t, int64_t>> kept;  // tasks, of those at once
     };
-    // Six jobs of two tasks in two minutes: 0.1 tasks a second. A boot takes 33 s and two reports 4.
+    // Six jobs of two tasks in two minutes: 0.1 tasks a second. A boot takes 33 s and two
+    // reports 4.
     const Row rows[] = {
         {"gangs", JobKind::Gang, 7, 25, 10, 30, {{6, 2}}},
         {"clearing takes too long", JobKind::Gang, 7, 25, 60, 30, {{6, 0}}},
@@ -318,8 +336,8 @@
     auto small = w.job(w.spec("req-2", JobKind::Array, 2, 3));
     auto needs_gpu = w.job(w.spec("req-3", JobKind::Array, 1, 1, 1, Priority::Low));
     auto placed = place_waiting(w.tables, any_machine, w.now);
-    EXPECT_EQ(placed,
-              (std::vector<Placement>{{small, 0, fuller, 1}, {small, 1, empty, 1}, {needs_gpu, 0, gpu, 1}}));
+    EXPECT_EQ(placed, (std::vector<Placement>{
+                          {small, 0, fuller, 1}, {small, 1, empty, 1}, {needs_gpu, 0, gpu, 1}}));
 }
 
 TEST(Placement, PrefersTheMachineThatHasTheImage) {
@@ -331,8 +349,8 @@
     EXPECT_EQ(place_waiting(w.tables, any_machine, w.now)[0].machine, m1);
 }
 
-// A cluster and its jobs drawn from a seed. `alike`: the tasks of many jobs are of the same few kinds, as one
-// queue of machines serves them then; otherwise hardly any two are.
+// A cluster and its jobs drawn from a seed. `alike`: the tasks of many jobs are of the same few
+// kinds, as one queue of machines serves them then; otherwise hardly any two are.
 World drawn(unsigned seed, bool alike = false) {
     std::mt19937 random(seed);
     auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
@@ -340,8 +358,8 @@
     auto& names = w.tables.names;
     std::vector<Index> machines;
     for (uint32_t i = 0, n = 5 + below(60); i < n; ++i) {
-        machines.push_back(w.machine("m" + std::to_string(i), below(3) ? "std" : "gpu", below(2) ? "a" : "b",
-                                     below(3) == 0));
+        machines.push_back(w.machine("m" + std::to_string(i), below(3) ? "std" : "gpu",
+                                     below(2) ? "a" : "b", below(3) == 0));
         auto& m = *w.tables.machines[machines.back()];
         for (uint32_t k = below(3); k > 0; --k)
             m.images.push_back(names.images.intern("i" + std::to_string(below(4))));
@@ -351,8 +369,9 @@
     std::vector<Index> waiting;
     for (uint32_t n = 1; n <= 30; ++n) {
         auto kind = below(3) ? JobKind::Array : JobKind::Gang;
-        auto s = w.spec("req-" + std::to_string(n), kind, 1 + below(12), 0.5 * (1 + below(alike ? 2 : 9)),
-                        below(3) ? 0 : 1, static_cast<Priority>(below(4)), below(4) ? "blue" : "red");
+        auto s = w.spec("req-" + std::to_string(n), kind, 1 + below(12),
+                        0.5 * (1 + below(alike ? 2 : 9)), below(3) ? 0 : 1,
+                        static_cast<Priority>(below(4)), below(4) ? "blue" : "red");
         s.need.mem = 1000 * (1 + below(alike ? 1 : 12));
         s.image = names.images.intern("i" + std::to_string(below(alike ? 2 : 4)));
         s.image_gb = below(2);
@@ -405,8 +424,8 @@
     EXPECT_TRUE(w.tables.jobs[small]->guaranteed);
     EXPECT_FALSE(w.tables.jobs[beyond]->guaranteed);
     EXPECT_EQ(waiting_jobs(w.tables, w.now), (std::vector<Index>{small, high, beyond}));
-    // Of two jobs of a class that should start within 30 s, one is late already: it no longer holds up the
-    // other.
+    // Of two jobs of a class that should start within 30 s, one is late already: it no longer holds
+    // up the other.
     World late;
     late.tables.classes.resize(late.tables.names.classes.intern("class") + 1);
     late.tables.classes.back().start_within_s = 30;
@@ -420,7 +439,8 @@
 TEST(Placement, GivesAMachineToAnEqualJobWhoseImageItHas) {
     World w;
     auto m = w.machine("m0");
-    auto other = w.spec("req-1", JobKind::Array, 1, 5), near = w.spec("req-2", JobKind::Array, 1, 5);
+    auto other = w.spec("req-1", JobKind::Array, 1, 5),
+         near = w.spec("req-2", JobKind::Array, 1, 5);
     other.image = w.tables.names.images.intern("other");
     other.image_gb = near.image_gb = 4;
     w.job(other);
@@ -430,7 +450,8 @@
 }
 
 TEST(Placement, ASmallTaskOfHigherPriorityIsNotStarvedBySmallerOnes) {
-    // Each place that one end left went to a 1-CPU task, and 2-CPU tasks never saw two places together.
+    // Each place that one end left went to a 1-CPU task, and 2-CPU tasks never saw two places
+    // together.
     struct Row {
         const char* why;
         double cpus;
@@ -441,14 +462,16 @@
         {"higher: what lacks the least is held", 2, Priority::High, 2},
         {"equal: nothing is held", 2, Priority::Normal, 3},
         {"lower: nothing is held", 2, Priority::Low, 3},
-        {"takes more than half a machine: machines are cleared for it instead", 5, Priority::High, 3},
+        {"takes more than half a machine: machines are cleared for it instead", 5, Priority::High,
+         3},
     };
     for (auto& row : rows) {
         World w;
         std::vector<Index> on;
         for (double left : {1.0, 1.0, 3.0}) {
             on.push_back(w.machine("m" + std::to_string(on.size())));
-            w.running(w.spec("req-9" + std::to_string(on.size()), JobKind::Array, 1, 8 - left), {on.back()});
+            w.running(w.spec("req-9" + std::to_string(on.size()), JobKind::Array, 1, 8 - left),
+                      {on.back()});
         }
         auto big = w.job(w.spec("req-1", JobKind::Array, 2, row.cpus, 0, row.priority));
         auto small = w.job(w.spec("req-2", JobKind::Array, 3, 1));
@@ -462,8 +485,8 @@
 }
 
 TEST(Placement, HoldsNoMoreOfALimitThanMachinesCanFill) {
-    // Small tasks of a team waited for minutes beside idle machines, for a limit that its large jobs could
-    // not reach for want of machines.
+    // Small tasks of a team waited for minutes beside idle machines, for a limit that its large
+    // jobs could not reach for want of machines.
     struct Row {
         const char* why;
         int machines;
@@ -486,7 +509,8 @@
 }
 
 TEST(Sizing, RentsNothingInAZoneThatFellSilent) {
-    // During a cut of a zone, machines used to be rented there, and paid for, that nobody could reach.
+    // During a cut of a zone, machines used to be rented there, and paid for, that nobody could
+    // reach.
     World w;
     for (int i = 0; i < 6; ++i) {
         auto& m = *w.tables.machines[w.machine("m" + std::to_string(i), "std", i < 3 ? "a" : "b")];
@@ -502,7 +526,8 @@
 }
 
 TEST(Sizing, AnIdleMachineIsKeptForGangsOnly) {
-    // Every waiting job once kept every machine that suited it, though the job was held back by other things.
+    // Every waiting job once kept every machine that suited it, though the job was held back by
+    // other things.
     struct Row {
         JobKind kind;
         size_t returned;
@@ -603,7 +628,8 @@
 }
 
 TEST(Quota, ALargeJobsShareIsNotFilledByLaterTasksOfItsTeam) {
-    // Small tasks used to fill the limit whenever one ended: a large job of the same team never fitted.
+    // Small tasks used to fill the limit whenever one ended: a large job of the same team never
+    // fitted.
     World w;
     for (int i = 0; i < 6; ++i) w.machine("m" + std::to_string(i));
     auto small = w.job(w.spec("req-1", JobKind::Array, 40, 1, 0, Priority::Low, "red"));
@@ -661,7 +687,8 @@
 }
 
 TEST(Sizing, AJobBoundToOneZoneIsNotKeptInAZoneThatIsFull) {
-    // With one machine in zone a and no more to be had there, jobs queued for it while zone b was empty.
+    // With one machine in zone a and no more to be had there, jobs queued for it while zone b was
+    // empty.
     World w;
     auto std_type = w.tables.names.types.find("std");
     auto zone_a = w.tables.names.zones.find("a"), zone_b = w.tables.names.zones.find("b");
@@ -706,8 +733,8 @@
         {"room comes sooner", 1, 20, 60, 0},
         {"room comes later", 1, 60, 60, 1},
         {"time to spare", 1, 60, 600, 0},
-        // Work that never stops once waited as long as a boot for its own room, for the sake of cheap
-        // machines.
+        // Work that never stops once waited as long as a boot for its own room, for the sake of
+        // cheap machines.
         {"cheap: room comes sooner, though not by much", 10, 20, 60, 1},
         {"cheap: room comes much sooner", 10, 10, 60, 0},
         {"cheap: time to spare", 10, 60, 600, 0},
@@ -781,7 +808,8 @@
         const char* team;
         size_t cleared;
     };
-    // Three machines with work of low priority; first a gang of four that can't be served, then another job.
+    // Three machines with work of low priority; first a gang of four that can't be served, then
+    // another job.
     const Row rows[] = {
         {"wants as much", 4, 8, Priority::Normal, "blue", 0},
         {"wants less", 3, 8, Priority::Normal, "blue", 3},
@@ -796,7 +824,8 @@
             w.running(w.spec("req-" + std::to_string(i), JobKind::Array, 1, 8, 0, Priority::Low),
                       {w.machine("m" + std::to_string(i))});
         w.job(w.spec("req-10", JobKind::Gang, 4, 8));
-        auto second = w.job(w.spec("req-11", JobKind::Gang, row.tasks, row.cpus, 0, row.priority, row.team));
+        auto second =
+            w.job(w.spec("req-11", JobKind::Gang, row.tasks, row.cpus, 0, row.priority, row.team));
         auto round = plan_preemption(w.tables, test::any_machine, w.now);
         size_t cleared = 0;
         for (auto& c : round.clearings)
@@ -806,16 +835,17 @@
 }
 
 TEST(Sizing, ThePlanIsTheSameWhetherMachinesAreKeptInOrderOrLookedAtAnew) {
-    // Lists kept between jobs must follow every change that a job's plan makes: random clusters, with few
-    // kinds of tasks and with many.
+    // Lists kept between jobs must follow every change that a job's plan makes: random clusters,
+    // with few kinds of tasks and with many.
     size_t rentals = 0;
     for (unsigned seed = 1; seed <= 150; ++seed) {
         std::mt19937 random(seed);
         auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
         World w;
         for (uint32_t i = 0, n = 10 + below(80); i < n; ++i) {
-            auto& m = *w.tables.machines[w.machine("vm-" + std::to_string(i), below(3) ? "std" : "gpu",
-                                                   below(2) ? "a" : "b", below(3) == 0)];
+            auto& m =
+                *w.tables.machines[w.machine("vm-" + std::to_string(i), below(3) ? "std" : "gpu",
+                                             below(2) ? "a" : "b", below(3) == 0)];
             m.up = below(4) > 0;
             m.status = m.up ? MachineStatus::Running : MachineStatus::Booting;
             m.rented = w.now - below(30);
@@ -824,7 +854,8 @@
         for (uint32_t j = 0; j < jobs; ++j) {
             uint32_t k = below(kinds);
             auto s = w.spec("req-" + std::to_string(j), below(2) ? JobKind::Gang : JobKind::Array,
-                            1 + below(20), 1 + 0.2 * k, k % 3 == 0 ? 1 : 0, static_cast<Priority>(below(4)));
+                            1 + below(20), 1 + 0.2 * k, k % 3 == 0 ? 1 : 0,
+                            static_cast<Priority>(below(4)));
             s.spot = k % 2;
             s.one_zone = below(3) == 0;
             s.spread = !s.one_zone && below(4) == 0;
--- a/tests/door_model_test.cpp
+++ b/tests/door_model_test.cpp
@@ -1,8 +1,8 @@
-// A model check of the doors' records: every interleaving of two doors, two leaders and one job, with answers
-// that are lost and transactions that are executed again at any later time. The doors' transactions are the
-// real ones (doors/records.h); those of the leaders are held to the ledger's by
-// DoorRecords.TheLeadersTransactionsAreThoseOfTheModel. Each condition is then taken away on its own, and the
-// model must find what that one guards against.
+// A model check of the doors' records: every interleaving of two doors, two leaders and one job,
+// with answers that are lost and transactions that are executed again at any later time. The doors'
+// transactions are the real ones (doors/records.h); those of the leaders are held to the ledger's
+// by DoorRecords.TheLeadersTransactionsAreThoseOfTheModel. Each condition is then taken away on its
+// own, and the model must find what that one guards against.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,7 +22,8 @@
 
 const std::string kJob = "req-1";
 
-// Keys of the state service: who leads, the job's door record and final state, and a segment for each leader.
+// Keys of the state service: who leads, the job's door record and final state, and a segment for
+// each leader.
 enum Key : uint8_t { kLeads, kDoor, kFinal, kSegmentA, kSegmentB, kKeys };
 // What they hold.
 enum : uint8_t { kNothing, kAccepted, kAcceptedCancelled, kRequest };  // kDoor
@@ -84,7 +85,8 @@
         }
     };
     std::optional<Condition> without;
-    // What users ask of each door: submissions, cancellations, questions; and late executions in one history.
+    // What users ask of each door: submissions, cancellations, questions; and late executions in
+    // one history.
     std::array<std::array<uint8_t, 3>, 2> asked{{{1, 0, 0}, {0, 0, 1}}};
     uint8_t late_executions = 1, leader_cancels = 1;
     std::array<uint8_t, 2> leader_submits{1, 1};
@@ -130,8 +132,12 @@
         if (wrong_.empty()) wrong_ = what;
     }
 
-    static bool told_in_log(const State& s) { return (s.value[kSegmentA] | s.value[kSegmentB]) & kTold; }
-    static bool ended_in_log(const State& s) { return (s.value[kSegmentA] | s.value[kSegmentB]) & kEnd; }
+    static bool told_in_log(const State& s) {
+        return (s.value[kSegmentA] | s.value[kSegmentB]) & kTold;
+    }
+    static bool ended_in_log(const State& s) {
+        return (s.value[kSegmentA] | s.value[kSegmentB]) & kEnd;
+    }
     static bool live(const State& s) { return told_in_log(s) && !ended_in_log(s); }
     static bool cancelled_in_log(const State& s) {
         return (s.value[kSegmentA] | s.value[kSegmentB]) & kCancel;
@@ -153,7 +159,8 @@
             if (knew) fail("an accepted job is called unknown");
             return;
         }
-        if (what == kSaidAccepted && (knew & (kSaidCancelled | kSaidDone))) fail("went back to waiting");
+        if (what == kSaidAccepted && (knew & (kSaidCancelled | kSaidDone)))
+            fail("went back to waiting");
         if (what == kSaidCancelled && (knew & kSaidDone)) fail("done, then cancelled");
         if (what == kSaidDone && (knew & kSaidCancelled)) fail("cancelled, then done");
         s.told |= what;
@@ -162,8 +169,8 @@
     bool execute(State& s, Txn& t) {
         for (int k = 0; k < kKeys; ++k)
             if (t.conditions[k] != kAny && t.conditions[k] != s.version[k]) return false;
-        // What makes a new door record may be: the log holds the job, or its cancellation, by then, and the
-        // record is deleted again.
+        // What makes a new door record may be: the log holds the job, or its cancellation, by then,
+        // and the record is deleted again.
         bool makes = t.kind == kAccept || (t.kind == kDoorCancel && t.values[kDoor] == kRequest);
         if (t.executed && !makes) fail("a copy is executed again");
         t.executed = 1;
@@ -182,8 +189,8 @@
         if (s.lates == std::size(s.late)) return fail("the model has too little room");
         s.late[s.lates++] = t;
     }
-    // Copies that can do nothing any more, as versions never come back, are dropped; their order does not
-    // matter.
+    // Copies that can do nothing any more, as versions never come back, are dropped; their order
+    // does not matter.
     static void tidy(State& s) {
         auto dead = [&](const Txn& t) {
             if (s.late_left == 0) return true;
@@ -196,7 +203,8 @@
         };
         auto* end = std::remove_if(s.late, s.late + s.lates, dead);
         std::sort(s.late, end, [](auto& a, auto& b) { return std::memcmp(&a, &b, sizeof a) < 0; });
-        end = std::unique(s.late, end, [](auto& a, auto& b) { return std::memcmp(&a, &b, sizeof a) == 0; });
+        end = std::unique(s.late, end,
+                          [](auto& a, auto& b) { return std::memcmp(&a, &b, sizeof a) == 0; });
         s.lates = static_cast<uint8_t>(end - s.late);
         std::memset(static_cast<void*>(end), 0, (std::size(s.late) - s.lates) * sizeof(Txn));
     }
@@ -239,7 +247,8 @@
                 n.version[k] = ++n.last[k];
             }
             for (int i = 0; i < 2; ++i) {
-                // The leader that dropped them goes on with new ones, and forgets the job with time.
+                // The leader that dropped them goes on with new ones, and forgets the job with
+                // time.
                 auto& l = n.leaders[i];
                 if (l.in_flight || l.loaded == 0 || s.value[kLeads] != i + 1) continue;
                 l.own_version = n.version[i == 0 ? kSegmentA : kSegmentB];
@@ -282,7 +291,8 @@
                     x.in_flight = kAccept;
                     x.ended_when_sent = ended_in_log(s);
                     x.drops_when_sent = s.drops;
-                    x.txn = of(door_accept(kJob, {boost::json::object{}, 1, false}), kAccept, kAccepted);
+                    x.txn = of(door_accept(kJob, {boost::json::object{}, 1, false}), kAccept,
+                               kAccepted);
                     push(a);
                 }
                 if (d.cancels) {
@@ -305,8 +315,8 @@
                 return;
             case kSending: {
                 Txn t = d.txn;
-                // The answer is lost: the user is told to come back, and the transaction is executed later or
-                // not.
+                // The answer is lost: the user is told to come back, and the transaction is
+                // executed later or not.
                 State lost = s;
                 leave_copy(lost, t);
                 idle(lost.doors[i]);
@@ -366,7 +376,8 @@
             seen.live = &job;
             seen.live_cancelled = cancelled;
         }
-        if (ended) seen.ended = FinalState{ended == kDone ? JobState::Done : JobState::Cancelled, 0};
+        if (ended)
+            seen.ended = FinalState{ended == kDone ? JobState::Done : JobState::Cancelled, 0};
         auto where = standing(seen);
         bool open = where.state == JobState::Queued || where.state == JobState::Running;
         bool cancels = d.cancelling != 0;
@@ -500,8 +511,8 @@
             State n = s;
             send(n, i, kForget, 0);
         }
-        // What it answers: from its tables, or from what it reads in the order door record, final state,
-        // tables.
+        // What it answers: from its tables, or from what it reads in the order door record, final
+        // state, tables.
         State n = s;
         if (l.job == kAlive) tell(n, s.told, kSaidAccepted);
         if (l.job == kAliveCancelled) tell(n, s.told, kSaidCancelled);
@@ -557,8 +568,8 @@
     std::string wrong_;
 };
 
-// What users ask of the two doors at the most, besides a submission at each leader and a cancellation at the
-// second.
+// What users ask of the two doors at the most, besides a submission at each leader and a
+// cancellation at the second.
 struct Asked {
     const char* what;
     std::array<std::array<uint8_t, 3>, 2> doors;
--- a/tests/door_service_test.cpp
+++ b/tests/door_service_test.cpp
@@ -1,4 +1,5 @@
-// Doors over loopback: users are served while no leader answers, and each job that was accepted runs once.
+// Doors over loopback: users are served while no leader answers, and each job that was accepted
+// runs once.
 #include "doors/records.h"
 #include "service.h"
 
@@ -34,8 +35,11 @@
         return body;
     }
     // Once the node's door is open; -1: it never answers other than 503.
-    int submit_at(int node, const std::string& body) { return at(node, "POST", "/v2/runs", body).status; }
-    HttpAnswer at(int node, const char* method, const std::string& target, const std::string& body = "") {
+    int submit_at(int node, const std::string& body) {
+        return at(node, "POST", "/v2/runs", body).status;
+    }
+    HttpAnswer at(int node, const char* method, const std::string& target,
+                  const std::string& body = "") {
         HttpAnswer out{-1, ""};
         until([&] {
             auto reply = ask_node(static_cast<size_t>(node), method, target, body);
@@ -114,11 +118,13 @@
         {"an unknown team", unknown, 422},
         {"fits no machine", Service::submission("req-8", "array", 1, 100), 422},
         {"waits for what was never accepted",
-         Service::with(Service::submission("req-8", "array", 1), "awaits", json::array{"req-997"}), 422},
+         Service::with(Service::submission("req-8", "array", 1), "awaits", json::array{"req-997"}),
+         422},
         {"waits for itself",
-         Service::with(Service::submission("req-8", "array", 1), "awaits", json::array{"req-8"}), 422},
-        {"waits for what has ended", Service::with(s.upload("req-9", 1), "awaits", json::array{"req-2"}),
-         201},
+         Service::with(Service::submission("req-8", "array", 1), "awaits", json::array{"req-8"}),
+         422},
+        {"waits for what has ended",
+         Service::with(s.upload("req-9", 1), "awaits", json::array{"req-2"}), 201},
     };
     for (auto& row : rows) EXPECT_EQ(s.submit_at(f[0], row.body), row.status) << row.what;
     EXPECT_TRUE(s.done("req-9"));
@@ -152,7 +158,9 @@
     EXPECT_EQ(s.state_at(node, "req-3"), "aborted");
     EXPECT_EQ(s.starts("req-3", 2), 0);
     // What names a cancelled job is cancelled with it.
-    EXPECT_EQ(s.submit_at(node, Service::with(s.upload("req-4", 1), "awaits", json::array{"req-3"})), 201);
+    EXPECT_EQ(
+        s.submit_at(node, Service::with(s.upload("req-4", 1), "awaits", json::array{"req-3"})),
+        201);
     EXPECT_EQ(s.state_at(node, "req-4"), "aborted");
     // Nobody accepted it.
     EXPECT_EQ(s.at(node, "POST", "/v2/runs/req-999/cancel").status, 404);
@@ -237,13 +245,16 @@
     constexpr int kJobs = 2000;
     for (int i = 0; i < kJobs; ++i) {
         auto id = "req-" + std::to_string(10000 + i);
-        DoorRecord record{json::parse(Service::submission(id, "array", 1)), wall_now(), i % 100 != 0};
+        DoorRecord record{json::parse(Service::submission(id, "array", 1)), wall_now(),
+                          i % 100 != 0};
         s.asked_elsewhere(id, record.cancelled);
         s.cloud->jobs[id] = {};
         s.state->put(door_key(id), json::parse(door_record(record)));
     }
-    s.state->put(door_key("req-5"), json::object{{"cancelled", true}});  // of a job that nobody knows
-    s.state->put(door_key("req-6"), json::object{{"job", 7}, {"at", wall_now()}});  // of nobody's making
+    s.state->put(door_key("req-5"),
+                 json::object{{"cancelled", true}});  // of a job that nobody knows
+    s.state->put(door_key("req-6"),
+                 json::object{{"job", 7}, {"at", wall_now()}});  // of nobody's making
     s.add_node(1);
     ASSERT_TRUE(s.until([&] { return s.state->count("f/") == kJobs + 1; }));
     EXPECT_EQ(s.status("req-10000"), "done");
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -55,7 +55,8 @@
     };
     for (auto& row :
          {Row{0, {{"leader", 41}, {"log", 0}, {segment_key(1), 0}, {"f/req-1", 0}, {"d/req-1", 0}}},
-          Row{7, {{"leader", 41}, {"log", 0}, {segment_key(1), 0}, {"f/req-1", 0}, {"d/req-1", 7}}}}) {
+          Row{7,
+              {{"leader", 41}, {"log", 0}, {segment_key(1), 0}, {"f/req-1", 0}, {"d/req-1", 7}}}}) {
         World w;
         Ledger ledger(w.tables, 41, kSmall);
         auto j = w.tables.add_job(w.spec("req-1", JobKind::Array, 2, 1), 1000, w.now);
@@ -69,7 +70,8 @@
         b = ledger.next(12);
         seen.clear();
         for (auto& c : b.txn.conditions) seen[c.key] = c.version;
-        EXPECT_EQ(seen, (std::map<std::string, uint64_t>{{"leader", 41}, {"log", 0}, {"d/req-1", 7}}));
+        EXPECT_EQ(seen,
+                  (std::map<std::string, uint64_t>{{"leader", 41}, {"log", 0}, {"d/req-1", 7}}));
         ASSERT_EQ(b.txn.changes.size(), 1u);
         EXPECT_TRUE(b.txn.changes[0].value.empty());
         // Half of a transaction is left to users, but one record goes with each.
@@ -91,7 +93,8 @@
         ledger.forget(door_key(id), 5);
     }
     test::flush(ledger, w.tables, store, kSmall, w.now);
-    EXPECT_TRUE(store.keys.lower_bound(kDoorKeys) == store.keys.lower_bound("d0")) << "records are left";
+    EXPECT_TRUE(store.keys.lower_bound(kDoorKeys) == store.keys.lower_bound("d0"))
+        << "records are left";
     World fresh;
     Ledger loaded(fresh.tables, 42, kSmall);
     store.load(loaded, fresh.now);
@@ -100,19 +103,21 @@
 
 TEST(DoorRecords, AreReadAsTheyWereWrittenAndRefusedWhenTheyMakeNoSense) {
     World w;
-    DoorRecord r{submission_json(w.spec("req-1", JobKind::Gang, 3, 2), w.tables.names), 1234.5, true};
+    DoorRecord r{submission_json(w.spec("req-1", JobKind::Gang, 3, 2), w.tables.names), 1234.5,
+                 true};
     auto again = parse_door_record(json::parse(door_record(r)));
     EXPECT_EQ(again.job, r.job);
     EXPECT_EQ(again.at, 1234.5);
     EXPECT_TRUE(again.cancelled && again.accepted());
     EXPECT_FALSE(parse_door_record(json::parse(door_record({nullptr, 0, true}))).accepted());
-    for (const char* bad : {"[]", "{}", R"({"job":{}})", R"({"job":{},"at":-1})", R"({"cancelled":false})",
-                            R"({"cancelled":3})"})
+    for (const char* bad : {"[]", "{}", R"({"job":{}})", R"({"job":{},"at":-1})",
+                            R"({"cancelled":false})", R"({"cancelled":3})"})
         EXPECT_THROW(parse_door_record(json::parse(bad)), BadMessage) << bad;
 }
 
 TEST(DoorDecision, WhatIsFurtherAlongCounts) {
-    DoorRecord taken{json::object{}, 1, false}, cancelled{json::object{}, 1, true}, request{nullptr, 0, true};
+    DoorRecord taken{json::object{}, 1, false}, cancelled{json::object{}, 1, true},
+        request{nullptr, 0, true};
     LogView::Job waiting, running;
     running.placed = 2;
     running.done = 1;
@@ -124,30 +129,29 @@
         JobState state;
         int submit, status, cancel;  // what its user is told
     };
-    auto seen = [](std::optional<DoorRecord> d, const LogView::Job* live = nullptr, bool gone = false,
-                   std::optional<FinalState> f = {}) {
-        return Seen{std::move(d), live, gone, f};
-    };
+    auto seen = [](std::optional<DoorRecord> d, const LogView::Job* live = nullptr,
+                   bool gone = false,
+                   std::optional<FinalState> f = {}) { return Seen{std::move(d), live, gone, f}; };
     FinalState done{JobState::Done, 3}, aborted{JobState::Cancelled, 0};
     const Row rows[] = {
         {"never accepted", seen({}), At::Nowhere, JobState::Queued, 404, 404, 404},
         {"at a door", seen(taken), At::Door, JobState::Queued, 200, 200, 503},
         {"cancelled at a door", seen(cancelled), At::Door, JobState::Cancelled, 200, 200, 200},
-        {"a request for a job that was not found", seen(request), At::Unclear, JobState::Queued, 503, 503,
-         503},
+        {"a request for a job that was not found", seen(request), At::Unclear, JobState::Queued,
+         503, 503, 503},
         {"alive", seen({}, &waiting), At::Log, JobState::Queued, 200, 200, 503},
         {"running", seen({}, &running), At::Log, JobState::Running, 200, 200, 503},
-        {"alive, its door record is left over", seen(taken, &running), At::Log, JobState::Running, 200, 200,
-         503},
-        {"alive, a door asked for its end", seen(cancelled, &running), At::Log, JobState::Running, 200, 200,
-         503},
-        {"alive, the leader cancelled it", seen(request, &running, true), At::Log, JobState::Cancelled, 200,
-         200, 200},
+        {"alive, its door record is left over", seen(taken, &running), At::Log, JobState::Running,
+         200, 200, 503},
+        {"alive, a door asked for its end", seen(cancelled, &running), At::Log, JobState::Running,
+         200, 200, 503},
+        {"alive, the leader cancelled it", seen(request, &running, true), At::Log,
+         JobState::Cancelled, 200, 200, 200},
         {"done", seen({}, nullptr, false, done), At::Ended, JobState::Done, 200, 200, 200},
         {"done before a door's cancellation", seen(cancelled, nullptr, false, done), At::Ended,
          JobState::Done, 200, 200, 200},
-        {"ended as cancelled, its record is left over", seen(taken, nullptr, false, aborted), At::Ended,
-         JobState::Cancelled, 200, 200, 200},
+        {"ended as cancelled, its record is left over", seen(taken, nullptr, false, aborted),
+         At::Ended, JobState::Cancelled, 200, 200, 200},
     };
     for (auto& row : rows) {
         auto s = standing(row.seen);
@@ -212,8 +216,8 @@
         for (int step = 0; step < 1200; ++step) {
             if (below(8) == 0 && w.tables.job_index.size() < 10)
                 ledger.new_job(w.tables.add_job(
-                    w.spec("req-" + std::to_string(++jobs), JobKind::Array, 1 + below(50), 0.01), 1000,
-                    w.now));
+                    w.spec("req-" + std::to_string(++jobs), JobKind::Array, 1 + below(50), 0.01),
+                    1000, w.now));
             test::live_on(w.tables, ledger, machines, below, 300, w.now);
             auto b = ledger.next(2 + static_cast<int>(below(11)));
             if (b.empty()) continue;
@@ -310,8 +314,8 @@
     EXPECT_TRUE(view.cancelled("req-3"));
     EXPECT_FALSE(view.cancelled("req-4"));
     for (const char* bad :
-         {R"([[1,"x"]])", R"([["j",{}]])", R"([["t",5]])", R"([["z","req-1"]])", R"([["t","req-4",[7,1]]])",
-          R"([["p","req-5"]])", R"([["t","req-4",[0,3,"d"]]])"}) {
+         {R"([[1,"x"]])", R"([["j",{}]])", R"([["t",5]])", R"([["z","req-1"]])",
+          R"([["t","req-4",[7,1]]])", R"([["p","req-5"]])", R"([["t","req-4",[0,3,"d"]]])"}) {
         LogView fresh = view;
         StatePage next;
         next.items.push_back({segment_key(2), json::parse(bad), 2, 0});
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -40,8 +40,8 @@
         MachineType gpu_type{"gpu", {8000, 4000, 64000}, 50, 1, 10.0, 4.0, 30, {"a", "b"}};
         tables.set_types({std_type, gpu_type});
     }
-    Index machine(const std::string& name, const std::string& type = "std", const std::string& zone = "a",
-                  bool spot = false) {
+    Index machine(const std::string& name, const std::string& type = "std",
+                  const std::string& zone = "a", bool spot = false) {
         auto i = tables.add_machine(name, now);
         auto& m = *tables.machines[i];
         tables.describe_machine(m, type, zone, spot);
--- a/tests/further_meetings_service_test.cpp
+++ b/tests/further_meetings_service_test.cpp
@@ -11,8 +11,9 @@
 using test::Service;
 
 // A job of a team with a limit, or bound to a zone, as its user and its workers know it.
-void submit_as(Meeting& s, const std::string& id, const std::string& kind, int tasks, double cpus, double run_s,
-               const std::string& team, const std::string& zone = "", const std::string& urgency = "normal") {
+void submit_as(Meeting& s, const std::string& id, const std::string& kind, int tasks, double cpus,
+               double run_s, const std::string& team, const std::string& zone = "",
+               const std::string& urgency = "normal") {
     standin::Job job;
     job.run_s = run_s;
     job.gang = kind == "ensemble";
@@ -21,14 +22,16 @@
     job.zone = zone;
     job.cpus = cpus;
     s.cloud->jobs[id] = job;
-    auto body = Service::with(Service::submission(id, kind, tasks, cpus), "consignor", json::string(team));
+    auto body =
+        Service::with(Service::submission(id, kind, tasks, cpus), "consignor", json::string(team));
     body = Service::with(Service::with(body, "urgency", json::string(urgency)), "expected_s", 60.0);
     if (!zone.empty()) body = Service::with(body, "yard", json::string(zone));
     ASSERT_EQ(s.ask("POST", "/v2/runs", body).status, 201);
 }
 
-// A zone with workers and the leader is cut off for longer than a worker's lease: inside they hear each other, outside
-// another controller leads, cancels, and starts nothing of the zone's work before it is proven gone.
+// A zone with workers and the leader is cut off for longer than a worker's lease: inside they hear
+// each other, outside another controller leads, cancels, and starts nothing of the zone's work
+// before it is proven gone.
 TEST(FurtherMeetings, AZoneWithItsControllerCutOffForLongerThanALease) {
     Meeting s(3, apart());
     s.start("req-2", 4);
@@ -54,8 +57,8 @@
     s.expect_no_rule_broken();
 }
 
-// All controllers stand still, or end, for longer than a worker's lease: all work starts anew, each task once more, and
-// what users were told holds.
+// All controllers stand still, or end, for longer than a worker's lease: all work starts anew, each
+// task once more, and what users were told holds.
 TEST(FurtherMeetings, AllControllersAreAwayForLongerThanALease) {
     for (bool end : {false, true}) {
         SCOPED_TRACE(end);
@@ -66,15 +69,18 @@
         for (int i = 0; i < 3; ++i) s.crash(i);
         s.pass(1.5 * s.base.lease_s);
         EXPECT_FALSE(s.cloud->on_some_machine("req-2"));
-        for (int i = 0; i < 3; ++i) end ? s.add_node(i) : void(s.alive[static_cast<size_t>(i)] = true);
+        for (int i = 0; i < 3; ++i)
+            end ? s.add_node(i) : void(s.alive[static_cast<size_t>(i)] = true);
         EXPECT_TRUE(s.done("req-2"));
         EXPECT_EQ(s.status("req-3"), "aborted");
-        for (int t = 0; t < 3; ++t) EXPECT_EQ(s.cloud->starts["req-2/" + std::to_string(t)], 2) << t;
+        for (int t = 0; t < 3; ++t)
+            EXPECT_EQ(s.cloud->starts["req-2/" + std::to_string(t)], 2) << t;
         s.expect_no_rule_broken();
     }
 }
 
-// Leaders change ten times, once inside an outage; at each change a job is submitted and another cancelled.
+// Leaders change ten times, once inside an outage; at each change a job is submitted and another
+// cancelled.
 TEST(FurtherMeetings, LeadersChangeTenTimesAlsoInsideAnOutage) {
     Service::With with = apart();
     with.lease_s = 0.8;
@@ -103,8 +109,8 @@
     s.expect_no_rule_broken();
 }
 
-// Old reports come to every controller once more: as a new leader begins, before any newer one does, or once it has acted.
-// What has ended is not brought back, what runs is not taken for lost.
+// Old reports come to every controller once more: as a new leader begins, before any newer one
+// does, or once it has acted. What has ended is not brought back, what runs is not taken for lost.
 TEST(FurtherMeetings, OldReportsReachEveryControllerAsANewLeaderBeginsOrHasActed) {
     for (bool acted : {false, true}) {
         SCOPED_TRACE(acted);
@@ -139,8 +145,9 @@
     }
 }
 
-// A team is at its limit as the leader changes; machines with its tasks are silent, hang or reach no controller, and those
-// jobs are cancelled. What may still be there counts toward the limit; what waits begins once it is gone.
+// A team is at its limit as the leader changes; machines with its tasks are silent, hang or reach
+// no controller, and those jobs are cancelled. What may still be there counts toward the limit;
+// what waits begins once it is gone.
 TEST(FurtherMeetings, ATeamAtItsLimitCountsWhatMayStillBeOnMachinesOutOfReach) {
     struct Row {
         const char* what;
@@ -155,7 +162,8 @@
         submit_as(s, "req-2", "array", 16, 1, 1000, "red");
         submit_as(s, "req-3", "array", 16, 1, 1000, "red");
         ASSERT_TRUE(s.until([&] { return s.running("req-2") + s.running("req-3") == 32; }));
-        submit_as(s, "req-5", "array", 16, 1, 0.5, "blue");  // for room that the limit alone keeps free
+        submit_as(s, "req-5", "array", 16, 1, 0.5,
+                  "blue");  // for room that the limit alone keeps free
         EXPECT_TRUE(s.done("req-5"));
         submit_as(s, "req-4", "array", 16, 1, 0.5, "red");
         auto away = s.machines_of("req-2");
@@ -165,7 +173,10 @@
         s.next_leader_after(old);
         ASSERT_EQ(s.cancel_at(s.leading(), "req-2"), "aborted");
         double told = steady_now();
-        EXPECT_TRUE(s.until([&] { return s.state->keys().count("f/req-4") > 0 || steady_now() > told + 3 * s.base.cancel_s; }));
+        EXPECT_TRUE(s.until([&] {
+            return s.state->keys().count("f/req-4") > 0 ||
+                   steady_now() > told + 3 * s.base.cancel_s;
+        }));
         EXPECT_EQ(s.status("req-4"), "done");
         for (auto* w : away) row.away(*w, false);
         s.expect_gone_by(told, "req-2");
@@ -174,8 +185,8 @@
     }
 }
 
-// New machines are up at once and get work while writes lag, and the leader ends: before its placements are recorded, or
-// with their record on its way.
+// New machines are up at once and get work while writes lag, and the leader ends: before its
+// placements are recorded, or with their record on its way.
 TEST(FurtherMeetings, MachinesThatAreUpAtOnceGetWorkWhileWritesLagAndTheLeaderEnds) {
     for (int lag : {1, 4}) {
         SCOPED_TRACE(lag);
@@ -183,10 +194,11 @@
         with.links = true;   // for a lease of the workers that outlasts the change
         with.lease_s = 0.8;  // over before what lags is carried out
         Meeting s(3, with);
-        s.base.worker_patience_s = 1;  // longer than a report is held
+        s.base.worker_patience_s = 1;                      // longer than a report is held
         submit_as(s, "req-2", "array", 24, 4, 2, "blue");  // more than is there has room for
         s.state->delay_txns = lag;
-        // For longer than a report is held for records, and not for as long as the first of them takes.
+        // For longer than a report is held for records, and not for as long as the first of them
+        // takes.
         double until = steady_now() + 0.9;
         s.until([&] { return s.running("req-2") > 0 || steady_now() > until; });
         auto busy = s.machines_of("req-2");  // none of them but by a placement that is recorded
@@ -195,13 +207,15 @@
         s.pass(0.4 * s.base.lease_s);
         for (auto* w : busy) w->silent = false;
         EXPECT_TRUE(s.done("req-2"));
-        EXPECT_GE(s.cloud->ends["req-2"], 24);  // more where a lease ran out on a result that nobody had heard of
+        EXPECT_GE(s.cloud->ends["req-2"],
+                  24);  // more where a lease ran out on a result that nobody had heard of
         s.expect_no_rule_broken();
     }
 }
 
-// Users call jobs off at the very moment at which the state service refuses the leader alone; soon after, it is out for
-// all for longer than cancel_s. Whoever was told "aborted" finds it so, and its tasks end in time.
+// Users call jobs off at the very moment at which the state service refuses the leader alone; soon
+// after, it is out for all for longer than cancel_s. Whoever was told "aborted" finds it so, and
+// its tasks end in time.
 TEST(FurtherMeetings, CancellationsAtTheMomentAtWhichTheLeaderAloneIsRefusedBeforeALongOutage) {
     for (double before : {-0.05, 0.0, 0.02}) {
         bool ends = before > 0;  // the leader, which alone was asked, in the outage
@@ -214,7 +228,8 @@
             auto id = "req-" + std::to_string(j);
             for (int node = 0; node < 3; ++node)
                 if (!ends || node == old)
-                    asked[id].push_back(s.begin(static_cast<size_t>(node), "POST", "/v2/runs/" + id + "/cancel"));
+                    asked[id].push_back(
+                        s.begin(static_cast<size_t>(node), "POST", "/v2/runs/" + id + "/cancel"));
         };
         if (before < 0) s.state->refused.insert(old);
         for (int j = 2; j < 8; ++j) {
@@ -253,7 +268,8 @@
     };
     for (auto& row : {Row{"ends", [](Meeting& s) { s.crash(s.leading()); }},
                       Row{"refused", [](Meeting& s) { s.state->refused = {s.leading()}; }},
-                      Row{"stands still", [](Meeting& s) { s.alive[static_cast<size_t>(s.leading())] = false; }}}) {
+                      Row{"stands still",
+                          [](Meeting& s) { s.alive[static_cast<size_t>(s.leading())] = false; }}}) {
         SCOPED_TRACE(row.what);
         Meeting s(3, apart());
         for (int j = 2; j < 12; ++j) s.start("req-" + std::to_string(j), 1);
@@ -263,13 +279,16 @@
             if (j == 5) row.change(s);
             for (size_t node = 0; node < 3; ++node)
                 if (s.alive[node])
-                    asked.push_back(s.begin(node, "POST", "/v2/runs/req-" + std::to_string(j) + "/cancel"));
+                    asked.push_back(
+                        s.begin(node, "POST", "/v2/runs/req-" + std::to_string(j) + "/cancel"));
             s.pass(0.03);
         }
         s.next_leader_after(old);
         s.alive[static_cast<size_t>(old.back() - '0')] = std::string(row.what) != "ends";
         s.state->refused.clear();
-        EXPECT_TRUE(s.until([&] { return std::all_of(asked.begin(), asked.end(), [](auto& a) { return a->over; }); }));
+        EXPECT_TRUE(s.until([&] {
+            return std::all_of(asked.begin(), asked.end(), [](auto& a) { return a->over; });
+        }));
         for (int j = 2; j < 12; ++j) {
             auto id = "req-" + std::to_string(j);
             EXPECT_EQ(s.cancel_at(s.leading(), id), "aborted");
@@ -279,7 +298,8 @@
     }
 }
 
-// The machine of a cancelled job hangs and goes on, within its lease or after it, and meanwhile the leader may change.
+// The machine of a cancelled job hangs and goes on, within its lease or after it, and meanwhile the
+// leader may change.
 TEST(FurtherMeetings, ACancelledTaskWhoseMachineHangsAndGoesOnIsGoneInTimeAndNeverBegins) {
     struct Row {
         double leases;  // that it hangs
@@ -298,13 +318,15 @@
         s.pass(hung + row.leases * s.base.lease_s - steady_now());
         for (auto* w : machines) w->hung = false;
         s.expect_gone_by(told, "req-2");
-        for (int t = 0; t < 3; ++t) EXPECT_EQ(s.cloud->starts["req-2/" + std::to_string(t)], 1) << t;
+        for (int t = 0; t < 3; ++t)
+            EXPECT_EQ(s.cloud->starts["req-2/" + std::to_string(t)], 1) << t;
         s.expect_no_rule_broken();
     }
 }
 
-// Workers can't open connections to any controller, while commands reach them: they are not taken for deaf, cancelled
-// tasks are stopped by command long before their lease ends, and others start elsewhere only after it.
+// Workers can't open connections to any controller, while commands reach them: they are not taken
+// for deaf, cancelled tasks are stopped by command long before their lease ends, and others start
+// elsewhere only after it.
 TEST(FurtherMeetings, MachinesThatReachNoControllerButHearCommands) {
     Service::With with;
     with.links = true;  // for a lease of 6 s
@@ -321,7 +343,8 @@
     for (auto* w : mute) w->no_commands = false;
     EXPECT_TRUE(s.until([&] { return !s.cloud->on_some_machine("req-2"); }));
     EXPECT_LT(steady_now() - began, 0.5 * s.base.lease_s);
-    EXPECT_TRUE(s.until([&] { return s.cloud->starts["req-3/0"] > 1 || s.cloud->starts["req-3/1"] > 1; }));
+    EXPECT_TRUE(
+        s.until([&] { return s.cloud->starts["req-3/0"] > 1 || s.cloud->starts["req-3/1"] > 1; }));
     EXPECT_GT(steady_now() - began, s.base.lease_s - 2 * s.base.report_s);
     auto page = s.ask_node(static_cast<size_t>(s.leading()), "GET", "/metrics", "");
     ASSERT_TRUE(page);
@@ -346,8 +369,8 @@
     s.expect_no_rule_broken();
 }
 
-// More work than a team's limit has room for, urgent and not: the limit holds, all of it runs in the end, and the urgent
-// part is not the last.
+// More work than a team's limit has room for, urgent and not: the limit holds, all of it runs in
+// the end, and the urgent part is not the last.
 TEST(FurtherMeetings, MoreWorkThanRoomUrgentAndNot) {
     Meeting s(3);
     s.cloud->limits["red"] = 32;
@@ -357,14 +380,16 @@
     submit_as(s, "req-20", "array", 16, 1, 0.4, "red", "", "high");
     ASSERT_TRUE(s.until([&] { return s.state->keys().count("f/req-20") > 0; }));
     int left = 0;
-    for (int j = 0; j < 4; ++j) left += s.state->keys().count("f/req-" + std::to_string(10 + j)) == 0;
+    for (int j = 0; j < 4; ++j)
+        left += s.state->keys().count("f/req-" + std::to_string(10 + j)) == 0;
     EXPECT_GT(left, 0);
     for (int j = 0; j < 4; ++j) EXPECT_TRUE(s.done("req-" + std::to_string(10 + j)));
     s.expect_no_rule_broken();
 }
 
-// While no transaction is answered at all, each carried out late, the leader ends: another is elected all the same.
-// A campaign that was carried out late used to find its lease over, for as long as that lasted.
+// While no transaction is answered at all, each carried out late, the leader ends: another is
+// elected all the same. A campaign that was carried out late used to find its lease over, for as
+// long as that lasted.
 TEST(FurtherMeetings, ACampaignThatIsCarriedOutLateFindsItsLeaseAlive) {
     Service::With with = apart();
     with.lease_s = 0.7;  // half as long as a transaction takes here
--- a/tests/hearing_test.cpp
+++ b/tests/hearing_test.cpp
@@ -1,5 +1,5 @@
-// Machines that do not hear their answers, late copies of reports, and workers that begin anew: what reports
-// show, and the whole service over loopback with such machines. docs/failures.md.
+// Machines that do not hear their answers, late copies of reports, and workers that begin anew:
+// what reports show, and the whole service over loopback with such machines. docs/failures.md.
 #include "coordination/hearing/hearing.h"
 
 #include <random>
@@ -12,7 +12,8 @@
 namespace json = boost::json;
 using test::Service;
 
-// Report interval 2 s, lease 18 s, a worker's patience 4 s and 1 s more to the next of two controllers.
+// Report interval 2 s, lease 18 s, a worker's patience 4 s and 1 s more to the next of two
+// controllers.
 struct Ear {
     Settings settings = test::small_settings();
     Hearing hearing;
@@ -42,12 +43,15 @@
         std::vector<Step> steps;
         bool deaf;
     };
-    auto old = with(false, false), ours = with(true, false), missing = with(true, false, false, true),
-         taken = with(true, false, true), here = with(true, true);
+    auto old = with(false, false), ours = with(true, false),
+         missing = with(true, false, false, true), taken = with(true, false, true),
+         here = with(true, true);
     const Row rows[] = {
         {"nothing to be seen", {{0, 1, 1, ours}, {10, 1, 2, ours}, {10, 1, 3, ours}}, false},
         {"one answer lost", {{0, 1, 1, ours}, {10, 1, 2, missing}, {10, 1, 3, taken}}, false},
-        {"two launches not taken up", {{0, 1, 1, ours}, {10, 1, 2, missing}, {10, 1, 3, missing}}, true},
+        {"two launches not taken up",
+         {{0, 1, 1, ours}, {10, 1, 2, missing}, {10, 1, 3, missing}},
+         true},
         {"a launch missed, one taken, one missed",
          {{0, 1, 1, ours}, {10, 1, 2, missing}, {10, 1, 3, taken}, {10, 1, 4, missing}},
          false},
@@ -98,9 +102,10 @@
         bool back;
     };
     // A lease of 18 s, and 30 s for a replacement.
-    for (auto& row :
-         {Row{147, 1, 10, false}, Row{149, 1, 10, true}, Row{149, 5, 10, true}, Row{149, 6, 10, false}})
-        EXPECT_EQ(give_back_deaf(e.hearing, 30, row.deaf, row.up, e.settings, row.now), row.back) << row.deaf;
+    for (auto& row : {Row{147, 1, 10, false}, Row{149, 1, 10, true}, Row{149, 5, 10, true},
+                      Row{149, 6, 10, false}})
+        EXPECT_EQ(give_back_deaf(e.hearing, 30, row.deaf, row.up, e.settings, row.now), row.back)
+            << row.deaf;
     EXPECT_FALSE(give_back_deaf({}, 30, 0, 10, e.settings, 1e6));
 }
 
@@ -119,7 +124,11 @@
         {"a later tick", {{1, 3, 91, true}}},
         {"one late copy", {{1, 3, 60, false}}},
         {"copies in no order",
-         {{1, 3, 60, false}, {2, 3, 20, false}, {2, 2, 80, false}, {2, 3, 10, false}, {2, 3, 9, false}}},
+         {{1, 3, 60, false},
+          {2, 3, 20, false},
+          {2, 2, 80, false},
+          {2, 3, 10, false},
+          {2, 3, 9, false}}},
         {"copies in order, all at once",
          {{1, 3, 60, false}, {0.1, 3, 61, false}, {0.1, 3, 62, false}, {0.1, 3, 63, false}}},
         {"it counts from the start", {{1, 1, 1, false}, {2, 1, 2, false}, {2, 1, 3, true}}},
@@ -161,7 +170,8 @@
 }
 
 TEST(HearingService, WorkGoesElsewhereFromAMachineThatHearsNothingAndItIsGivenBack) {
-    // It was heard, and so it kept its tasks, got new ones at each of its sessions and was never given back.
+    // It was heard, and so it kept its tasks, got new ones at each of its sessions and was never
+    // given back.
     Service s(1);
     EXPECT_EQ(s.submit("req-1", "array", 1, {1.0}), 201);
     ASSERT_TRUE(s.until([&] { return s.cloud->on_some_machine("req-1"); }));
@@ -194,8 +204,9 @@
 }
 
 TEST(HearingService, CopiesOfReportsChangeNothing) {
-    // Of each report five old ones come again, to any controller, while jobs run, the leader ends and
-    // machines go silent: each task starts once on a sound machine, and no lease is kept from running out.
+    // Of each report five old ones come again, to any controller, while jobs run, the leader ends
+    // and machines go silent: each task starts once on a sound machine, and no lease is kept from
+    // running out.
     Service s(3);
     EXPECT_EQ(s.submit("req-1", "array", 6, {2.0}), 201);
     ASSERT_TRUE(s.until([&] { return s.cloud->starts.size() == 6; }));
@@ -216,8 +227,8 @@
 }
 
 TEST(HearingService, AMachineThatIsBackAtOnceLosesItsTasksAndIsUsedAgain) {
-    // Its counts begin anew: taken for copies, its reports were answered without an end, and what had been
-    // there was believed to run.
+    // Its counts begin anew: taken for copies, its reports were answered without an end, and what
+    // had been there was believed to run.
     Service s(1);
     EXPECT_EQ(s.submit("req-1", "array", 1, {1.5}), 201);
     ASSERT_TRUE(s.until([&] { return s.cloud->on_some_machine("req-1"); }));
@@ -229,9 +240,10 @@
     EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
 }
 
-// Every interleaving of a small world, drawn: one worker, its reports and copies of them in any order,
-// answers that are lost or come, sessions that end. The leader's rule for a task that a report does not show
-// must never take it for gone while the worker may yet have it from an answer of this leader.
+// Every interleaving of a small world, drawn: one worker, its reports and copies of them in any
+// order, answers that are lost or come, sessions that end. The leader's rule for a task that a
+// report does not show must never take it for gone while the worker may yet have it from an answer
+// of this leader.
 TEST(Hearing, NoReportProvesGoneWhatAnAnswerMayStillBring) {
     size_t proofs = 0, copies = 0;
     for (unsigned seed = 1; seed <= 4000; ++seed) {
@@ -265,9 +277,11 @@
                     ++copies;
                     continue;
                 }
-                if (got.order.session > known.session && known.session > 0) placed = false, ++proofs;
+                if (got.order.session > known.session && known.session > 0)
+                    placed = false, ++proofs;
                 known = got.order;
-                if (placed && !got.has_task && start_seq > 0 && start_seq < got.order.seq && one_in(2)) {
+                if (placed && !got.has_task && start_seq > 0 && start_seq < got.order.seq &&
+                    one_in(2)) {
                     placed = false;
                     ++proofs;
                 }
--- a/tests/history.cpp
+++ b/tests/history.cpp
@@ -11,9 +11,10 @@
 
 std::string text(const Exchange& e) {
     const char* const what[] = {"submission", "poll", "cancellation"};
-    return std::string(what[static_cast<int>(e.asking)]) + " of " + e.job + " asked at " + std::to_string(e.asked) +
-           ", answered at " + std::to_string(e.answered) + (e.where.empty() ? "" : " by " + e.where) + ": " +
-           std::to_string(e.status) + " " + e.state;
+    return std::string(what[static_cast<int>(e.asking)]) + " of " + e.job + " asked at " +
+           std::to_string(e.asked) + ", answered at " + std::to_string(e.answered) +
+           (e.where.empty() ? "" : " by " + e.where) + ": " + std::to_string(e.status) + " " +
+           e.state;
 }
 
 }  // namespace
@@ -57,8 +58,8 @@
                     return "not_done: " + text(*e);
                 if (e->asking == Asking::Cancellation && !is_end(e->state))
                     return "neither cancelled nor ended: " + text(*e);
-            } else if (after && (e->status == 404 ||
-                                 (e->asking == Asking::Submission && (e->status == 400 || e->status == 422)))) {
+            } else if (after && (e->status == 404 || (e->asking == Asking::Submission &&
+                                                      (e->status == 400 || e->status == 422)))) {
                 return "forgotten: " + text(*e) + " after " + text(*known);
             }
         }
