--- a/tests/history.h
+++ b/tests/history.h
@@ -1,5 +1,5 @@
-// What users were told, held against the rules of the protocol. It knows nothing of the service: an answer is right if
-// some moment between question and answer explains it beside all others.
+// What users were told, held against the rules of the protocol. It knows nothing of the service: an
+// answer is right if some moment between question and answer explains it beside all others.
 #pragma once
 #include <limits>
 #include <map>
@@ -16,15 +16,16 @@
     Asking asking = Asking::Poll;
     std::string job;
     double asked = 0, answered = std::numeric_limits<double>::infinity();
-    int status = 0;     // HTTP; 0: no answer
-    std::string state;  // where the status is 200 or 201
+    int status = 0;       // HTTP; 0: no answer
+    std::string state;    // where the status is 200 or 201
     std::string where{};  // for the message alone
 };
 
 struct History {
     std::vector<Exchange> exchanges;
     std::map<std::string, std::vector<std::string>> awaits;  // by job: those that it needs
-    std::map<std::string, double> ended;  // by job: when the last of its tasks ended; left out: nothing is known
+    std::map<std::string, double>
+        ended;  // by job: when the last of its tasks ended; left out: nothing is known
 
     // The first answer that breaks a rule, or nothing.
     std::string contradiction() const;
--- a/tests/known_red_test.cpp
+++ b/tests/known_red_test.cpp
@@ -1,6 +1,5 @@
 // What KNOWN-RED.txt may hold (.ci/known-red), as a table of lists.
 #include <gtest/gtest.h>
-
 #include <unistd.h>
 
 #include <array>
@@ -21,13 +20,15 @@
     auto* pipe = popen(("{ " + call + "; } 2>&1").c_str(), "r");
     if (!pipe) return ran;
     std::array<char, 4096> bytes;
-    while (size_t n = std::fread(bytes.data(), 1, bytes.size(), pipe)) ran.out.append(bytes.data(), n);
+    while (size_t n = std::fread(bytes.data(), 1, bytes.size(), pipe))
+        ran.out.append(bytes.data(), n);
     ran.status = pclose(pipe) >> 8;
     return ran;
 }
 
 TEST(KnownRed, ListsAFewTestsWithCauseAndIssueAndNothingElse) {
-    const std::string names = "A.One\\nA.Two\\nLinks/Every.Cut/1-byte object <01>\\nB.Three\\nB.Four";
+    const std::string names =
+        "A.One\\nA.Two\\nLinks/Every.Cut/1-byte object <01>\\nB.Three\\nB.Four";
     struct Row {
         const char* list;
         int status;
@@ -39,8 +40,10 @@
         {"A.One | a stop is lost | issue 34\n", 0, "A.One\n"},
         {"  A.Two|late|issue 7  \nLinks/Every.Cut/1-byte object <01> | a cut | issue 12", 0,
          "A.Two\nLinks/Every.Cut/1-byte object <01>\n"},
-        {"A.One | x | issue 1\nA.Two | x | issue 1\nB.Three | x | issue 1\n", 0, "A.One\nA.Two\nB.Three\n"},
-        {"A.One | x | issue 1\nA.Two | x | issue 1\nB.Three | x | issue 1\nB.Four | x | issue 1\n", 1, "more than three"},
+        {"A.One | x | issue 1\nA.Two | x | issue 1\nB.Three | x | issue 1\n", 0,
+         "A.One\nA.Two\nB.Three\n"},
+        {"A.One | x | issue 1\nA.Two | x | issue 1\nB.Three | x | issue 1\nB.Four | x | issue 1\n",
+         1, "more than three"},
         {"A.Nobody | x | issue 1\n", 1, "no test has the name A.Nobody"},
         {"A.On | x | issue 1\n", 1, "no test has the name A.On"},
         {"A.One\n", 1, "not TEST | cause | issue N"},
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -126,7 +126,8 @@
         size_t most_segments = 0;
         for (int step = 0; step < 1500; ++step) {
             if (below(12) == 0 && w.tables.job_index.size() < 12) {
-                auto spec = w.spec("req-" + std::to_string(++jobs), JobKind::Array, 1 + below(60), 0.01);
+                auto spec =
+                    w.spec("req-" + std::to_string(++jobs), JobKind::Array, 1 + below(60), 0.01);
                 ledger.new_job(w.tables.add_job(std::move(spec), 1000, w.now));
             }
             test::live_on(w.tables, ledger, machines, below, 400, w.now);
@@ -163,9 +164,10 @@
     }
 }
 
-// A job told anew in the transaction that records its cancellation stood behind that entry without it: once the segments
-// with its first record were dropped, a new leader, or a door that read the log from its start, took the entry for one of
-// an ended job, and called a job running again whose user had been told that it is cancelled.
+// A job told anew in the transaction that records its cancellation stood behind that entry without
+// it: once the segments with its first record were dropped, a new leader, or a door that read the
+// log from its start, took the entry for one of an ended job, and called a job running again whose
+// user had been told that it is cancelled.
 TEST(Ledger, ACancellationThatWasRecordedIsReadByEverybodyFromThenOn) {
     constexpr LedgerLimits limits{12, 1};
     for (size_t types : {0, 20}) {  // long lists of types: such a record takes several entries
@@ -184,15 +186,18 @@
                 if (w.tables.job_index.size() < 6) {
                     auto spec = w.spec("req-" + std::to_string(++jobs), JobKind::Array, 3, 0.01);
                     for (size_t n = 0; n < types; ++n)
-                        spec.types.push_back(w.tables.names.types.intern(std::string(90, 't') + std::to_string(n)));
+                        spec.types.push_back(
+                            w.tables.names.types.intern(std::string(90, 't') + std::to_string(n)));
                     ledger.new_job(w.tables.add_job(std::move(spec), 1000, w.now));
                 }
-                // Tasks come and go for longer than the log keeps a segment; those of a cancelled job for a while.
+                // Tasks come and go for longer than the log keeps a segment; those of a cancelled
+                // job for a while.
                 for (Index j = 0; j < w.tables.jobs.size(); ++j) {
                     auto* job = w.tables.jobs[j].get();
                     if (!job || job->version == 0 || job->ending) continue;
                     auto t = below(3);
-                    if (job->tasks[t].state == TaskState::Placed && below(job->cancelled ? 10 : 2) == 0)
+                    if (job->tasks[t].state == TaskState::Placed &&
+                        below(job->cancelled ? 10 : 2) == 0)
                         w.tables.vacate(j, t, w.now);
                     else if (job->tasks[t].state == TaskState::Pending && !job->cancelled)
                         w.tables.place(j, t, machine, job->tasks[t].attempt + 1, w.now);
@@ -213,7 +218,8 @@
                 for (auto& e : b.entries) {
                     auto id = e.job == kNone ? "" : w.tables.jobs[e.job]->spec.id;
                     if (e.kind == EntryKind::Cancel) cancelled.emplace(id, e.job), ++told;
-                    if (e.kind == EntryKind::Finish) cancelled.erase(id), w.tables.remove_job(e.job, w.now);
+                    if (e.kind == EntryKind::Finish)
+                        cancelled.erase(id), w.tables.remove_job(e.job, w.now);
                 }
                 if (cancelled.empty()) continue;
                 World fresh;
@@ -223,8 +229,10 @@
                 ASSERT_TRUE(view.take(store.log(), true));
                 for (auto& [id, j] : cancelled) {
                     auto* job = fresh.tables.find_job(id);
-                    ASSERT_TRUE(job && job->cancel_recorded) << types << " types, " << id << " at a new leader, seed " << seed;
-                    ASSERT_TRUE(view.cancelled(id)) << types << " types, " << id << " at a door, seed " << seed;
+                    ASSERT_TRUE(job && job->cancel_recorded)
+                        << types << " types, " << id << " at a new leader, seed " << seed;
+                    ASSERT_TRUE(view.cancelled(id))
+                        << types << " types, " << id << " at a door, seed " << seed;
                     ++kept;
                 }
             }
@@ -236,10 +244,11 @@
 
 TEST(Ledger, RefusesRecordsThatMakeNoSense) {
     for (const char* value :
-         {"{}", R"([1])", R"([["t"]])", R"([["x","req-1"]])", R"([["t",1]])", R"([["t","req-1",7]])",
-          R"([["t","req-1",[9,1,1,"m"]]])", R"([["t","req-1",[0,7,"d"]]])", R"([["t","req-1",["x",1]]])",
-          R"([["t","req-1",[0]]])", R"([["t","req-1",[0,1,1,3]]])", R"([["j",{}]])", R"([["p","req-2",0]])",
-          R"([["p","req-2",-1,"x"]])", R"([["p","req-2",0,"{"],["j",{"id":"req-2","pieces":1,"at":1}]])",
+         {"{}", R"([1])", R"([["t"]])", R"([["x","req-1"]])", R"([["t",1]])",
+          R"([["t","req-1",7]])", R"([["t","req-1",[9,1,1,"m"]]])", R"([["t","req-1",[0,7,"d"]]])",
+          R"([["t","req-1",["x",1]]])", R"([["t","req-1",[0]]])", R"([["t","req-1",[0,1,1,3]]])",
+          R"([["j",{}]])", R"([["p","req-2",0]])", R"([["p","req-2",-1,"x"]])",
+          R"([["p","req-2",0,"{"],["j",{"id":"req-2","pieces":1,"at":1}]])",
           R"([["j",{"pieces":2,"at":1}]])", R"([["e","req-1","late"]])"}) {
         World w;
         Ledger ledger(w.tables, 41, kSmall);
@@ -251,7 +260,8 @@
     for (const char* key : {"w/", "w/x", "w/-1"}) {
         World w;
         Ledger ledger(w.tables, 41, kSmall);
-        EXPECT_THROW(ledger.load_segment({key, boost::json::array{}, 5, 0}, w.now), BadMessage) << key;
+        EXPECT_THROW(ledger.load_segment({key, boost::json::array{}, 5, 0}, w.now), BadMessage)
+            << key;
     }
 }
 
@@ -274,7 +284,8 @@
 }
 
 TEST(Ledger, OfANoteTheNewestValueIsRecorded) {
-    // The machine types are such a note: without them a new leader could not decide while the cloud is down.
+    // The machine types are such a note: without them a new leader could not decide while the cloud
+    // is down.
     World w;
     Ledger ledger(w.tables, 41, kSmall);
     ledger.load_note(kTypesKey, 9);
@@ -331,12 +342,14 @@
         s.cancel_s = row.cancel_s;
         double grace = answering_grace(s);
         EXPECT_GE(grace, 0);
-        EXPECT_TRUE(grace == 0 || grace + s.lease_s * (1 + kDrift) + kMargin_s < s.cancel_s) << row.cancel_s;
-        // What an earlier leader answered last, at won + grace, has run out by the time that a task is taken
-        // for gone.
+        EXPECT_TRUE(grace == 0 || grace + s.lease_s * (1 + kDrift) + kMargin_s < s.cancel_s)
+            << row.cancel_s;
+        // What an earlier leader answered last, at won + grace, has run out by the time that a task
+        // is taken for gone.
         EXPECT_GT(earlier_leader_expiry(s, 1000), 1000 + grace + s.lease_s * (1 + kDrift));
         EXPECT_GT(answered_expiry(s, 1000), 1000 + s.lease_s * (1 + kDrift));
-        // A slow clock of ours against a true one of the state service: still sure too short, never too long.
+        // A slow clock of ours against a true one of the state service: still sure too short, never
+        // too long.
         EXPECT_LT(sure_until(1000, 4), 1000 + 4 * (1 - 0.0005));
     }
 }
@@ -362,9 +375,11 @@
         double from, to;  // the lease may be taken for ended between these
     };
     const Row rows[] = {
-        {"never heard of: whatever the earlier leader answered last", 0, 0, false, first, first + 1},
+        {"never heard of: whatever the earlier leader answered last", 0, 0, false, first,
+         first + 1},
         {"answered, knows us", 1100, 1100, true, 1118, 1119},
-        {"answered, but may still take an earlier leader's answer", 1001, 1001, false, first, first + 1},
+        {"answered, but may still take an earlier leader's answer", 1001, 1001, false, first,
+         first + 1},
         {"its first report is held, long after we won", 1100, 0, false, 1118, 1119},
         {"a later report is held", 1105, 1100, true, 1123, 1124},
     };
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -58,9 +58,11 @@
     burst.count(reply ? reply->status : 0);
 }
 
-asio::awaitable<void> send_report(asio::io_context& io, Endpoint to, std::string body, Burst& burst) {
+asio::awaitable<void> send_report(asio::io_context& io, Endpoint to, std::string body,
+                                  Burst& burst) {
     HttpClient client(io, to, 1024 * 1024);
-    auto answer = co_await client.request("POST", std::string(paths::kReport), std::move(body), kPatienceOfWorker_s);
+    auto answer = co_await client.request("POST", std::string(paths::kReport), std::move(body),
+                                          kPatienceOfWorker_s);
     burst.count(answer ? answer->status : 0);
 }
 
@@ -73,7 +75,8 @@
     });
     PeerClient link(io, {"127.0.0.1", server.port()});
     Burst burst;
-    for (int i = 0; i < kMachines; ++i) asio::co_spawn(io, relay_report(link, burst), asio::detached);
+    for (int i = 0; i < kMachines; ++i)
+        asio::co_spawn(io, relay_report(link, burst), asio::detached);
     ASSERT_TRUE(turn_until(io, [&] { return burst.over == kMachines; }, 10));
     EXPECT_EQ(burst.statuses, kAllTaken);
 }
@@ -123,14 +126,17 @@
 TEST(Limits, FourThousandMachinesConnectAtOnceWithFewerSocketsThanMachines) {
     constexpr int kConnections = 400;
     asio::io_context server_io{1}, io{1};
-    HttpServer server(server_io, {"127.0.0.1", 0}, kConnections, [](HttpRequest) -> asio::awaitable<HttpReply> {
-        HttpReply reply{200, "{}"};
-        reply.from_machine = true;
-        co_return reply;
-    });
+    HttpServer server(server_io, {"127.0.0.1", 0}, kConnections,
+                      [](HttpRequest) -> asio::awaitable<HttpReply> {
+                          HttpReply reply{200, "{}"};
+                          reply.from_machine = true;
+                          co_return reply;
+                      });
     Endpoint at{"127.0.0.1", server.port()};
     Burst burst;
-    for (int i = 0; i < kMachines; ++i) asio::co_spawn(io, send_report(io, at, std::string(kReportBytes, 'r'), burst), asio::detached);
+    for (int i = 0; i < kMachines; ++i)
+        asio::co_spawn(io, send_report(io, at, std::string(kReportBytes, 'r'), burst),
+                       asio::detached);
     for (double end = steady_now() + 9; burst.over < kMachines && steady_now() < end;) {
         server_io.poll();
         io.run_one_for(std::chrono::milliseconds(1));
@@ -171,7 +177,8 @@
     turn_until(io, [] { return false; }, 0.3);
 }
 
-// Every machine reports to this controller within the same second, each over a connection of its own.
+// Every machine reports to this controller within the same second, each over a connection of its
+// own.
 Burst report_all(Service& s, size_t node, uint64_t token) {
     Burst burst;
     Endpoint at{"127.0.0.1", s.nodes[node]->api_port()};
@@ -200,13 +207,15 @@
     ASSERT_TRUE(s.until([&] { return !s.leader().empty(); }));
     ASSERT_TRUE(ready(s));
     size_t follower = s.leader() == "node-0" ? 1 : 0;
-    auto first = s.ask_node(1 - follower, "POST", std::string(paths::kReport), report_of(kMachines, 0));
+    auto first =
+        s.ask_node(1 - follower, "POST", std::string(paths::kReport), report_of(kMachines, 0));
     ASSERT_TRUE(first && first->status == 200);
     auto token = json::parse(first->body).at("gavel").to_number<uint64_t>();
     bool relays = false;  // once it has learnt who leads
     double end = steady_now() + 5;
     for (int i = 1; !relays && steady_now() < end; ++i) {
-        auto reply = s.ask_node(follower, "POST", std::string(paths::kReport), report_of(kMachines + i, token));
+        auto reply = s.ask_node(follower, "POST", std::string(paths::kReport),
+                                report_of(kMachines + i, token));
         relays = reply && reply->status == 200;
         for (int k = 0; k < 50; ++k) s.turn();
     }
--- a/tests/links_service_test.cpp
+++ b/tests/links_service_test.cpp
@@ -1,6 +1,6 @@
-// The whole service over loopback with links that are cut one by one, held, refused, or lose their answers.
-// In every case a chain of links from the workers to the state service stands, and the work that runs must
-// outlive the cut: each of its tasks starts once.
+// The whole service over loopback with links that are cut one by one, held, refused, or lose their
+// answers. In every case a chain of links from the workers to the state service stands, and the
+// work that runs must outlive the cut: each of its tasks starts once.
 #include "service.h"
 
 namespace weirmill {
@@ -33,8 +33,8 @@
 
 constexpr int kWork = 6;
 
-// Tasks that fill a machine each and run for longer than a worker's lease: they can't outlive a cut in which
-// nobody answers for them.
+// Tasks that fill a machine each and run for longer than a worker's lease: they can't outlive a cut
+// in which nobody answers for them.
 void start_work(Service& s) {
     standin::Job job;
     job.run_s = s.base.lease_s + 2;
@@ -64,8 +64,8 @@
 class EveryCut : public testing::TestWithParam<Is> {};
 
 TEST_P(EveryCut, ALeaderThatLosesTheWorkersHandsOverWhilePeersRefuseEachOther) {
-    // It used to keep the leadership until every lease had run out, beside two controllers that reached all
-    // workers.
+    // It used to keep the leadership until every lease had run out, beside two controllers that
+    // reached all workers.
     Service s(3, cables());
     start_work(s);
     int old = s.leader().back() - '0';
@@ -87,7 +87,8 @@
     links.workers(leader, Is::Held);
     links.state(a, Is::Refused);
     links.state(b, Is::Refused);
-    // A cancellation reaches the workers as well: its stops go by the controller that relays for them.
+    // A cancellation reaches the workers as well: its stops go by the controller that relays for
+    // them.
     standin::Job job;
     job.run_s = 60;
     EXPECT_EQ(s.submit("req-2", "array", 2, job), 201);
@@ -103,8 +104,9 @@
 }
 
 TEST(LinksService, AControllerAloneWithItsWorkersIsLeftByThemAndIsQuietOnItsReturn) {
-    // It reaches neither the state service nor a peer, and hears all workers. They are answered until its
-    // grace is over and then go to the next leader within their lease; users get nothing that may be old.
+    // It reaches neither the state service nor a peer, and hears all workers. They are answered
+    // until its grace is over and then go to the next leader within their lease; users get nothing
+    // that may be old.
     Service s(3, cables());
     start_work(s);
     int old = s.leader().back() - '0';
@@ -135,7 +137,8 @@
     start_work(s);
     int leader = s.leader().back() - '0', a = (leader + 1) % 3, b = (leader + 2) % 3;
     Links links{s};
-    // Workers reach `a` alone, which reaches the leader over `b` alone; neither has the state service.
+    // Workers reach `a` alone, which reaches the leader over `b` alone; neither has the state
+    // service.
     links.workers(leader, Is::Refused);
     links.workers(b, Is::Refused);
     links.peer(a, leader, Is::Refused);
@@ -146,8 +149,8 @@
     s.cloud->jobs["req-2"] = {0.2, false, 1, false, {}};
     std::optional<HttpAnswer> reply;
     EXPECT_TRUE(s.until([&] {
-        reply =
-            s.ask_node(static_cast<size_t>(a), "POST", "/v2/runs", Service::submission("req-2", "array", 1));
+        reply = s.ask_node(static_cast<size_t>(a), "POST", "/v2/runs",
+                           Service::submission("req-2", "array", 1));
         return reply && reply->status != 503;
     }));
     EXPECT_EQ(reply->status, 201);
@@ -214,7 +217,8 @@
     for (int i = 0; s.leader() != "node-0" && i < 20; ++i) {
         int other = s.leader().back() - '0';
         Links{s}.state(other, Is::Refused);
-        ASSERT_TRUE(s.until([&] { return !s.leader().empty() && s.leader().back() - '0' != other; }));
+        ASSERT_TRUE(
+            s.until([&] { return !s.leader().empty() && s.leader().back() - '0' != other; }));
         Links{s}.state(other, Is::Up);
     }
     ASSERT_EQ(s.leader(), "node-0");
--- a/tests/meeting.h
+++ b/tests/meeting.h
@@ -1,5 +1,5 @@
-// Cases over loopback in which two troubles meet (docs/failures.md, "Meetings"). What is cut, held or refused stays so until a
-// condition holds; the bounds are those of the settings.
+// Cases over loopback in which two troubles meet (docs/failures.md, "Meetings"). What is cut, held
+// or refused stays so until a condition holds; the bounds are those of the settings.
 #pragma once
 #include "service.h"
 
@@ -33,11 +33,15 @@
         return n;
     }
     // The node's answer, once it is not to come back; "" if `given_up` comes first.
-    std::string cancel_at(int node, const std::string& id, const std::function<bool()>& given_up = [] { return false; }) {
+    std::string cancel_at(
+        int node, const std::string& id,
+        const std::function<bool()>& given_up = [] { return false; }) {
         std::string state;
         until([&] {
-            auto reply = ask_node(static_cast<size_t>(node), "POST", "/v2/runs/" + id + "/cancel", "");
-            if (reply && reply->status == 200) state = std::string(json::parse(reply->body).at("status").as_string());
+            auto reply =
+                ask_node(static_cast<size_t>(node), "POST", "/v2/runs/" + id + "/cancel", "");
+            if (reply && reply->status == 200)
+                state = std::string(json::parse(reply->body).at("status").as_string());
             return !state.empty() || given_up();
         });
         return state;
@@ -51,7 +55,8 @@
     }
     // Whether nobody on any machine runs it from now on, for as long as a cancellation may take.
     void expect_gone_by(double told, const std::string& id) {
-        EXPECT_TRUE(until([&] { return !cloud->on_some_machine(id) || steady_now() > told + base.cancel_s; }));
+        EXPECT_TRUE(until(
+            [&] { return !cloud->on_some_machine(id) || steady_now() > told + base.cancel_s; }));
         pass(std::max(0.0, told + base.cancel_s - steady_now()));
         EXPECT_FALSE(cloud->on_some_machine(id)) << id;
     }
--- a/tests/meetings_service_test.cpp
+++ b/tests/meetings_service_test.cpp
@@ -1,5 +1,5 @@
-// The service over loopback where two troubles meet (docs/failures.md, "Meetings"). What is cut, held or refused stays
-// so until a condition holds; the bounds are those of the settings.
+// The service over loopback where two troubles meet (docs/failures.md, "Meetings"). What is cut,
+// held or refused stays so until a condition holds; the bounds are those of the settings.
 #include <random>
 
 #include "meeting.h"
@@ -13,17 +13,20 @@
 using test::Meeting;
 using test::Service;
 
-// The state service refuses the leader alone, another controller confirms a cancellation, and then the state service is
-// down for all for longer than cancel_s, while the workers keep reporting to the old leader.
+// The state service refuses the leader alone, another controller confirms a cancellation, and then
+// the state service is down for all for longer than cancel_s, while the workers keep reporting to
+// the old leader.
 TEST(Meetings, ACancellationThatTheOldLeaderCannotKnowOfEndsItsTasksInTimeThroughAnOutage) {
     struct Row {
         const char* what;
-        bool commands;     // the next leader's stops reach the workers
-        bool ends;         // the next leader ends as soon as it has confirmed
-        bool peers;        // controllers hear each other
+        bool commands;  // the next leader's stops reach the workers
+        bool ends;      // the next leader ends as soon as it has confirmed
+        bool peers;     // controllers hear each other
     };
-    for (auto& row : {Row{"stops arrive", true, false, false}, Row{"nothing of the next leader's arrives", false, false, false},
-                      Row{"the next leader ends", false, true, false}, Row{"peers tell of it", false, false, true}}) {
+    for (auto& row : {Row{"stops arrive", true, false, false},
+                      Row{"nothing of the next leader's arrives", false, false, false},
+                      Row{"the next leader ends", false, true, false},
+                      Row{"peers tell of it", false, false, true}}) {
         Meeting s(3, row.peers ? Service::With{} : apart());
         s.start("req-2", 3);
         auto old = s.leader();
@@ -47,8 +50,9 @@
     }
 }
 
-// No transaction of anybody is answered, each is carried out late: the record of a cancellation stands, doors read it
-// and tell users, and the leader has no answer for it. The tasks used to run on for as long as that lasted.
+// No transaction of anybody is answered, each is carried out late: the record of a cancellation
+// stands, doors read it and tell users, and the leader has no answer for it. The tasks used to run
+// on for as long as that lasted.
 TEST(Meetings, TasksOfACancelledJobEndAlthoughItsLeaderNeverLearnsThatItIsRecorded) {
     Meeting s(2);
     s.start("req-2", 3);
@@ -65,8 +69,9 @@
     s.expect_no_rule_broken();
 }
 
-// The same, and jobs are taken, started and ended: what was carried out is read. A leader that waited for an answered
-// copy did nothing for as long as none was, and polls of a job that was being cancelled all failed.
+// The same, and jobs are taken, started and ended: what was carried out is read. A leader that
+// waited for an answered copy did nothing for as long as none was, and polls of a job that was
+// being cancelled all failed.
 TEST(Meetings, WithoutAnyAnsweredTransactionWorkGoesOnAndEveryJobStaysKnown) {
     Meeting s(2);
     s.start("req-2", 2);
@@ -90,8 +95,9 @@
     s.expect_no_rule_broken();
 }
 
-// The record of a job's end stands, its leader has no answer for it, and controllers refuse each other: a follower's
-// door reads the end and tells it. The leader used to call the same job running afterwards.
+// The record of a job's end stands, its leader has no answer for it, and controllers refuse each
+// other: a follower's door reads the end and tells it. The leader used to call the same job running
+// afterwards.
 TEST(Meetings, NobodyCallsAJobRunningOfWhichADoorHasToldTheEnd) {
     for (bool cancelled : {false, true}) {
         Meeting s(2, apart());
@@ -116,8 +122,9 @@
     }
 }
 
-// Renewals are carried out at once and answered after more than a quarter of the lease: the leader stays sure of it.
-// It used to give each up after a quarter, and led no more, while nobody else could.
+// Renewals are carried out at once and answered after more than a quarter of the lease: the leader
+// stays sure of it. It used to give each up after a quarter, and led no more, while nobody else
+// could.
 TEST(Meetings, AStateServiceThatAnswersRenewalsSlowlyKeepsItsLeader) {
     Service::With with;
     with.lease_s = 6;
@@ -128,7 +135,8 @@
     for (int i = 0; i < 5; ++i) {
         auto id = "req-" + std::to_string(10 + i);
         s.cloud->jobs[id] = {};
-        auto reply = s.ask_node(static_cast<size_t>(s.leading()), "POST", "/v2/runs", Service::submission(id, "array", 1));
+        auto reply = s.ask_node(static_cast<size_t>(s.leading()), "POST", "/v2/runs",
+                                Service::submission(id, "array", 1));
         EXPECT_TRUE(reply && reply->status == 201) << (reply ? reply->status : 0);
         EXPECT_TRUE(s.done(id));
     }
@@ -136,8 +144,8 @@
     s.expect_no_rule_broken();
 }
 
-// A leader ends while a machine with long tasks is silent, or does not hear the next leader's answers: nothing of it
-// starts elsewhere before its lease is over, and all of it runs in the end.
+// A leader ends while a machine with long tasks is silent, or does not hear the next leader's
+// answers: nothing of it starts elsewhere before its lease is over, and all of it runs in the end.
 TEST(Meetings, LongTasksOnMachinesOutOfReachOutliveAChangeOfLeaderOrStartAnew) {
     for (bool deaf : {false, true}) {
         Meeting s(2);
@@ -151,16 +159,17 @@
         s.pass(0.7 * s.base.lease_s);
         EXPECT_TRUE(known(s.status("req-2"))) << deaf;
         if (!deaf) lost[0]->silent = false;  // back within its lease, the others not
-        EXPECT_TRUE(s.until([&] { return s.running("req-2") == 0 || s.state->keys().count("f/req-2") > 0; }) ||
-                    s.cloud->starts["req-2/0"] > 0);
+        EXPECT_TRUE(s.until([&] {
+            return s.running("req-2") == 0 || s.state->keys().count("f/req-2") > 0;
+        }) || s.cloud->starts["req-2/0"] > 0);
         for (auto* w : lost) w->deaf = w->silent = false;
         EXPECT_TRUE(s.done("req-2"));
         s.expect_no_rule_broken();
     }
 }
 
-// Tasks of one job end far apart, with a change of leader after each: each is counted once, and the job is done when the
-// last is, not before and not never.
+// Tasks of one job end far apart, with a change of leader after each: each is counted once, and the
+// job is done when the last is, not before and not never.
 TEST(Meetings, TasksThatEndFarApartAcrossChangesOfLeaderAreCountedOnce) {
     Meeting s(3, apart());
     standin::Job job;
@@ -182,14 +191,15 @@
     s.expect_no_rule_broken();
 }
 
-// A stop is held up on its way to the machine, whose worker goes on reporting; by the time that it arrives the job has
-// ended and another job's task, or a later attempt, is there.
+// A stop is held up on its way to the machine, whose worker goes on reporting; by the time that it
+// arrives the job has ended and another job's task, or a later attempt, is there.
 TEST(Meetings, AStopThatIsHeldUpStopsNothingThatCameLater) {
     Meeting s(2, apart());
     s.start("req-2", 3);
     for (auto& [name, w] : s.cloud->workers) w->hold_commands = true;
     EXPECT_EQ(s.cancel_at(s.leading(), "req-2"), "aborted");
-    EXPECT_TRUE(s.until([&] { return s.state->keys().count("f/req-2") > 0; }));  // by answers to reports
+    EXPECT_TRUE(
+        s.until([&] { return s.state->keys().count("f/req-2") > 0; }));  // by answers to reports
     s.start("req-3", 3, 1.5);
     auto old = s.leader();
     s.state->refused.insert(old.back() - '0');
@@ -201,8 +211,9 @@
     s.expect_no_rule_broken();
 }
 
-// The state service answers slowly, refuses the leader, then all, while users cancel and ask: whatever node answers, no
-// answer is older than one given, and "aborted" is told of recorded cancellations alone.
+// The state service answers slowly, refuses the leader, then all, while users cancel and ask:
+// whatever node answers, no answer is older than one given, and "aborted" is told of recorded
+// cancellations alone.
 TEST(Meetings, NoAnswerGoesBackWhileTheStateServiceIsSlowThenRefusesOneThenAll) {
     Meeting s(3, apart());
     s.start("req-2", 2);
@@ -255,42 +266,62 @@
     s.expect_no_rule_broken();
 }
 
-// Users ask at all nodes within milliseconds, again and again: right after a job was accepted, at the end of its task and
-// after a confirmed cancellation, which comes at that end, too. What they were told is judged by the history.
+// Users ask at all nodes within milliseconds, again and again: right after a job was accepted, at
+// the end of its task and after a confirmed cancellation, which comes at that end, too. What they
+// were told is judged by the history.
 TEST(Meetings, WhoeverAsksAtAnyNodeAroundAnEndIsToldNothingOlder) {
     struct Row {
         const char* what;
-        bool peers;   // controllers hear each other
+        bool peers;                                  // controllers hear each other
         std::function<void(Meeting&, int)> trouble;  // after so many jobs
     };
     const Row rows[] = {
         {"no trouble", true, [](Meeting&, int) {}},
         {"doors and leader apart", false, [](Meeting&, int) {}},
         {"answers are lost, and others read what was written", true,
-         [](Meeting& s, int n) { if (n % 5 == 0) s.state->lose_txn_answers = 1; }},
-        {"transactions are carried out late", false, [](Meeting& s, int n) { if (n % 7 == 0) s.state->delay_txns = 1; }},
-        {"the leader ends", true, [](Meeting& s, int n) { if (n == 12) s.crash(s.leading()); }},
+         [](Meeting& s, int n) {
+             if (n % 5 == 0) s.state->lose_txn_answers = 1;
+         }},
+        {"transactions are carried out late", false,
+         [](Meeting& s, int n) {
+             if (n % 7 == 0) s.state->delay_txns = 1;
+         }},
+        {"the leader ends", true,
+         [](Meeting& s, int n) {
+             if (n == 12) s.crash(s.leading());
+         }},
         {"the state service refuses the leader", false,
-         [](Meeting& s, int n) { if (n == 8) s.state->refused.insert(s.leading()); else if (n == 16) s.state->refused.clear(); }},
+         [](Meeting& s, int n) {
+             if (n == 8)
+                 s.state->refused.insert(s.leading());
+             else if (n == 16)
+                 s.state->refused.clear();
+         }},
     };
     constexpr int kJobs = 24;
     for (auto& row : rows) {
         SCOPED_TRACE(row.what);
         std::mt19937 random(7);
-        auto between = [&](double a, double b) { return std::uniform_real_distribution<double>(a, b)(random); };
+        auto between = [&](double a, double b) {
+            return std::uniform_real_distribution<double>(a, b)(random);
+        };
         Meeting s(3, row.peers ? Service::With{} : apart());
         struct Job {
             std::string id, body;
             double started = 0, cancel_at = 1e18;
             bool cancels = false, looked = false;
-            std::vector<std::pair<std::shared_ptr<Service::Asked>, bool>> asked;  // and whether it is looked after
+            std::vector<std::pair<std::shared_ptr<Service::Asked>, bool>>
+                asked;  // and whether it is looked after
         };
         std::vector<Job> jobs;
-        auto everywhere = [&](Job& job, const char* method, const std::string& target, bool look_after) {
+        auto everywhere = [&](Job& job, const char* method, const std::string& target,
+                              bool look_after) {
             for (size_t node = 0; node < s.nodes.size(); ++node)
                 if (s.alive[node])
-                    job.asked.emplace_back(s.begin(node, method, target, method[0] == 'P' && target == "/v2/runs" ? job.body : ""),
-                                           look_after);
+                    job.asked.emplace_back(
+                        s.begin(node, method, target,
+                                method[0] == 'P' && target == "/v2/runs" ? job.body : ""),
+                        look_after);
         };
         auto step = [&] {
             s.turn();
@@ -298,7 +329,9 @@
                 std::string target = "/v2/runs/" + job.id;
                 if (job.started == 0 && s.cloud->starts[job.id + "/0"] > 0) {
                     job.started = steady_now();
-                    if (job.cancels) job.cancel_at = job.started + s.cloud->jobs[job.id].run_s + between(-0.05, 0.15);
+                    if (job.cancels)
+                        job.cancel_at =
+                            job.started + s.cloud->jobs[job.id].run_s + between(-0.05, 0.15);
                 }
                 if (steady_now() > job.cancel_at) {
                     job.cancel_at = 1e18;
@@ -340,11 +373,14 @@
         EXPECT_TRUE(s.until([&] {
             step();
             return std::all_of(jobs.begin(), jobs.end(), [&](auto& job) {
-                // Of one that nobody accepted, as all were told to come back, there is nothing to wait for.
-                bool accepted = std::any_of(s.history.exchanges.begin(), s.history.exchanges.end(), [&](auto& e) {
-                    return e.job == job.id && (e.status == 200 || e.status == 201);
-                });
-                return (!accepted || (job.looked && s.state->keys().count("f/" + job.id))) && job.asked.empty();
+                // Of one that nobody accepted, as all were told to come back, there is nothing to
+                // wait for.
+                bool accepted = std::any_of(
+                    s.history.exchanges.begin(), s.history.exchanges.end(), [&](auto& e) {
+                        return e.job == job.id && (e.status == 200 || e.status == 201);
+                    });
+                return (!accepted || (job.looked && s.state->keys().count("f/" + job.id))) &&
+                       job.asked.empty();
             });
         }));
         EXPECT_GT(s.history.exchanges.size(), 300u);
@@ -352,7 +388,8 @@
     }
 }
 
-// Controllers hand over and back, all end, and one is back at once: tasks run on, and each starts once.
+// Controllers hand over and back, all end, and one is back at once: tasks run on, and each starts
+// once.
 TEST(Meetings, AllEndInTheMiddleOfAnElectionAndOneIsBackAtOnce) {
     Service::With with;
     with.links = true;  // for a lease of the workers that outlasts all this
--- a/tests/membership_model_test.cpp
+++ b/tests/membership_model_test.cpp
@@ -1,8 +1,9 @@
-// A model check of hand-overs: every interleaving of two controllers that campaign, lead, place one task,
-// answer two workers and yield, with transactions and answers to workers executed again or late, over
-// whatever relays. The yield's conditions are those of the real transaction. Each condition is then taken
-// away on its own, and the model must find what that one guards against. Clocks stand for themselves: a
-// controller that is sure of its lease holds one that has not run out (election.h, sure_until).
+// A model check of hand-overs: every interleaving of two controllers that campaign, lead, place one
+// task, answer two workers and yield, with transactions and answers to workers executed again or
+// late, over whatever relays. The yield's conditions are those of the real transaction. Each
+// condition is then taken away on its own, and the model must find what that one guards against.
+// Clocks stand for themselves: a controller that is sure of its lease holds one that has not run
+// out (election.h, sure_until).
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -39,8 +40,8 @@
 
 constexpr int kNodes = 2, kMachines = 2, kMostTokens = 3, kMostCopies = 3, kMostRecords = 2;
 
-struct Copy {  // of a transaction, or of an answer to a worker: executed at any time, a transaction perhaps
-               // again
+struct Copy {  // of a transaction, or of an answer to a worker: executed at any time, a transaction
+               // perhaps again
     enum Kind : uint8_t { kNone, kYield, kPlace, kStart } kind;
     uint8_t token, machine, log;  // log: the version that the transaction asks for
 };
@@ -57,8 +58,9 @@
         uint8_t log;       // its version, as last known
         uint8_t started;   // it answered that machine with a start
     } nodes[kNodes];
-    uint8_t seen[kMachines], on[kMachines];  // by machine: highest token, and whether the task is there
-    uint8_t again;                           // so many transactions may still be executed a second time
+    uint8_t seen[kMachines],
+        on[kMachines];  // by machine: highest token, and whether the task is there
+    uint8_t again;      // so many transactions may still be executed a second time
     Copy copies[kMostCopies];
 };
 static_assert(std::is_trivially_copyable_v<State>);
@@ -97,13 +99,15 @@
             if (is_void(s, c)) c = {};
         std::sort(std::begin(tidy.copies), std::end(tidy.copies),
                   [](auto& a, auto& b) { return std::memcmp(&a, &b, sizeof a) > 0; });
-        if (seen_.emplace(reinterpret_cast<const char*>(&tidy), sizeof tidy).second) queue_.push_back(tidy);
+        if (seen_.emplace(reinterpret_cast<const char*>(&tidy), sizeof tidy).second)
+            queue_.push_back(tidy);
     }
     static bool acts(const State::Node& n) { return n.leads && n.sure && !n.ended; }
     // It can do nothing any more: tokens and versions only grow.
     bool is_void(const State& s, const Copy& c) const {
         if (c.kind == Copy::kYield) return holds(kYieldNamesToken) && s.key != c.token;
-        if (c.kind == Copy::kPlace) return s.log != c.log || (holds(kRecordNamesToken) && s.key != c.token);
+        if (c.kind == Copy::kPlace)
+            return s.log != c.log || (holds(kRecordNamesToken) && s.key != c.token);
         return c.kind == Copy::kStart && c.token < s.seen[c.machine - 1];
     }
     static void send(State& s, Copy c) {
@@ -160,7 +164,8 @@
                     }
                 return;
             case Copy::kStart:
-                // protocol, "Tokens": an answer with a lower one than the worker has seen is dropped.
+                // protocol, "Tokens": an answer with a lower one than the worker has seen is
+                // dropped.
                 if (c.token < s.seen[c.machine - 1]) return;
                 s.seen[c.machine - 1] = c.token;
                 s.on[c.machine - 1] = 1;
@@ -172,7 +177,8 @@
 
     void node(const State& s, int i) {
         auto& me = s.nodes[i];
-        if (!me.leads && s.key == 0 && s.last < kMostTokens) {  // it campaigns, wins, and reads the records
+        if (!me.leads && s.key == 0 &&
+            s.last < kMostTokens) {  // it campaigns, wins, and reads the records
             State n = s;
             auto& x = n.nodes[i];
             x = {};
@@ -221,7 +227,8 @@
             bool proof = me.knows != 0 && !s.on[me.knows - 1] &&
                          (!holds(kProofWithOurToken) || s.seen[me.knows - 1] == me.token) &&
                          (!holds(kProofAfterOurStart) || !me.started);
-            if (m != me.knows && (me.knows == 0 || proof) && me.recorded && s.log < kMostRecords && room(s))
+            if (m != me.knows && (me.knows == 0 || proof) && me.recorded && s.log < kMostRecords &&
+                room(s))
                 with([&](State& n, State::Node& x) {
                     x.knows = m;
                     x.started = 0;
@@ -231,7 +238,8 @@
             if (s.seen[m - 1] < me.token)  // an answer with nothing in it, by any way
                 with([&](State& n, State::Node& x) { n.seen[m - 1] = x.token; });
         }
-        if (me.knows != 0 && !me.started && (me.recorded || !holds(kRecordedBeforeStart)) && room(s))
+        if (me.knows != 0 && !me.started && (me.recorded || !holds(kRecordedBeforeStart)) &&
+            room(s))
             with([&](State& n, State::Node& x) {
                 x.started = 1;
                 send(n, {Copy::kStart, x.token, x.knows, 0});
@@ -254,7 +262,8 @@
         Model model(static_cast<Condition>(c));
         auto wrong = model.run();
         EXPECT_NE(wrong, "") << "without " << kNames[c];
-        std::cout << "without " << kNames[c] << ": " << wrong << " after " << model.states() << " states\n";
+        std::cout << "without " << kNames[c] << ": " << wrong << " after " << model.states()
+                  << " states\n";
     }
 }
 
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -28,7 +28,10 @@
     LinkReport old;  // a version that says nothing of links
     const Row rows[] = {
         {"all is well", links(true, 1000, 1000, 1000), {{"b", links(true, 3, 3), true}}, nullptr},
-        {"deaf, and a peer hears all", links(true, 0, 0, 1000), {{"b", links(true, 900, 900), false}}, "b"},
+        {"deaf, and a peer hears all",
+         links(true, 0, 0, 1000),
+         {{"b", links(true, 900, 900), false}},
+         "b"},
         {"deaf, and relayed for: workers still come to the peer",
          links(true, 0, 1000, 1000),
          {{"b", links(true, 950, 950), true}},
@@ -37,7 +40,10 @@
          links(true, 0, 0, 1000),
          {{"b", links(false, 900, 900), true}},
          nullptr},
-        {"deaf, and the peer is of an older version", links(true, 0, 0, 1000), {{"b", old, true}}, nullptr},
+        {"deaf, and the peer is of an older version",
+         links(true, 0, 0, 1000),
+         {{"b", old, true}},
+         nullptr},
         {"all workers are silent to all",
          links(true, 0, 0, 1000),
          {{"b", links(true, 0, 0), true}, {"c", links(true, 4, 4), true}},
@@ -50,12 +56,18 @@
          links(true, 500, 500, 1000),
          {{"b", links(true, 500, 500), true}, {"c", links(true, 500, 500), true}},
          nullptr},
-        {"a third is left to it", links(true, 300, 300, 1000), {{"b", links(true, 700, 700), true}}, "b"},
+        {"a third is left to it",
+         links(true, 300, 300, 1000),
+         {{"b", links(true, 700, 700), true}},
+         "b"},
         {"a few stragglers of a small fleet",
          links(true, 1, 1, 2),
          {{"b", links(true, 1, 1), true}},
          nullptr},
-        {"one worker, gone to the peer", links(true, 0, 0, 1), {{"b", links(true, 1, 1), true}}, "b"},
+        {"one worker, gone to the peer",
+         links(true, 0, 0, 1),
+         {{"b", links(true, 1, 1), true}},
+         "b"},
         {"its leases ran out, nobody is known any more",
          links(true, 0, 0, 0),
          {{"b", links(true, 200, 200), true}},
@@ -120,7 +132,8 @@
         {"a", {}, 1e9, nobody, 0, 0},
     };
     for (auto& row : rows) {
-        double wait = campaign_wait(row.self, links(true, 0, 0), row.others, row.last, 0.1, row.wall);
+        double wait =
+            campaign_wait(row.self, links(true, 0, 0), row.others, row.last, 0.1, row.wall);
         EXPECT_GE(wait, row.low) << row.self;
         EXPECT_LE(wait, row.high) << row.self;
     }
@@ -183,9 +196,9 @@
     for (int i = 0; i < 6; ++i) w.machine("vm-" + std::to_string(i));
     auto at = [&](int i) -> Machine& { return *w.tables.machines[i]; };
     for (int i = 0; i < 6; ++i) at(i).last_report = at(i).direct_at = w.now;
-    at(1).direct_at = w.now - times.heard_s - 1;                           // relayed since
-    at(2).direct_at = 0;                                                   // relayed always
-    at(3).direct_at = at(3).last_report = w.now - times.heard_s - 1;       // silent, its lease stands
+    at(1).direct_at = w.now - times.heard_s - 1;                      // relayed since
+    at(2).direct_at = 0;                                              // relayed always
+    at(3).direct_at = at(3).last_report = w.now - times.heard_s - 1;  // silent, its lease stands
     at(4).direct_at = at(4).last_report = w.now - w.settings.lease_s - 1;  // over
     at(5).direct_at = at(5).last_report = 0;                               // never heard
     auto r = leader_links(w.tables, times, w.settings.lease_s, w.now);
@@ -230,19 +243,20 @@
         }
         return c;
     }
-    // Whether any chain of links goes from the workers to the state service, whoever would have to pass it
-    // on.
+    // Whether any chain of links goes from the workers to the state service, whoever would have to
+    // pass it on.
     bool chain() const {
         auto reached = workers;
         for (int again = 0; again < kNodes; ++again)
             for (int i = 0; i < kNodes; ++i)
-                for (int k = 0; k < kNodes; ++k) reached[k] = reached[k] || (reached[i] && peer[i][k]);
+                for (int k = 0; k < kNodes; ++k)
+                    reached[k] = reached[k] || (reached[i] && peer[i][k]);
         for (int i = 0; i < kNodes; ++i)
             if (reached[i] && state[i]) return true;
         return false;
     }
-    // How the decisions of today take a worker's report to this controller: 1 by itself, 2 through a peer, 3
-    // through two; 0: not at all.
+    // How the decisions of today take a worker's report to this controller: 1 by itself, 2 through
+    // a peer, 3 through two; 0: not at all.
     int hops(int leader) const {
         if (workers[leader]) return 1;
         int best = 0;
@@ -295,11 +309,13 @@
         }
         return out;
     }
-    // Who leads next, by the decisions of those who can decide; `favoured` wins a tie of a campaign.
+    // Who leads next, by the decisions of those who can decide; `favoured` wins a tie of a
+    // campaign.
     int next(int favoured) const {
         if (leader >= 0 && cut.state[leader]) {
             auto to = better_leader(own(leader), views(leader));
-            return to ? static_cast<int>(std::find(kNames.begin(), kNames.end(), *to) - kNames.begin())
+            return to ? static_cast<int>(std::find(kNames.begin(), kNames.end(), *to) -
+                                         kNames.begin())
                       : leader;
         }
         if (leader >= 0) return -1;  // its lease runs out
@@ -351,9 +367,9 @@
         ++(best == 0 ? no_chain : served);
         direct += best == 1;
     }
-    // 448 combinations have a controller with the state service. In 56 of these the workers reach no
-    // controller, in 30 more none that has a way, over others, to one with the state service: their tasks
-    // can't be kept.
+    // 448 combinations have a controller with the state service. In 56 of these the workers reach
+    // no controller, in 30 more none that has a way, over others, to one with the state service:
+    // their tasks can't be kept.
     EXPECT_EQ(served, 362);
     EXPECT_EQ(no_chain, 86);
     EXPECT_EQ(direct, 296);
--- a/tests/odd_requests_service_test.cpp
+++ b/tests/odd_requests_service_test.cpp
@@ -1,5 +1,6 @@
-// Submissions that make no sense, at a leader, at a follower that relays them and at a door: refused for good as the
-// protocol says, and never accepted. Under the id of a job that was accepted they tell its state.
+// Submissions that make no sense, at a leader, at a follower that relays them and at a door:
+// refused for good as the protocol says, and never accepted. Under the id of a job that was
+// accepted they tell its state.
 #include "meeting.h"
 
 namespace weirmill {
@@ -17,18 +18,35 @@
         int status;
     };
     std::vector<Row> rows;
-    for (const char* field : {"lot_class", "consignor", "sale_kind", "urgency", "lots", "cores", "accelerators", "mem_gb",
-                              "bundle", "size_gb", "same_place", "scatter", "loaners", "expected_s", "tally_s", "bank_s"}) {
+    for (const char* field : {"lot_class", "consignor", "sale_kind", "urgency", "lots", "cores",
+                              "accelerators", "mem_gb", "bundle", "size_gb", "same_place",
+                              "scatter", "loaners", "expected_s", "tally_s", "bank_s"}) {
         rows.push_back({field, nullptr, 400});
         rows.push_back({field, json::object{}, 400});
     }
     const Row others[] = {
-        {"lots", 0, 400},           {"lots", 100001, 400},     {"lots", 2.5, 400},           {"lots", "2", 400},
-        {"cores", -1.0, 400},       {"mem_gb", -0.5, 400},     {"expected_s", -1.0, 400},    {"due_s", "soon", 400},
-        {"sale_kind", "one", 400},  {"urgency", "most", 400},  {"rigs", json::array{}, 400}, {"rigs", json::array{7}, 400},
-        {"yard", 7, 400},           {"loaners", "no", 400},    {"awaits", "req-1", 400},     {"consignor", "nobody", 422},
-        {"cores", 8.5, 422},        {"accelerators", 1.0, 422}, {"mem_gb", 64.5, 422},       {"rigs", json::array{"other"}, 422},
-        {"yard", "elsewhere", 422}, {"awaits", json::array{"req-99999"}, 422},
+        {"lots", 0, 400},
+        {"lots", 100001, 400},
+        {"lots", 2.5, 400},
+        {"lots", "2", 400},
+        {"cores", -1.0, 400},
+        {"mem_gb", -0.5, 400},
+        {"expected_s", -1.0, 400},
+        {"due_s", "soon", 400},
+        {"sale_kind", "one", 400},
+        {"urgency", "most", 400},
+        {"rigs", json::array{}, 400},
+        {"rigs", json::array{7}, 400},
+        {"yard", 7, 400},
+        {"loaners", "no", 400},
+        {"awaits", "req-1", 400},
+        {"consignor", "nobody", 422},
+        {"cores", 8.5, 422},
+        {"accelerators", 1.0, 422},
+        {"mem_gb", 64.5, 422},
+        {"rigs", json::array{"other"}, 422},
+        {"yard", "elsewhere", 422},
+        {"awaits", json::array{"req-99999"}, 422},
     };
     rows.insert(rows.end(), std::begin(others), std::end(others));
     for (bool relays : {true, false}) {
@@ -56,18 +74,22 @@
             SCOPED_TRACE(node == leader ? "leader" : relays ? "follower" : "door");
             for (auto& row : rows) {
                 auto id = "req-" + std::to_string(++n);
-                EXPECT_EQ(status_at(node, with(row, id)), row.status) << row.field << " " << row.value;
+                EXPECT_EQ(status_at(node, with(row, id)), row.status)
+                    << row.field << " " << row.value;
                 EXPECT_EQ(s.status(id), "404") << row.field << " " << row.value;
-                EXPECT_EQ(status_at(node, with(row, "req-1")), 200) << row.field << " " << row.value;
+                EXPECT_EQ(status_at(node, with(row, "req-1")), 200)
+                    << row.field << " " << row.value;
             }
             // A limit of 32 CPUs: all tasks of a gang or service count, one of an array.
-            for (auto [kind, status] : {std::pair{"ensemble", 422}, std::pair{"standing", 422}, std::pair{"array", 201}}) {
+            for (auto [kind, status] : {std::pair{"ensemble", 422}, std::pair{"standing", 422},
+                                        std::pair{"array", 201}}) {
                 auto id = "req-" + std::to_string(++n);
                 s.cloud->jobs[id] = {};
                 auto body = Service::with(Service::submission(id, kind, 33), "consignor", "red");
                 EXPECT_EQ(status_at(node, body), status) << kind;
             }
-            for (const char* body : {"", "{", "7", "[]", "null", R"({"name_id":7})", R"({"name_id":"else"})", "{}"})
+            for (const char* body :
+                 {"", "{", "7", "[]", "null", R"({"name_id":7})", R"({"name_id":"else"})", "{}"})
                 EXPECT_EQ(status_at(node, body), 400) << body;
         }
     }
--- a/tests/old_records.h
+++ b/tests/old_records.h
@@ -1,5 +1,6 @@
-// Records and frames as the version before pipelines wrote them (commit 0a0b01d), for tests of the two
-// versions on each other's data. Written by that version's own ledger and peer link; never to be edited.
+// Records and frames as the version before pipelines wrote them (commit 0a0b01d), for tests of the
+// two versions on each other's data. Written by that version's own ledger and peer link; never to
+// be edited.
 #pragma once
 #include <cstdint>
 
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -1,5 +1,5 @@
-// Overload: the forecast of each queue, when it is pressed and when not any more, and the order under
-// pressure.
+// Overload: the forecast of each queue, when it is pressed and when not any more, and the order
+// under pressure.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -14,7 +14,8 @@
 
 using test::World;
 
-// Classes: `short` is to be done within 60 s, its jobs are those of World::spec but for what is named.
+// Classes: `short` is to be done within 60 s, its jobs are those of World::spec but for what is
+// named.
 struct Cluster : World {
     Index job_class = tables.names.classes.intern("short");
     Forecast seen;
@@ -26,7 +27,8 @@
     }
     Index wait(uint32_t tasks, double run_s, const std::string& team = "blue",
                JobKind kind = JobKind::Array) {
-        auto s = spec("req-" + std::to_string(100000 + next++), kind, tasks, 1, 0, Priority::Normal, team);
+        auto s = spec("req-" + std::to_string(100000 + next++), kind, tasks, 1, 0, Priority::Normal,
+                      team);
         s.job_class = job_class;
         s.estimate_s = run_s;
         return job(s);
@@ -88,7 +90,8 @@
         Index last = kNone;
         for (uint32_t i = 0; i < row.jobs; ++i) last = c.wait(row.tasks, row.run_s, row.team);
         auto q = c.look(row.team);
-        EXPECT_EQ(last != kNone && c.pressed(last), row.pressed) << row.what << ": drains in " << q.drain_s;
+        EXPECT_EQ(last != kNone && c.pressed(last), row.pressed)
+            << row.what << ": drains in " << q.drain_s;
         EXPECT_EQ(c.seen.pressed(), row.pressed ? 1u : 0u) << row.what;
         EXPECT_DOUBLE_EQ(q.waiting, row.jobs * row.tasks * row.run_s) << row.what;
     }
@@ -136,12 +139,13 @@
         {"other work alone is too much", {{1, 50, 10}, {2, 40, 10}}, 10, 200, {1, 2}},
         {"no machine yet", {{1, 50, 1}}, 0, 0, {}},
     };
-    for (auto& row : rows) EXPECT_EQ(given_up(row.jobs, row.units, row.before), row.given_up) << row.why;
+    for (auto& row : rows)
+        EXPECT_EQ(given_up(row.jobs, row.units, row.before), row.given_up) << row.why;
 }
 
 TEST(Overload, WhereNotAllCanBeInTimeTheLargestWaitsForItsNextTime) {
-    // The one due soonest went first: under twice the load nearly all began, and were passed once they were
-    // late.
+    // The one due soonest went first: under twice the load nearly all began, and were passed once
+    // they were late.
     Cluster c(1);  // 8 CPUs; times 30 and 60 s
     auto large = c.wait(16, 10);
     auto small = c.wait(8, 10), other = c.wait(8, 10);
@@ -214,14 +218,17 @@
     EXPECT_EQ(a.order(), b.order());
 }
 
-// Random loads of 1.2 to 16 times what is served: more jobs end than by the order without pressure, by both
-// estimates, no job of small work is left behind, and priorities and guarantees still command.
+// Random loads of 1.2 to 16 times what is served: more jobs end than by the order without pressure,
+// by both estimates, no job of small work is left behind, and priorities and guarantees still
+// command.
 TEST(Overload, MoreJobsAreServedOfRandomLoadsAndPrioritiesStillCommand) {
     std::mt19937 random(11);
     int better = 0, worse = 0;
     for (int round = 0; round < 60; ++round) {
         double load = 1.2 + static_cast<double>(random() % 150) / 10;
-        double bias = round % 3 == 0 ? 0.5 : round % 3 == 1 ? 2 : 1;  // all estimates half, or double
+        double bias = round % 3 == 0   ? 0.5
+                      : round % 3 == 1 ? 2
+                                       : 1;  // all estimates half, or double
         int ended[2] = {0, 0};
         auto seed = random();
         for (int with = 0; with < 2; ++with) {
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -30,7 +30,8 @@
         return j;
     }
     Index add(const std::vector<size_t>& on, Priority priority = Priority::Low) {
-        auto spec = w.spec("req-" + std::to_string(jobs.size() + 1), JobKind::Array, 1, 1, 0, priority);
+        auto spec =
+            w.spec("req-" + std::to_string(jobs.size() + 1), JobKind::Array, 1, 1, 0, priority);
         spec.estimate_s = 10;
         return add(on, spec);
     }
@@ -69,7 +70,8 @@
             if (w.tables.jobs[p.jobs[i]] && std::count(waiting.begin(), waiting.end(), p.jobs[i]))
                 ready.insert(i);
         EXPECT_EQ(ready, row.ready) << row.why;
-        EXPECT_EQ(w.tables.dependencies().waiting(), row.graph.size() - row.ends.size() - row.ready.size())
+        EXPECT_EQ(w.tables.dependencies().waiting(),
+                  row.graph.size() - row.ends.size() - row.ready.size())
             << row.why;
     }
 }
@@ -186,7 +188,8 @@
     LedgerLimits limits;
     Ledger ledger;
     std::set<Index> ending;
-    Bookkeeper(uint64_t token, LedgerLimits limits) : limits(limits), ledger(w.tables, token, limits) {}
+    Bookkeeper(uint64_t token, LedgerLimits limits)
+        : limits(limits), ledger(w.tables, token, limits) {}
 
     Index submit(const std::string& id, const std::vector<std::string>& on, uint32_t tasks = 1) {
         auto spec = w.spec(id, JobKind::Array, tasks, 0.01);
@@ -216,7 +219,8 @@
         for (Index j = 0; j < w.tables.jobs.size(); ++j) {
             auto* job = w.tables.jobs[j].get();
             if (!job || job->version == 0 || job->ending || job->placed > 0) continue;
-            if (job->cancelled ? !w.tables.cancellation_logged(j) : job->done < job->tasks.size()) continue;
+            if (job->cancelled ? !w.tables.cancellation_logged(j) : job->done < job->tasks.size())
+                continue;
             job->ending = true;
             job->ended = std::round(w.now * 8) / 8;
             ledger.finish(j);
@@ -256,8 +260,9 @@
 constexpr LedgerLimits kTight{4, 2};
 
 TEST(PipelineRecords, AFreshLeaderFindsWhatWaitsAndWhatIsCancelledWhateverBecameOfTheAnswers) {
-    // Random histories. After every one applied transaction a fresh leader reads the log: who waits for whom,
-    // since when a job is ready, and who is cancelled must be as the leader that wrote it has it.
+    // Random histories. After every one applied transaction a fresh leader reads the log: who waits
+    // for whom, since when a job is ready, and who is cancelled must be as the leader that wrote it
+    // has it.
     int cascades = 0, readied = 0;
     for (unsigned seed = 1; seed <= 12; ++seed) {
         std::mt19937 random(seed);
@@ -274,12 +279,14 @@
             if (below(4) == 0 && tables.job_index.size() < 25) {
                 std::vector<std::string> on;
                 for (int i = 0; i < 3 && jobs > 0; ++i) {
-                    auto id = "req-" + std::to_string(jobs - static_cast<int>(below(std::min(jobs, 6))));
+                    auto id =
+                        "req-" + std::to_string(jobs - static_cast<int>(below(std::min(jobs, 6))));
                     auto* job = tables.find_job(id);
                     auto final = store.keys.find(final_key(id));
-                    bool gone_well =
-                        final != store.keys.end() && final->second.first.find("true") == std::string::npos;
-                    if ((job ? job->version != 0 : gone_well) && !std::count(on.begin(), on.end(), id))
+                    bool gone_well = final != store.keys.end() &&
+                                     final->second.first.find("true") == std::string::npos;
+                    if ((job ? job->version != 0 : gone_well) &&
+                        !std::count(on.begin(), on.end(), id))
                         on.push_back(id);
                 }
                 k.submit("req-" + std::to_string(++jobs), on, 1 + below(8));
@@ -299,9 +306,11 @@
             }
             k.check();
             if (!sent.empty() && below(3) == 0) {
-                EXPECT_EQ(store.apply(sent[below(sent.size())]), 0u) << "a late copy, seed " << seed;
+                EXPECT_EQ(store.apply(sent[below(sent.size())]), 0u)
+                    << "a late copy, seed " << seed;
             }
-            auto b = k.ledger.next(1 + static_cast<int>(below(static_cast<size_t>(k.limits.txn_ops))));
+            auto b =
+                k.ledger.next(1 + static_cast<int>(below(static_cast<size_t>(k.limits.txn_ops))));
             if (b.empty()) continue;
             test::expect_limits(b, k.limits);
             if (below(8) == 0) {
@@ -314,11 +323,13 @@
             k.committed(b, revision);
             Bookkeeper fresh(42, k.limits);
             store.load(fresh.ledger, fresh.w.now);
-            // Placements not recorded yet are the old leader's alone: only what pipelines are made of counts.
+            // Placements not recorded yet are the old leader's alone: only what pipelines are made
+            // of counts.
             for (auto& [id, index] : tables.job_index) {
                 auto& job = *tables.jobs[index];
                 auto* found = fresh.w.tables.find_job(id);
-                ASSERT_EQ(found != nullptr, job.version != 0) << id << " seed " << seed << " step " << step;
+                ASSERT_EQ(found != nullptr, job.version != 0)
+                    << id << " seed " << seed << " step " << step;
                 if (!found) continue;
                 EXPECT_EQ(found->cancel_recorded, job.cancel_recorded) << id << " seed " << seed;
                 if (job.cancel_recorded) continue;
@@ -342,7 +353,8 @@
 }
 
 TEST(PipelineRecords, ACancellationStandsForAllWhoNeedTheJobUntilEachHasItsOwn) {
-    // A chain too long for one transaction. Whenever the leader ends, the next one finds all of it cancelled.
+    // A chain too long for one transaction. Whenever the leader ends, the next one finds all of it
+    // cancelled.
     for (size_t crash_after : {1u, 2u, 3u, 5u, 9u}) {
         Store store;
         Bookkeeper k(41, kTight);
@@ -366,8 +378,9 @@
             if (job)
                 cancelled += job->cancel_recorded;
             else
-                cancelled += store.keys.at(final_key("req-" + std::to_string(i))).first.find("true") !=
-                             std::string::npos;
+                cancelled +=
+                    store.keys.at(final_key("req-" + std::to_string(i))).first.find("true") !=
+                    std::string::npos;
         }
         EXPECT_EQ(cancelled, 401u) << crash_after;
         // And it can finish what the first began.
@@ -380,7 +393,8 @@
 TEST(PipelineRecords, EndsAndCancellationsThatCrossANewDependant) {
     struct Row {
         const char* why;
-        int first;  // transactions between what becomes of the first job and the submission of the second
+        int first;  // transactions between what becomes of the first job and the submission of the
+                    // second
         bool cancel;
         const char* then;  // of the second: "waits", "ready", "cancelled"
     };
@@ -477,7 +491,8 @@
         auto* job = next.w.tables.find_job("req-1");
         ASSERT_TRUE(job);
         EXPECT_TRUE(job->waits);
-        EXPECT_EQ(next.w.tables.dependencies().of(next.w.tables.job_index.at("req-1")).size(), 100u);
+        EXPECT_EQ(next.w.tables.dependencies().of(next.w.tables.job_index.at("req-1")).size(),
+                  100u);
         EXPECT_EQ(job->ready, k.w.tables.find_job("req-1")->ready);
         EXPECT_TRUE(next.w.tables.find_job("req-2")->waits == false);
     }
--- a/tests/placement_reference.h
+++ b/tests/placement_reference.h
@@ -1,4 +1,5 @@
-// Best-fit decreasing written plainly: every task looks at every machine. The fast form must choose the same.
+// Best-fit decreasing written plainly: every task looks at every machine. The fast form must choose
+// the same.
 #pragma once
 #include <algorithm>
 #include <map>
@@ -21,8 +22,8 @@
         bool together = job.spec.kind == JobKind::Gang && job.spec.tasks > 1;
         return std::make_tuple(job.spec.need.gpu == 0 && m.size.gpu > 0, job.failed_on.count(i) > 0,
                                m.tasks.empty(), job.spec.need.gpu > 0 ? left.gpu : left.cpu,
-                               together && m.spot, !m.has_image(job.spec.image), !together && !m.spot,
-                               left.cpu, left.mem,
+                               together && m.spot, !m.has_image(job.spec.image),
+                               !together && !m.spot, left.cpu, left.mem,
                                tables.report_due_s(m, now));
     }
     std::vector<Index> open{};
@@ -30,10 +31,12 @@
     bool candidate(Index j, Index i) const {
         auto& job = *tables.jobs[j];
         auto* m = tables.machines[i].get();
-        if (!m || !usable(*m) || !tables.machine_allowed(job.spec, *m) || !job.spec.need.fits_in(m->room()))
+        if (!m || !usable(*m) || !tables.machine_allowed(job.spec, *m) ||
+            !job.spec.need.fits_in(m->room()))
             return false;
         if (held.count(i) && held.at(i) > job.priority) return false;
-        if (m->reserved_for == kNone || m->reserved_for == j || m->reserved_until <= now) return true;
+        if (m->reserved_for == kNone || m->reserved_for == j || m->reserved_until <= now)
+            return true;
         auto* owner = tables.jobs[m->reserved_for].get();
         return !owner || owner->priority < job.priority;
     }
@@ -81,8 +84,10 @@
                 if (tables.machine_allowed(job.spec, m) && image_near(tables, m, job.spec.image))
                     near[m.zone] += job.spec.need.times_in(m.room());
             }
-            for (auto& [z, n] : near) n = job.spec.image_gb > 0 ? std::min<int64_t>(n, job.pending) : 0;
-            std::stable_sort(zones.begin(), zones.end(), [&](Index a, Index b) { return near[a] > near[b]; });
+            for (auto& [z, n] : near)
+                n = job.spec.image_gb > 0 ? std::min<int64_t>(n, job.pending) : 0;
+            std::stable_sort(zones.begin(), zones.end(),
+                             [&](Index a, Index b) { return near[a] > near[b]; });
         }
         for (auto zone : zones) {
             ZoneRule rule(tables, job);
@@ -104,7 +109,8 @@
             return;
         }
     }
-    // Of the machines that anybody could have used, those that lack the least, one for each task that waits.
+    // Of the machines that anybody could have used, those that lack the least, one for each task
+    // that waits.
     void hold(Index j) {
         auto& job = *tables.jobs[j];
         auto& need = job.spec.need;
@@ -113,8 +119,8 @@
         for (auto i : open) {
             auto& m = *tables.machines[i];
             if (!need.fits_in(m.room()) && need.times_in(m.size) >= 2 &&
-                (!held.count(i) || held.at(i) < job.priority) && tables.machine_allowed(job.spec, m) &&
-                !tables.spares_gpus(job.spec, m.type))
+                (!held.count(i) || held.at(i) < job.priority) &&
+                tables.machine_allowed(job.spec, m) && !tables.spares_gpus(job.spec, m.type))
                 some.emplace(need.cpu - m.room().cpu, i);
         }
         uint32_t n = 0;
@@ -138,7 +144,8 @@
         for (auto& rank : ranks) {
             if (rank.size() > 1)
                 for (auto j : rank)
-                    if (tables.jobs[j]->spec.kind != JobKind::Gang && tables.jobs[j]->spec.image_gb > 0)
+                    if (tables.jobs[j]->spec.kind != JobKind::Gang &&
+                        tables.jobs[j]->spec.image_gb > 0)
                         array(j, true);
             for (auto j : rank) {
                 tables.jobs[j]->spec.kind == JobKind::Gang ? gang(j) : array(j, false);
--- a/tests/play_test.cpp
+++ b/tests/play_test.cpp
@@ -1,4 +1,5 @@
-// Playing a trace: judgements alone, and whole plays over loopback against the service with its stand-ins.
+// Playing a trace: judgements alone, and whole plays over loopback against the service with its
+// stand-ins.
 #include "traces/play.h"
 
 #include <filesystem>
@@ -51,17 +52,23 @@
         uint32_t finals;
     };
     const Row rows[] = {
-        {{"queued", "running", "queued", "done", "done"}, Played::Done, "", 2},  // preempted between
+        {{"queued", "running", "queued", "done", "done"},
+         Played::Done,
+         "",
+         2},  // preempted between
         {{"?", "queued", "aborted", "?"}, Played::Aborted, "", 1},
         {{"queued", "404"}, Played::Accepted, "accepted, then unknown", 0},
         {{"done", "running"}, Played::Done, "done, then accepted", 1},
         {{"done", "404"}, Played::Done, "done, then unknown", 1},
         {{"aborted", "done", "queued"}, Played::Aborted, "aborted, then done", 1},
         {{"nonsense", "done"}, Played::Done, "", 1},
-        // Unknown for over 60 s (each answer comes 25 s after the one before) it is lost; not if it comes
-        // back.
+        // Unknown for over 60 s (each answer comes 25 s after the one before) it is lost; not if it
+        // comes back.
         {{"queued", "404", "404", "404", "404"}, Played::Lost, "accepted, then unknown", 0},
-        {{"queued", "404", "404", "queued", "404", "404"}, Played::Accepted, "accepted, then unknown", 0},
+        {{"queued", "404", "404", "queued", "404", "404"},
+         Played::Accepted,
+         "accepted, then unknown",
+         0},
     };
     for (auto& r : rows) {
         Track t;
@@ -70,7 +77,8 @@
         for (std::string s : r.states) {
             auto body = "{\"name_id\":\"req-1\",\"status\":\"" + s + "\"}";
             judge_status(t,
-                         s == "?" ? std::nullopt : std::optional(HttpAnswer{s == "404" ? 404 : 200, body, 0}),
+                         s == "?" ? std::nullopt
+                                  : std::optional(HttpAnswer{s == "404" ? 404 : 200, body, 0}),
                          now += 25, 60);
         }
         EXPECT_EQ(t.is, r.is) << r.states.back();
@@ -113,7 +121,9 @@
         over = false;
         auto player = std::make_unique<Player>(
             service.io, options,
-            [this, next]() { return *next < jobs.size() ? std::optional(jobs[(*next)++]) : std::nullopt; },
+            [this, next]() {
+                return *next < jobs.size() ? std::optional(jobs[(*next)++]) : std::nullopt;
+            },
             std::move(known));
         boost::asio::co_spawn(service.io, player->run(), [this](std::exception_ptr e) {
             EXPECT_FALSE(e);
@@ -122,8 +132,8 @@
         return player;
     }
     static size_t count(const Player& p, Played is) {
-        return static_cast<size_t>(
-            std::count_if(p.tracks().begin(), p.tracks().end(), [&](auto& t) { return t.second.is == is; }));
+        return static_cast<size_t>(std::count_if(p.tracks().begin(), p.tracks().end(),
+                                                 [&](auto& t) { return t.second.is == is; }));
     }
     void expect_all_done(const Player& p) {
         EXPECT_EQ(p.tracks().size(), jobs.size());
@@ -183,12 +193,14 @@
 
 TEST(Play, JobsAfterARefusedOneAreNotSent) {
     Stage s(0);
-    auto bad = test::Service::with(test::Service::submission("req-1", "array", 1), "consignor", "nobody");
-    auto after =
-        test::Service::with(test::Service::submission("req-2", "array", 1), "awaits", json::array{"req-1"});
-    auto never =
-        test::Service::with(test::Service::submission("req-3", "array", 1), "awaits", json::array{"req-9"});
-    s.jobs = {{0, "req-3", never, {"req-9"}}, {0, "req-2", after, {"req-1"}}, {1, "req-1", bad, {}}};
+    auto bad =
+        test::Service::with(test::Service::submission("req-1", "array", 1), "consignor", "nobody");
+    auto after = test::Service::with(test::Service::submission("req-2", "array", 1), "awaits",
+                                     json::array{"req-1"});
+    auto never = test::Service::with(test::Service::submission("req-3", "array", 1), "awaits",
+                                     json::array{"req-9"});
+    s.jobs = {
+        {0, "req-3", never, {"req-9"}}, {0, "req-2", after, {"req-1"}}, {1, "req-1", bad, {}}};
     s.options.in_flight = 1;  // those that wait take no place of the one that they wait for
     auto player = s.play();
     ASSERT_TRUE(s.service.until([&] { return s.over; }));
--- a/tests/service.h
+++ b/tests/service.h
@@ -1,5 +1,5 @@
-// The whole service over loopback against stand-ins: some controllers, each with an io_context of its own,
-// that can crash, and cases that wait for conditions, never for a time.
+// The whole service over loopback against stand-ins: some controllers, each with an io_context of
+// its own, that can crash, and cases that wait for conditions, never for a time.
 #pragma once
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
@@ -30,16 +30,18 @@
     std::vector<std::unique_ptr<Front>> nodes;
     std::vector<bool> alive;
 
-    // What the controllers take from each other's addresses; `cut`: they refuse each other for good.
+    // What the controllers take from each other's addresses; `cut`: they refuse each other for
+    // good.
     struct With {
         bool doors = false, cut = false;
         int strangers = 0;  // further controllers that never were started with this version
         double write_rps = 40;
         int txn_ops = 12;
-        bool links = false;   // membership, and every link between the processes goes over a cable of its own
-        double lease_s = 1.5;  // of the leadership
+        bool links =
+            false;  // membership, and every link between the processes goes over a cable of its own
+        double lease_s = 1.5;   // of the leadership
         double patience_s = 4;  // of workers, for an answer
-        std::set<int> old{};  // controllers whose version says nothing of links
+        std::set<int> old{};    // controllers whose version says nothing of links
     };
     // What a controller calls, or is called over; see standin/cable.h.
     std::map<std::pair<int, int>, std::unique_ptr<standin::Cable>> peer_cables;  // from, to
@@ -47,7 +49,8 @@
     explicit Service(int count) : Service(count, With{}) {}
     Service(int count, With with) {
         // WEIRMILL_TEST_LOG: what the controllers log, when a case fails.
-        spdlog::set_level(std::getenv("WEIRMILL_TEST_LOG") ? spdlog::level::debug : spdlog::level::off);
+        spdlog::set_level(std::getenv("WEIRMILL_TEST_LOG") ? spdlog::level::debug
+                                                           : spdlog::level::off);
         base.report_s = 0.1;
         base.lease_s = 2;
         base.cancel_s = 6;
@@ -83,15 +86,19 @@
                 s->peers.push_back({"stranger-" + std::to_string(k), "a", {"127.0.0.1", 1}});
     }
     ~Service() {
-        // Tasks of a gang are done together, each by its own worker's clock: of these, nothing is known.
+        // Tasks of a gang are done together, each by its own worker's clock: of these, nothing is
+        // known.
         for (auto& [task, at] : cloud->done_at) {
             auto job = task.substr(0, task.rfind('/'));
-            if (cloud->jobs[job].gang || cloud->ends[job] < static_cast<int>(cloud->jobs[job].tasks)) continue;
+            if (cloud->jobs[job].gang ||
+                cloud->ends[job] < static_cast<int>(cloud->jobs[job].tasks))
+                continue;
             history.ended[job] = std::max(history.ended[job], at);
         }
         EXPECT_EQ(history.contradiction(), "");
         // The cases end in the middle of things: what still waits is dropped with its io_context.
-        // So are connections between the stand-ins and the cables, whose coroutines look at them once more.
+        // So are connections between the stand-ins and the cables, whose coroutines look at them
+        // once more.
         for (auto& n : nodes) n.release();
         for (auto& [ends, cable] : peer_cables) cable.release();
         for (auto* cables : {&state_cables, &worker_cables})
@@ -118,7 +125,8 @@
         own.membership_enabled = with.links && !with.old.count(i);
         node_properties.push_back(std::make_unique<Properties>(own));
         node_io.push_back(std::make_unique<asio::io_context>(1));
-        nodes.push_back(std::make_unique<Front>(*node_io.back(), *settings.back(), *node_properties.back()));
+        nodes.push_back(
+            std::make_unique<Front>(*node_io.back(), *settings.back(), *node_properties.back()));
         alive.push_back(true);
         Endpoint api{"127.0.0.1", nodes.back()->api_port()};
         if (with.links) {
@@ -163,16 +171,19 @@
             return std::string(json::parse(answer->body).at("status").as_string());
         }
     };
-    // Every question and answer about a job goes into the history, which is judged when the case is over.
-    std::shared_ptr<Asked> begin(size_t i, const char* method, const std::string& target, const std::string& body = "") {
-        auto client =
-            std::make_shared<HttpClient>(io, Endpoint{"127.0.0.1", nodes[i]->api_port()}, 1024 * 1024);
+    // Every question and answer about a job goes into the history, which is judged when the case is
+    // over.
+    std::shared_ptr<Asked> begin(size_t i, const char* method, const std::string& target,
+                                 const std::string& body = "") {
+        auto client = std::make_shared<HttpClient>(io, Endpoint{"127.0.0.1", nodes[i]->api_port()},
+                                                   1024 * 1024);
         auto out = std::make_shared<Asked>();
         auto entry = note(i, method, target, body);
         asio::co_spawn(
             io,
-            [](Service* self, std::shared_ptr<HttpClient> client, const char* method, std::string target,
-               std::string body, std::shared_ptr<Asked> out, size_t entry) -> asio::awaitable<void> {
+            [](Service* self, std::shared_ptr<HttpClient> client, const char* method,
+               std::string target, std::string body, std::shared_ptr<Asked> out,
+               size_t entry) -> asio::awaitable<void> {
                 out->answer = co_await client->request(method, target, body, 5);
                 out->over = true;
                 if (entry != kNoEntry && out->answer) {
@@ -192,14 +203,17 @@
         return asked->answer;
     }
     static constexpr size_t kNoEntry = ~size_t{0};
-    size_t note(size_t node, const std::string& method, const std::string& target, const std::string& body) {
+    size_t note(size_t node, const std::string& method, const std::string& target,
+                const std::string& body) {
         Exchange e;
         e.asked = steady_now();
         e.where = "node-" + std::to_string(node);
         if (target == "/v2/runs" && method == "POST") {
             boost::system::error_code bad;
             auto v = json::parse(body, bad);
-            if (bad || !v.is_object() || !v.as_object().contains("name_id") || !v.at("name_id").is_string()) return kNoEntry;
+            if (bad || !v.is_object() || !v.as_object().contains("name_id") ||
+                !v.at("name_id").is_string())
+                return kNoEntry;
             e.asking = Asking::Submission;
             e.job = std::string(v.at("name_id").as_string());
             if (auto* on = v.as_object().if_contains("awaits"); on && on->is_array()) {
@@ -219,11 +233,13 @@
         return history.exchanges.size() - 1;
     }
     History history;
-    // What a user asked of a controller that the test plays: it was accepted there, or its cancellation taken.
+    // What a user asked of a controller that the test plays: it was accepted there, or its
+    // cancellation taken.
     void asked_elsewhere(const std::string& id, bool cancelled = false) {
         double now = steady_now();
         history.exchanges.push_back({Asking::Submission, id, now, now, 201, "queued", "the test"});
-        if (cancelled) history.exchanges.push_back({Asking::Cancellation, id, now, now, 0, "", "the test"});
+        if (cancelled)
+            history.exchanges.push_back({Asking::Cancellation, id, now, now, 0, "", "the test"});
     }
     static std::string submission(const std::string& id, const std::string& kind, int tasks,
                                   double cpus = 1) {
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,5 +1,5 @@
-// The whole service over loopback against stand-ins. Every case waits for conditions, never for a time, and
-// what must not happen is noted by the stand-ins when it does.
+// The whole service over loopback against stand-ins. Every case waits for conditions, never for a
+// time, and what must not happen is noted by the stand-ins when it does.
 #include "service.h"
 
 namespace weirmill {
@@ -28,7 +28,8 @@
         {"POST", "/v2/runs", Service::submission("req-8", "array", 1, 100), 422},
         // An id that was accepted is never refused for good, whatever comes under it again.
         {"POST", "/v2/runs", R"({"name_id":"req-1"})", 200},
-        {"POST", "/v2/runs", Service::with(Service::submission("req-1", "array", 1), "lots", 0), 200},
+        {"POST", "/v2/runs", Service::with(Service::submission("req-1", "array", 1), "lots", 0),
+         200},
         {"POST", "/v2/runs", Service::submission("req-1", "array", 1, 100), 200},
         {"POST", "/v2/runs", R"({"name_id":"req-9"})", 400},
         {"POST", "/v2/runs", R"({"name_id":"else"})", 400},
@@ -89,9 +90,9 @@
 }
 
 TEST(Service, AFormerLifesLeadershipIsEndedWhileACampaignIsStillUnsure) {
-    // The answers to the campaign and to the end of the former leadership are lost: the key then names this
-    // controller under another lease than the one it is unsure of. Nothing may wait for either, nor ask
-    // without a pause.
+    // The answers to the campaign and to the end of the former leadership are lost: the key then
+    // names this controller under another lease than the one it is unsure of. Nothing may wait for
+    // either, nor ask without a pause.
     Service::With with;
     with.lease_s = 2 * test::kPatience_s;
     Service s(1, with);
@@ -128,13 +129,15 @@
     EXPECT_TRUE(s.done("req-1"));
     auto page = s.ask_node(1 - leader, "GET", "/metrics", "");
     ASSERT_TRUE(page);
-    EXPECT_NE(page->body.find("weirmill_requests_total{kind=\"report\",status=\"200\"}"), std::string::npos)
+    EXPECT_NE(page->body.find("weirmill_requests_total{kind=\"report\",status=\"200\"}"),
+              std::string::npos)
         << page->body;
     EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
 }
 
 TEST(Service, ALeaderRefusedByTheStateServiceAloneHandsOverAndServesItsUsersThroughTheOthers) {
-    // It used to go on as an unsure leader, and to turn its users away for as long as it was refused.
+    // It used to go on as an unsure leader, and to turn its users away for as long as it was
+    // refused.
     Service s(3);
     EXPECT_EQ(s.submit("req-1", "array", 1), 201);
     EXPECT_TRUE(s.done("req-1"));
@@ -159,7 +162,8 @@
     bad.fails = true;
     bad.run_s = 0.01;
     EXPECT_EQ(s.submit("req-1", "array", 2, bad), 201);
-    ASSERT_TRUE(s.until([&] { return s.cloud->starts["req-1/0"] >= 2 || s.cloud->starts["req-1/1"] >= 2; }));
+    ASSERT_TRUE(s.until(
+        [&] { return s.cloud->starts["req-1/0"] >= 2 || s.cloud->starts["req-1/1"] >= 2; }));
     EXPECT_EQ(s.submit("req-2", "array", 4), 201);
     EXPECT_TRUE(s.done("req-2"));
     EXPECT_NE(s.status("req-1"), "done");
@@ -211,7 +215,8 @@
     Service s(1);
     s.cloud->held_starts = true;
     EXPECT_EQ(s.submit("req-1", "standing", 2, {1000}), 201);
-    ASSERT_TRUE(s.until([&] { return s.recorded(R"(["t","req-1")") && !s.cloud->workers.empty(); }));
+    ASSERT_TRUE(
+        s.until([&] { return s.recorded(R"(["t","req-1")") && !s.cloud->workers.empty(); }));
     auto a = s.ask("POST", "/v2/runs/req-1/cancel");
     EXPECT_EQ(a.status, 200);
     EXPECT_EQ(json::parse(a.body).at("status"), "aborted");
@@ -272,24 +277,28 @@
         {"req-29", R"(["req-11","req-22"])", 201, 200, "done"},
     };
     for (auto& row : rows) {
-        auto body = Service::with(Service::submission(row.id, "array", 1), "awaits", json::parse(row.awaits));
+        auto body = Service::with(Service::submission(row.id, "array", 1), "awaits",
+                                  json::parse(row.awaits));
         s.cloud->jobs[row.id] = {};
         EXPECT_EQ(s.ask("POST", "/v2/runs", body).status, row.status) << row.id;
         EXPECT_EQ(s.ask("POST", "/v2/runs", body).status, row.again) << row.id;
     }
     for (auto& row : rows)
-        EXPECT_TRUE(s.until([&] { return s.status(row.id) == row.becomes; })) << row.id << s.status(row.id);
+        EXPECT_TRUE(s.until([&] { return s.status(row.id) == row.becomes; }))
+            << row.id << s.status(row.id);
     // What became of those before it does not change the answer to a repetition.
     EXPECT_EQ(s.ask("POST", "/v2/runs/req-2/cancel").status, 200);
     for (const char* id : {"req-24", "req-25"}) {
         EXPECT_EQ(s.status(id), "aborted");
-        auto body = Service::with(Service::submission(id, "array", 1), "awaits", json::array{"req-2"});
+        auto body =
+            Service::with(Service::submission(id, "array", 1), "awaits", json::array{"req-2"});
         EXPECT_EQ(s.ask("POST", "/v2/runs", body).status, 200);
     }
     EXPECT_EQ(s.status("req-22"), "done");
     // Whether a job was ever accepted can't be read: the user is told to come back, at once.
     s.state->down = true;
-    auto body = Service::with(Service::submission("req-30", "array", 1), "awaits", json::array{"req-998"});
+    auto body =
+        Service::with(Service::submission("req-30", "array", 1), "awaits", json::array{"req-998"});
     auto reply = s.ask_node(0, "POST", "/v2/runs", body);
     ASSERT_TRUE(reply);
     EXPECT_EQ(reply->status, 503);
@@ -313,7 +322,8 @@
     s.crash_leader();
     EXPECT_EQ(s.submit_after("req-5", {"req-1", "req-4"}),
               201);  // the first is over, and of an earlier leader
-    for (const char* id : {"req-1", "req-2", "req-3", "req-4", "req-5"}) EXPECT_TRUE(s.done(id)) << id;
+    for (const char* id : {"req-1", "req-2", "req-3", "req-4", "req-5"})
+        EXPECT_TRUE(s.done(id)) << id;
     EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
 }
 
@@ -352,7 +362,9 @@
         EXPECT_NE(s.status("req-4"), "aborted") << row.why;
         for (const char* id : {"req-1", "req-2", "req-3", "req-5"})
             EXPECT_TRUE(s.until([&] { return s.state->keys().count(final_key(id)) > 0; })) << id;
-        EXPECT_EQ(s.cloud->starts["req-2/0"] + s.cloud->starts["req-3/0"] + s.cloud->starts["req-5/0"], 0);
+        EXPECT_EQ(
+            s.cloud->starts["req-2/0"] + s.cloud->starts["req-3/0"] + s.cloud->starts["req-5/0"],
+            0);
         EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
     }
 }
@@ -386,8 +398,8 @@
 }
 
 TEST(LowerLimits, ATransactionWithoutAnAnswerIsUnknownEvenWhenItsNextCopyIsRefused) {
-    // The second copy comes back as malformed, since the limits fell meanwhile. That says nothing of the
-    // first: taken for not executed, what it told would have been told again beside it.
+    // The second copy comes back as malformed, since the limits fell meanwhile. That says nothing
+    // of the first: taken for not executed, what it told would have been told again beside it.
     for (bool late : {false, true}) {
         Service s(1);
         EXPECT_EQ(s.submit("req-1", "array", 1), 201);
@@ -406,7 +418,8 @@
         EXPECT_TRUE(s.done("req-2"));
         EXPECT_GT(s.state->too_large, 0);
         // From here on all goes in what the state service takes.
-        for (int i = 3; i < 12; ++i) EXPECT_EQ(s.submit("req-" + std::to_string(i), "array", 3), 201) << i;
+        for (int i = 3; i < 12; ++i)
+            EXPECT_EQ(s.submit("req-" + std::to_string(i), "array", 3), 201) << i;
         for (int i = 3; i < 12; ++i) EXPECT_TRUE(s.done("req-" + std::to_string(i))) << i;
         EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
     }
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -91,12 +91,16 @@
     const Row rows[] = {
         {"", 120, 40, 32, 24, nullptr},
         {"[deployment.state.next]\n", 120, 40, 32, 24, nullptr},
-        {"[deployment.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 8\n", 120, 28, 2, 8, nullptr},
-        {"[deployment.state.next]\nwrite_rps = 80.0\nvalue_kb = 64.0\nrps = 90\n", 90, 40, 32, 24, nullptr},
+        {"[deployment.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 8\n", 120, 28, 2, 8,
+         nullptr},
+        {"[deployment.state.next]\nwrite_rps = 80.0\nvalue_kb = 64.0\nrps = 90\n", 90, 40, 32, 24,
+         nullptr},
         {"[deployment.state.next]\nsomething_new = 1\n", 120, 40, 32, 24, nullptr},
-        {"[deployment.state.next]\nvalue_kb = \"2\"\n", 0, 0, 0, 0, "deployment.state.next.value_kb"},
+        {"[deployment.state.next]\nvalue_kb = \"2\"\n", 0, 0, 0, 0,
+         "deployment.state.next.value_kb"},
         {"[deployment.state.next]\ntxn_ops = 0\n", 0, 0, 0, 0, "deployment.state.next.txn_ops"},
-        {"[deployment.state.next]\nwrite_rps = -3.0\n", 0, 0, 0, 0, "deployment.state.next.write_rps"},
+        {"[deployment.state.next]\nwrite_rps = -3.0\n", 0, 0, 0, 0,
+         "deployment.state.next.write_rps"},
         {"[deployment.state]\nnext = 3\n", 0, 0, 0, 0, "deployment.state.next must be a table"},
     };
     for (auto& row : rows) {
@@ -106,7 +110,8 @@
         else
             text += next;
         if (row.error) {
-            EXPECT_NE(error_of(text).find(row.error), std::string::npos) << row.next << error_of(text);
+            EXPECT_NE(error_of(text).find(row.error), std::string::npos)
+                << row.next << error_of(text);
             continue;
         }
         auto s = load_settings(File(text).path);
@@ -125,7 +130,8 @@
     const Row rows[] = {
         {"cpus = 64.0\ncpus_max = 136.0\n", "", 0, 4, 12},  // a figure that is missing is none
         {"gpus = 4.0\ngpus_max = 12.0\n", "", 64, 0, 0},
-        {"gpus_max = 12.0", "gpus_max = 2.0", 64, 4, 2},  // a limit below its guarantee: the tables cut that
+        {"gpus_max = 12.0", "gpus_max = 2.0", 64, 4,
+         2},  // a limit below its guarantee: the tables cut that
         {"clock_off_ms = 100.0", "clock_off_ms = 100.0\ninitial_size = 7", 64, 4, 12},
         {"zones = [\"a\", \"b\"]", "zones = [\"a\", \"b\", \"nobody-here\"]", 64, 4, 12},
     };
@@ -174,12 +180,14 @@
 }
 
 TEST(Settings, WhereNoGraceIsPossibleThereIsNoneAndOneLineSaysSo) {
-    // Refused at start before: a site whose workers' lease outlasts its time for cancellations was not served at all.
+    // Refused at start before: a site whose workers' lease outlasts its time for cancellations was
+    // not served at all.
     struct Row {
         const char* cancel_s;
         bool grace;
     };
-    for (auto& row : {Row{"38.0", true}, Row{"22.9", true}, Row{"22.0", false}, Row{"18.0", false}, Row{"10.0", false}}) {
+    for (auto& row : {Row{"38.0", true}, Row{"22.9", true}, Row{"22.0", false}, Row{"18.0", false},
+                      Row{"10.0", false}}) {
         std::string text = kSound;
         text.replace(text.find("cancel_s = 38.0"), 15, std::string("cancel_s = ") + row.cancel_s);
         ASSERT_EQ(error_of(text), "") << row.cancel_s;
--- a/tests/standin/cable.cpp
+++ b/tests/standin/cable.cpp
@@ -21,7 +21,9 @@
 };
 
 Cable::Cable(asio::io_context& io, Endpoint to)
-    : io_(io), to_(std::move(to)), acceptor_(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)) {
+    : io_(io),
+      to_(std::move(to)),
+      acceptor_(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)) {
     asio::co_spawn(io_, accept_loop(), asio::detached);
 }
 
--- a/tests/standin/cable.h
+++ b/tests/standin/cable.h
@@ -1,4 +1,5 @@
-// A link between two processes on loopback that can be cut: connections to it go on to `to` while it is up.
+// A link between two processes on loopback that can be cut: connections to it go on to `to` while
+// it is up.
 #pragma once
 #include <boost/asio.hpp>
 #include <memory>
--- a/tests/standin/standins.cpp
+++ b/tests/standin/standins.cpp
@@ -22,9 +22,9 @@
 Endpoint State::door(int controller) {
     auto& door = doors_[controller];
     if (!door)
-        door = std::make_unique<HttpServer>(io_, kLoopback, 1000, [this, controller](HttpRequest r) {
-            return handle(std::move(r), controller);
-        });
+        door = std::make_unique<HttpServer>(
+            io_, kLoopback, 1000,
+            [this, controller](HttpRequest r) { return handle(std::move(r), controller); });
     return {"127.0.0.1", door->port()};
 }
 
@@ -35,8 +35,8 @@
 }
 
 size_t State::count(const std::string& prefix) const {
-    return static_cast<size_t>(
-        std::count_if(items_.begin(), items_.end(), [&](auto& i) { return i.first.starts_with(prefix); }));
+    return static_cast<size_t>(std::count_if(items_.begin(), items_.end(),
+                                             [&](auto& i) { return i.first.starts_with(prefix); }));
 }
 
 void State::put(const std::string& key, json::value value) {
@@ -57,7 +57,8 @@
     for (auto it = first; it != history_.end(); ++it) {
         if (!it->key.starts_with(prefix)) continue;
         if (it->value)
-            out.push_back(json::object{{"write", it->key}, {"value", *it->value}, {"stamp", it->revision}});
+            out.push_back(
+                json::object{{"write", it->key}, {"value", *it->value}, {"stamp", it->revision}});
         else
             out.push_back(json::object{{"drop", it->key}, {"stamp", it->revision}});
     }
@@ -97,10 +98,11 @@
 }
 
 bool State::takes(const json::object& txn) const {
-    return std::none_of(txn.at("then").as_array().begin(), txn.at("then").as_array().end(), [&](auto& c) {
-        auto* value = c.as_object().if_contains("value");
-        return value && json::serialize(*value).size() > value_bytes;
-    });
+    return std::none_of(txn.at("then").as_array().begin(), txn.at("then").as_array().end(),
+                        [&](auto& c) {
+                            auto* value = c.as_object().if_contains("value");
+                            return value && json::serialize(*value).size() > value_bytes;
+                        });
 }
 
 HttpReply State::apply(const json::object& txn) {
@@ -111,7 +113,8 @@
         uint64_t version = it == items_.end() ? 0 : it->second.version;
         if (version != c.at("stamp").to_number<uint64_t>()) failed.emplace_back(key);
     }
-    if (!failed.empty()) return answer(409, json::object{{"failed", failed}, {"ledger", revision_}});
+    if (!failed.empty())
+        return answer(409, json::object{{"failed", failed}, {"ledger", revision_}});
     ++revision_;
     for (auto& c : txn.at("then").as_array()) {
         auto& o = c.as_object();
@@ -120,7 +123,8 @@
             if (items_.erase(key)) history_.push_back({revision_, key, {}});
         } else {
             uint64_t lease = o.contains("permit") ? o.at("permit").to_number<uint64_t>() : 0;
-            if (lease && !leases_.count(lease)) return answer(400, json::object{{"error", "no such lease"}});
+            if (lease && !leases_.count(lease))
+                return answer(400, json::object{{"error", "no such lease"}});
             std::string key(o.at("write").as_string());
             items_[key] = {o.at("value"), revision_, lease};
             history_.push_back({revision_, key, o.at("value")});
@@ -151,8 +155,8 @@
             co_return answer(400, json::object{{"error", "too large"}});
         }
         auto& then = txn.at("then").as_array();
-        if (refuse_drops &&
-            std::any_of(then.begin(), then.end(), [](auto& c) { return c.as_object().contains("drop"); }))
+        if (refuse_drops && std::any_of(then.begin(), then.end(),
+                                        [](auto& c) { return c.as_object().contains("drop"); }))
             co_return answer(503, json::object{});
         value_bytes = std::min(value_bytes, std::exchange(next_value_bytes, value_bytes));
         if (delay_txns > 0) {
@@ -161,7 +165,8 @@
             co_return apply(txn);
         }
         auto reply = apply(txn);
-        bool lost = !lose_answer_of.empty() && r.body.find("\"" + lose_answer_of + "\"") != std::string::npos;
+        bool lost = !lose_answer_of.empty() &&
+                    r.body.find("\"" + lose_answer_of + "\"") != std::string::npos;
         if (lost || lose_txn_answers > 0) {
             lose_txn_answers = std::max(0, lose_txn_answers - 1);
             co_await sleep_s(1.6);
@@ -193,7 +198,8 @@
             }
             pairs.push_back(item_json(key, item));
         }
-        co_return answer(200, json::object{{"pairs", pairs}, {"has_next", more}, {"ledger", revision_}});
+        co_return answer(200,
+                         json::object{{"pairs", pairs}, {"has_next", more}, {"ledger", revision_}});
     }
     if (path.starts_with("/keys/")) {
         if (refuse_keys) co_return answer(503, json::object{});
@@ -204,8 +210,8 @@
     co_return answer(400, json::object{});
 }
 
-Worker::Worker(asio::io_context& io, Cloud& cloud, std::string name, std::string type, std::string zone,
-               bool spot)
+Worker::Worker(asio::io_context& io, Cloud& cloud, std::string name, std::string type,
+               std::string zone, bool spot)
     : name(std::move(name)),
       type(std::move(type)),
       zone(std::move(zone)),
@@ -268,11 +274,13 @@
             double run_s = spec.run_s + spec.stagger_s * std::stoi(lot.substr(lot.rfind('/') + 1));
             tasks_[lot] = {attempt, "running", "", steady_now() + run_s};
         } else if (op == "stop") {
-            if (it != tasks_.end() && it->second.attempt == attempt && it->second.state != "exited") {
+            if (it != tasks_.end() && it->second.attempt == attempt &&
+                it->second.state != "exited") {
                 it->second.state = "exited";
                 it->second.cause = "stopped";
             }
-        } else if (it != tasks_.end() && it->second.state == "exited" && it->second.attempt == attempt) {
+        } else if (it != tasks_.end() && it->second.state == "exited" &&
+                   it->second.attempt == attempt) {
             tasks_.erase(it);
         }
     }
@@ -285,7 +293,8 @@
     step();
     auto v = json::parse(r.body).as_object();
     auto token = v.at("gavel").to_number<uint64_t>();
-    if (token < token_ || v.at("shift").to_number<uint64_t>() != session_) co_return answer(409, report());
+    if (token < token_ || v.at("shift").to_number<uint64_t>() != session_)
+        co_return answer(409, report());
     token_ = token;
     execute(v.at("orders").as_array());
     co_return answer(200, report());
@@ -298,14 +307,16 @@
     lease_from_ = steady_now();
 }
 
-asio::awaitable<void> Worker::send_copy(std::shared_ptr<Worker> self, std::string body, Endpoint to) {
+asio::awaitable<void> Worker::send_copy(std::shared_ptr<Worker> self, std::string body,
+                                        Endpoint to) {
     (void)self;
     HttpClient client(io_, to, 1024 * 1024);
     (void)co_await client.request("POST", "/v1/report", std::move(body), 1.0);
 }
 
 void Worker::repeat_report(size_t n) {
-    for (auto& to : cloud_.nodes) asio::co_spawn(io_, send_copy(shared_from_this(), sent_[n], to), asio::detached);
+    for (auto& to : cloud_.nodes)
+        asio::co_spawn(io_, send_copy(shared_from_this(), sent_[n], to), asio::detached);
 }
 
 asio::awaitable<void> Worker::live(std::shared_ptr<Worker> self) {
@@ -327,7 +338,8 @@
             auto to = cloud_.nodes[(node + static_cast<size_t>(i)) % cloud_.nodes.size()];
             asio::co_spawn(io_, send_copy(self, std::move(old), to), asio::detached);
         }
-        auto reply = co_await client.request("POST", "/v1/report", body, cloud_.settings.worker_patience_s);
+        auto reply =
+            co_await client.request("POST", "/v1/report", body, cloud_.settings.worker_patience_s);
         if (hung || mute) reply.reset();  // given up by the time that it goes on
         while (hung && !dead_) co_await sleep_s(0.01);
         if (dead_ || silent) continue;
@@ -375,7 +387,8 @@
         broken.push_back("quota " + task + " " + std::to_string(used));
     if (!job.zone.empty() && job.zone != on.zone) broken.push_back("wrong_place " + task);
     for (auto& awaited : job.awaits)
-        if (ends[awaited] < static_cast<int>(jobs[awaited].tasks)) broken.push_back("too_early " + task);
+        if (ends[awaited] < static_cast<int>(jobs[awaited].tasks))
+            broken.push_back("too_early " + task);
 }
 
 Cloud::Cloud(asio::io_context& io, const Settings& s)
@@ -398,8 +411,9 @@
 asio::awaitable<HttpReply> Cloud::handle(HttpRequest r) {
     std::string path = r.target.substr(0, r.target.find('?'));
     if (path == "/machine_types")
-        co_return HttpReply{200,
-                            R"({"rigs":[{"label":"std","cores":8,"accelerators":0,"mem_gb":64,"local_gb":50,
+        co_return HttpReply{
+            200,
+            R"({"rigs":[{"label":"std","cores":8,"accelerators":0,"mem_gb":64,"local_gb":50,
             "fetch_gb_per_s":1.0,"hourly":1.0,"spot_price":0.5,"startup_s":20,"yards":["a","b"]}]})"};
     if (path == "/machines/return") {
         for (auto& v : json::parse(r.body).at("millstones").as_array()) {
@@ -411,14 +425,15 @@
     if (path == "/machines" && r.method == "POST") {
         auto v = json::parse(r.body).as_object();
         std::string hire(v.at("hire").as_string());
-        if (!hires.insert(hire).second) co_return answer(200, json::object{{"millstones", answers_[hire]}});
+        if (!hires.insert(hire).second)
+            co_return answer(200, json::object{{"millstones", answers_[hire]}});
         json::array names;
         for (int i = 0; i < v.at("count").to_number<int>(); ++i) {
             char name[16];
             std::snprintf(name, sizeof name, "vm-%06d", next_++);
-            auto w =
-                std::make_shared<Worker>(io_, *this, name, std::string(v.at("rig").as_string()),
-                                         std::string(v.at("yard").as_string()), v.at("loaners").as_bool());
+            auto w = std::make_shared<Worker>(
+                io_, *this, name, std::string(v.at("rig").as_string()),
+                std::string(v.at("yard").as_string()), v.at("loaners").as_bool());
             workers[name] = w;
             w->start();
             names.emplace_back(name);
--- a/tests/standin/standins.h
+++ b/tests/standin/standins.h
@@ -1,5 +1,6 @@
-// Stand-ins for the outside systems, on loopback, that speak their published protocols: the state service,
-// the cloud with its workers, and a user. They share the io_context of the controllers under test.
+// Stand-ins for the outside systems, on loopback, that speak their published protocols: the state
+// service, the cloud with its workers, and a user. They share the io_context of the controllers
+// under test.
 #pragma once
 #include <boost/asio.hpp>
 #include <boost/json.hpp>
@@ -31,10 +32,12 @@
     int lose_txn_answers = 0;    // the next transactions are executed, but not answered in time
     std::string lose_answer_of;  // the same for those that write this key
     bool refuse_drops = false;   // 503 to transactions that delete
-    int delay_txns = 0;          // the next transactions are executed late, after their sender gave up
-    bool refuse_keys = false;    // 503 to reads of single keys
-    double slow_leases_s = 0;    // what is asked of leases is done at once, and answered so much later
-    // The longest value that it takes; from the next transaction on, which still counts under the old limit.
+    int delay_txns = 0;  // the next transactions are executed late, after their sender gave up
+    bool refuse_keys = false;  // 503 to reads of single keys
+    double slow_leases_s =
+        0;  // what is asked of leases is done at once, and answered so much later
+    // The longest value that it takes; from the next transaction on, which still counts under the
+    // old limit.
     size_t value_bytes = 1 << 20, next_value_bytes = 1 << 20;
     int too_large = 0;  // transactions refused for it
     std::map<std::string, json::value> keys() const;
@@ -79,7 +82,7 @@
     uint32_t tasks = 1;
     bool fails = false;
     std::vector<std::string> awaits{};
-    double stagger_s = 0;  // each task runs as much longer than the one before it
+    double stagger_s = 0;        // each task runs as much longer than the one before it
     std::string team{}, zone{};  // a limited team (Cloud::limits), the only allowed zone
     double cpus = 1;             // of each task
 };
@@ -94,14 +97,15 @@
     void start();
     void kill() { dead_ = true, tasks_.clear(); }
     bool dead() const { return dead_; }
-    int cut_from = -1;  // the controller that it can't reach
-    bool deaf = false;  // its reports arrive, answers and commands do not reach it
-    bool no_commands = false;  // what is sent straight to it is lost
+    int cut_from = -1;           // the controller that it can't reach
+    bool deaf = false;           // its reports arrive, answers and commands do not reach it
+    bool no_commands = false;    // what is sent straight to it is lost
     bool hold_commands = false;  // what is sent straight to it arrives once this ends
-    int copies = 0;     // of each report, as many older ones come once more
-    bool mute = false;  // its own connections fail; commands reach it
-    int only = -1;      // the one controller that it reaches
-    bool hung = false;  // neither runs nor answers anything; goes on where it was, its lease running all the while
+    int copies = 0;              // of each report, as many older ones come once more
+    bool mute = false;           // its own connections fail; commands reach it
+    int only = -1;               // the one controller that it reaches
+    bool hung = false;  // neither runs nor answers anything; goes on where it was, its lease
+                        // running all the while
     // The `n`th report that it sent comes once more, to each controller.
     void repeat_report(size_t n);
     size_t reports() const { return sent_.size(); }
@@ -149,13 +153,13 @@
     std::vector<std::string> node_names;
     std::map<std::string, Job> jobs;  // what users uploaded for the workers
     std::map<std::string, std::shared_ptr<Worker>> workers;
-    std::vector<std::string> broken;    // rules
-    std::map<std::string, int> starts;  // by task
-    std::map<std::string, int> ends;    // tasks done, by job
+    std::vector<std::string> broken;        // rules
+    std::map<std::string, int> starts;      // by task
+    std::map<std::string, int> ends;        // tasks done, by job
     std::map<std::string, double> done_at;  // by task, when it was done first
     std::set<std::string> hires;
     std::map<std::string, double> limits;  // CPUs that a team's tasks may use at once
-    bool held_starts = false;  // launches are received but not executed until this ends
+    bool held_starts = false;              // launches are received but not executed until this ends
     const Settings& settings;
     bool on_some_machine(const std::string& job) const;
 
--- a/tests/store.h
+++ b/tests/store.h
@@ -35,7 +35,8 @@
     StatePage log() const {
         StatePage page;
         for (auto& [key, value] : keys)
-            if (key.starts_with(kSegments)) page.items.push_back({key, boost::json::parse(value.first), value.second, 0});
+            if (key.starts_with(kSegments))
+                page.items.push_back({key, boost::json::parse(value.first), value.second, 0});
         return page;
     }
     void load(Ledger& ledger, double now) const {
@@ -74,8 +75,8 @@
     return n;
 }
 
-// Something happens to a task of every job, and one in so many is cancelled. `below(n)`: a random number
-// below n.
+// Something happens to a task of every job, and one in so many is cancelled. `below(n)`: a random
+// number below n.
 template <class Below>
 void live_on(Tables& tables, Ledger& ledger, const std::vector<Index>& machines, Below&& below,
              uint32_t cancelled_one_in, double now) {
--- a/tests/traces_test.cpp
+++ b/tests/traces_test.cpp
@@ -1,5 +1,5 @@
-// Imports of traces: samples of each format, written here, with what published traces have that importers
-// trip over. Every case says what became of every record and every job.
+// Imports of traces: samples of each format, written here, with what published traces have that
+// importers trip over. Every case says what became of every record and every job.
 #include <gtest/gtest.h>
 
 #include <boost/iostreams/filter/gzip.hpp>
@@ -39,7 +39,8 @@
 struct Imported {
     Account account;
     std::string jobs, dispositions;
-    // Each record and job in the order told: "a:1>J" merged into J, "a:2!code" rejected, "J=req-1", "J!code".
+    // Each record and job in the order told: "a:1>J" merged into J, "a:2!code" rejected, "J=req-1",
+    // "J!code".
     std::string told;
     // Each submission in short: "id@time tasks x cores/gpus/mem run team urgency class <awaits>".
     std::string submissions;
@@ -50,7 +51,8 @@
             {"g8", {96000, 8000, 768000}, 200, 1, 12, 4, 45, {"a"}}};
 }
 
-Imported import_files(const std::string& format, const std::vector<std::string>& paths, const Map& map = {}) {
+Imported import_files(const std::string& format, const std::vector<std::string>& paths,
+                      const Map& map = {}) {
     Imported out;
     out.account = import(
         *find_format(format), paths, map, types(), [&](std::string_view t) { out.jobs += t; },
@@ -63,9 +65,11 @@
         auto text = [&](const char* name) { return std::string(o.at(name).as_string()); };
         std::string what;
         if (auto* r = o.if_contains("record")) {
-            auto file = std::filesystem::path(std::string(r->at("file").as_string())).filename().string();
+            auto file =
+                std::filesystem::path(std::string(r->at("file").as_string())).filename().string();
             what = file + ":" + std::to_string(r->at("line").to_number<int64_t>());
-            if (auto* e = r->as_object().if_contains("element")) what += "#" + std::to_string(e->as_int64());
+            if (auto* e = r->as_object().if_contains("element"))
+                what += "#" + std::to_string(e->as_int64());
             EXPECT_TRUE(records.insert(what).second) << what << " was told of twice";
             for (auto* part : {"job", "group", "machine"})
                 if (text("is") == "merged" && o.contains(part)) what += ">" + text(part);
@@ -80,7 +84,8 @@
         }
         out.told += (out.told.empty() ? "" : " ") + what;
     }
-    // Nothing is left out: as many lines as the account says, and each submission is one that is taken.
+    // Nothing is left out: as many lines as the account says, and each submission is one that is
+    // taken.
     auto& a = out.account;
     EXPECT_TRUE(a.holds());
     EXPECT_EQ(records.size(), a.records);
@@ -95,10 +100,10 @@
         std::ostringstream t;
         t << s.id << "@" << v.at("at_s").to_number<double>() << " "
           << (s.kind == JobKind::Gang ? "gang " : "") << s.tasks << "x"
-          << static_cast<double>(s.need.cpu) / 1000 << "/" << static_cast<double>(s.need.gpu) / 1000 << "/"
-          << static_cast<double>(s.need.mem) / 1000 << " " << s.estimate_s << "s " << names.teams.name(s.team)
-          << " " << v.at("submission").at("urgency").as_string().c_str() << " "
-          << names.classes.name(s.job_class);
+          << static_cast<double>(s.need.cpu) / 1000 << "/" << static_cast<double>(s.need.gpu) / 1000
+          << "/" << static_cast<double>(s.need.mem) / 1000 << " " << s.estimate_s << "s "
+          << names.teams.name(s.team) << " " << v.at("submission").at("urgency").as_string().c_str()
+          << " " << names.classes.name(s.job_class);
         for (auto& d : s.dependencies) t << " <" << d;
         out.submissions += t.str() + "\n";
     }
@@ -106,7 +111,8 @@
     return out;
 }
 
-Imported import_texts(const std::string& format, const std::vector<std::string>& texts, const Map& map = {}) {
+Imported import_texts(const std::string& format, const std::vector<std::string>& texts,
+                      const Map& map = {}) {
     Folder folder;
     std::vector<std::string> paths;
     for (auto& t : texts)
@@ -128,96 +134,125 @@
       "2 9 5 -1 1 -1 -1 1 -1 -1 1 1 1 1 1 1 -1 -1\r\n3 9 5 -7 1 -1 -1 1 -1 -1 1 1 1 1 1 1 -1 -1\r\n"
       "1 9 5 10 1 -1 -1 1 -1 -1 1 1 1 1 1 1 -1 -1\n4 9 5 -1 1 -1 -1 1 50 -1 1 1 1 1 1 1 -1 -1"},
      "a:3>1 1=req-1 a:4>2 2!no_end a:5>3 3!end_before_start a:6!duplicate_job a:7>4 4=req-4"},
-    {"swf: fields: too few, not numbers, overflow, NaN, negatives, no task, too many, a job for a job that "
+    {"swf: fields: too few, not numbers, overflow, NaN, negatives, no task, too many, a job for a "
+     "job that "
      "was not taken",
      "swf",
-     {"1 0 5 100\nx 0 5 10 4 -1 -1 4 9 -1 1 1 1 1 1 1 -1 -1\n2 0 5 1e999 4 -1 -1 4 9 -1 1 1 1 1 1 1 -1 -1\n"
+     {"1 0 5 100\nx 0 5 10 4 -1 -1 4 9 -1 1 1 1 1 1 1 -1 -1\n2 0 5 1e999 4 -1 -1 4 9 -1 1 1 1 1 1 "
+      "1 -1 -1\n"
       "3 nan 5 10 4 -1 -1 4 9 -1 1 1 1 1 1 1 -1 -1\n4 -9 5 10 4 -1 -1 4 9 -1 1 1 1 1 1 1 -1 -1\n"
-      "99999999999999999999 0 5 10 4 -1 -1 4 9 -1 1 1 1 1 1 1 -1 -1\n5 0 5 10 -4 -1 -1 4 9 -1 1 1 1 1 1 1 -1 "
+      "99999999999999999999 0 5 10 4 -1 -1 4 9 -1 1 1 1 1 1 1 -1 -1\n5 0 5 10 -4 -1 -1 4 9 -1 1 1 "
+      "1 1 1 1 -1 "
+      "-1\n"
+      "6 0 5 10 -1 -1 -1 -1 9 -1 1 1 1 1 1 1 -1 -1\n7 0 5 10 99999999 -1 -1 -1 9 -1 1 1 1 1 1 1 -1 "
       "-1\n"
-      "6 0 5 10 -1 -1 -1 -1 9 -1 1 1 1 1 1 1 -1 -1\n7 0 5 10 99999999 -1 -1 -1 9 -1 1 1 1 1 1 1 -1 -1\n"
       "8 0 5 10 1 -1 -1 1 9 -1 1 1 1 1 1 1 7 -1\n9 0 5 10 1 -1 -1 1 9 -1 1 1 1 1 1 1 9 -1\n"
       "10 0 5 10 1 -1 -1 1 9 999999999999 1 1 1 1 1 1 -1 -1\n"},
-     "a:1!bad_columns a:2!bad_number a:3!bad_number a:4!bad_number a:5!negative a:6!bad_number a:7!negative "
+     "a:1!bad_columns a:2!bad_number a:3!bad_number a:4!bad_number a:5!negative a:6!bad_number "
+     "a:7!negative "
      "a:8>6 "
      "6!no_task a:9>7 7!too_many_tasks a:10>8 8!awaits_unknown a:11>9 9!cycle a:12>10 10!no_fit"},
     {"swf: times back by a second, a day, and at the seam of two files",
      "swf",
      {"1 90000 0 9 1 -1 -1 1 9 -1 1 1 1 1 1 1 -1 -1\n2 89999 0 9 1 -1 -1 1 9 -1 1 1 1 1 1 1 -1 -1\n"
       "3 3600 0 9 1 -1 -1 1 9 -1 1 1 1 1 1 1 -1 -1\n",
-      "4 89990 0 9 1 -1 -1 1 9 -1 1 1 1 1 1 1 -1 -1\n5 90010 0 9 1 -1 -1 1 9 -1 1 1 1 1 1 1 -1 -1\n"},
+      "4 89990 0 9 1 -1 -1 1 9 -1 1 1 1 1 1 1 -1 -1\n5 90010 0 9 1 -1 -1 1 9 -1 1 1 1 1 1 1 -1 "
+      "-1\n"},
      "b:1>4 4=req-4 a:1>1 1=req-1 a:2>2 2=req-2 a:3!time_backwards b:2>5 5=req-5"},
-    {"google-2011: undeclared, twice declared and removed machines; unknown jobs, no task, after the end",
+    {"google-2011: undeclared, twice declared and removed machines; unknown jobs, no task, after "
+     "the end",
      "google-2011",
      {"0,m1,0,p,0.5,0.2\n0,m1,0,p,0.5,0.2\n7000000,m1,1,,,\n8000000,m2,1,,,\n9000000,m1,9,,,\n",
       "1000000,,1,0,u,2,n,l\n1000000,,1,0,u,2,n,l\n2000000,,2,0,u,2,n,l\n3000000,,2,5,u,2,n,l\n"
       "9000000,,1,4,u,2,n,l\n20000000,,1,4,u,2,n,l\n",
-      "1000000,,1,0,,0,u,2,9,0.5,0.1,0,0\n1000000,,1,0,,0,u,2,9,0.5,0.1,0,0\n2000000,,1,0,m1,1,u,2,9,0.5,0.1,"
+      "1000000,,1,0,,0,u,2,9,0.5,0.1,0,0\n1000000,,1,0,,0,u,2,9,0.5,0.1,0,0\n2000000,,1,0,m1,1,u,2,"
+      "9,0.5,0.1,"
       "0,0\n"
-      "3000000,,7,0,,0,u,2,9,0.5,0.1,0,0\n4000000,,1,3,m9,1,u,2,9,0.5,0.1,0,0\n9000000,,1,0,m1,4,u,2,9,0.5,0."
+      "3000000,,7,0,,0,u,2,9,0.5,0.1,0,0\n4000000,,1,3,m9,1,u,2,9,0.5,0.1,0,0\n9000000,,1,0,m1,4,u,"
+      "2,9,0.5,0."
       "1,0,0\n"
       "9500000,,1,0,m1,4,u,2,9,0.5,0.1,0,0\n30000000,,1,0,m1,0,u,2,9,0.5,0.1,0,0\n"},
      "a:1>m1 a:2!machine_twice b:1>1 b:2!duplicate_job c:1>1 c:2!duplicate_task b:3>2 c:3>1 b:4>2 "
      "c:4!unknown_job "
-     "c:5!unknown_task 2!no_task a:3>m1 a:4!machine_unknown a:5!bad_event b:5>1 c:6>1 c:7!after_end 1=req-1 "
+     "c:5!unknown_task 2!no_task a:3>m1 a:4!machine_unknown a:5!bad_event b:5>1 c:6>1 "
+     "c:7!after_end 1=req-1 "
      "b:6!after_end c:8!after_end"},
-    {"google-2011: quoted commas, empty and bad fields, an open job, the time after the trace, a header",
+    {"google-2011: quoted commas, empty and bad fields, an open job, the time after the trace, a "
+     "header",
      "google-2011",
      {"time,missing info,job ID,event type,user,scheduling class,job name,logical job name\n"
       "0,,1,0,\"a,b\",2,n,l\n1,,1,1,\"open,2,n,l\n2,,,0,u,2,n,l\n3,,2,0,u,2,n\n4,,2,0,u,-2,n,l\n"
       "9223372036854775807,,1,4,u,2,n,l\n",
       "1,,1,0,,0,u,2,9,,,,\n5000000,,1,0,m,1,u,2,9,,,,\n"},
-     "a:2>1 a:3!bad_columns b:1>1 a:4!empty_field a:5!bad_columns a:6!negative b:2>1 a:7>1 1!no_end"},
+     "a:2>1 a:3!bad_columns b:1>1 a:4!empty_field a:5!bad_columns a:6!negative b:2>1 a:7>1 "
+     "1!no_end"},
     {"google-2019: collections, alloc sets, jobs after jobs, bad lines",
      "google-2019",
      {"{\"time\":\"0\",\"type\":\"ADD\",\"machine_id\":\"7\",\"capacity\":{\"cpus\":1}}\n"
-      "{\"time\":\"1000000\",\"type\":0,\"collection_id\":\"11\",\"collection_type\":\"JOB\",\"user\":\"u\","
+      "{\"time\":\"1000000\",\"type\":0,\"collection_id\":\"11\",\"collection_type\":\"JOB\","
+      "\"user\":\"u\","
       "\"priority\":200}\n"
-      "{\"time\":1000000,\"type\":\"SUBMIT\",\"collection_id\":11,\"instance_index\":0,\"resource_request\":{"
+      "{\"time\":1000000,\"type\":\"SUBMIT\",\"collection_id\":11,\"instance_index\":0,\"resource_"
+      "request\":{"
       "\"cpus\":0.5,\"memory\":0.25}}\n"
-      "{\"time\":2000000,\"type\":\"SCHEDULE\",\"collection_id\":11,\"instance_index\":0,\"machine_id\":"
+      "{\"time\":2000000,\"type\":\"SCHEDULE\",\"collection_id\":11,\"instance_index\":0,\"machine_"
+      "id\":"
       "\"8\"}\n"
       "{\"time\":2000000,\"type\":\"SUBMIT\",\"collection_id\":12,\"collection_type\":1}\n"
-      "{\"time\":2500000,\"type\":\"SUBMIT\",\"collection_id\":13,\"start_after_collection_ids\":[\"11\"]}\n"
+      "{\"time\":2500000,\"type\":\"SUBMIT\",\"collection_id\":13,\"start_after_collection_ids\":["
+      "\"11\"]}\n"
       "{\"time\":12000000,\"type\":\"FINISH\",\"collection_id\":\"11\",\"instance_index\":0}\n"
-      "{\"time\":12000000,\"type\":6,\"collection_id\":\"11\"}\n{\"time\":13000000\n[]\n{\"time\":13000000,"
+      "{\"time\":12000000,\"type\":6,\"collection_id\":\"11\"}\n{\"time\":13000000\n[]\n{\"time\":"
+      "13000000,"
       "\"type\":77,\"collection_id\":\"13\"}\n"
       "{\"time\":13000000,\"type\":0,\"collection_id\":\"13\",\"instance_index\":4}\n"
       "{\"time\":13000000,\"type\":3,\"collection_id\":\"13\",\"instance_index\":4}\n"
       "{\"time\":14000000,\"type\":7,\"collection_id\":\"13\"}"},
-     "a:1>7 a:2>11 a:3>11 a:4>11 a:5>12 a:6>13 a:7>11 a:8>11 a:9!bad_json a:10!bad_json a:11!bad_event "
+     "a:1>7 a:2>11 a:3>11 a:4>11 a:5>12 a:6>13 a:7>11 a:8>11 a:9!bad_json a:10!bad_json "
+     "a:11!bad_event "
      "a:12>13 11=req-11 a:13>13 a:14>13 13=req-13 12!reservation"},
-    {"alibaba-2018: a DAG, a cycle, instances before their tables, unknown jobs, no instances, no end",
+    {"alibaba-2018: a DAG, a cycle, instances before their tables, unknown jobs, no instances, no "
+     "end",
      "alibaba-2018",
-     {"i1,M1,j_1,1,Terminated,10,40,m_1,1,1,5,9,0.1,0.2\ni2,M1,j_1,1,Terminated,50,20,m_1,1,1,5,9,0.1,0.2\n"
+     {"i1,M1,j_1,1,Terminated,10,40,m_1,1,1,5,9,0.1,0.2\ni2,M1,j_1,1,Terminated,50,20,m_1,1,1,5,9,"
+      "0.1,0.2\n"
       "i3,M9,j_9,1,Terminated,10,40,m_1,1,1,5,9,0.1,0.2\n",
       "R2_1,1,j_1,1,Terminated,40,60,100,0.5\nM1,2,j_1,1,Terminated,10,40,50,0.4\n"
-      "J3_1_2,1,j_1,1,Terminated,60,80,100,0.5\nM1_2,1,j_2,1,Terminated,1,2,100,0.5\nR2_1,1,j_2,1,Terminated,"
+      "J3_1_2,1,j_1,1,Terminated,60,80,100,0.5\nM1_2,1,j_2,1,Terminated,1,2,100,0.5\nR2_1,1,j_2,1,"
+      "Terminated,"
       "1,2,100,0.5\n"
-      "R4_3,1,j_1,1,Terminated,1,2,100,0.5\nM5_7,1,j_1,1,Terminated,1,2,100,0.5\ntask_xyz,0,j_3,1,Terminated,"
+      "R4_3,1,j_1,1,Terminated,1,2,100,0.5\nM5_7,1,j_1,1,Terminated,1,2,100,0.5\ntask_xyz,0,j_3,1,"
+      "Terminated,"
       "1,2,100,0.5\n"
-      "M1,1,j_4,1,Running,7,0,100,0.5\nM1,1,j_4,1,Running,7,0,100,0.5\nM1,1,j_5,1,Failed,9,3,100,0.5\n",
+      "M1,1,j_4,1,Running,7,0,100,0.5\nM1,1,j_4,1,Running,7,0,100,0.5\nM1,1,j_5,1,Failed,9,3,100,0."
+      "5\n",
       "m_1,0,1,2,96,100,USING\nm_1,0,1,2,96,100,USING\nm_1,60,1,2,96,100,USING\n"},
-     "c:1>m_1 c:2!machine_twice c:3>m_1 b:1>j_1/2 b:2>j_1/1 b:3>j_1/3 b:4>j_2/1 b:5>j_2/2 b:6>j_1/4 "
+     "c:1>m_1 c:2!machine_twice c:3>m_1 b:1>j_1/2 b:2>j_1/1 b:3>j_1/3 b:4>j_2/1 b:5>j_2/2 "
+     "b:6>j_1/4 "
      "b:7>j_1/5 "
      "b:8>j_3/task_xyz b:9>j_4/1 b:10!duplicate_job b:11>j_5/1 a:1>j_1/1 a:2>j_1/1 a:3!unknown_job "
      "j_1/1=req-1 "
-     "j_3/task_xyz!no_task j_4/1!no_end j_5/1!end_before_start j_1/2=req-2 j_1/5!awaits_unknown j_1/3=req-3 "
+     "j_3/task_xyz!no_task j_4/1!no_end j_5/1!end_before_start j_1/2=req-2 j_1/5!awaits_unknown "
+     "j_1/3=req-3 "
      "j_1/4=req-4 j_2/1!cycle j_2/2!cycle"},
     {"alibaba-gpu-2020: roles are jobs, owners of another table, what fits nothing",
      "alibaba-gpu-2020",
      {"j1,x,usr,Terminated,5,100\nj1,x,usr,Terminated,5,100\nj9,x,usr,Terminated,5,100\n",
       "j1,ps,1,Terminated,10,100,200,8,,\nj1,worker,4,Terminated,10,100,600,29.5,50,V100\n"
-      "j2,worker,1,Terminated,10,100,600,29.5,1600,V100\nj3,worker,2,Terminated,,,600,29.5,100,T4\n",
-      "j1,worker,i1,w1,x,Terminated,20,95,m1\nj3,worker,i1,w1,x,Terminated,20,95,m1\nj1,evaluator,i1,w1,x,"
+      "j2,worker,1,Terminated,10,100,600,29.5,1600,V100\nj3,worker,2,Terminated,,,600,29.5,100,"
+      "T4\n",
+      "j1,worker,i1,w1,x,Terminated,20,95,m1\nj3,worker,i1,w1,x,Terminated,20,95,m1\nj1,evaluator,"
+      "i1,w1,x,"
       "Terminated,20,95,m1\n"},
      "b:1>j1/ps b:2>j1/worker b:3>j2/worker b:4>j3/worker a:1>j1 a:2!duplicate_job a:3!unknown_job "
      "c:1>j1/worker "
-     "c:2>j3/worker c:3!unknown_job j1/ps=req-1 j1/worker=req-2 j2/worker!no_fit j3/worker!no_time"},
+     "c:2>j3/worker c:3!unknown_job j1/ps=req-1 j1/worker=req-2 j2/worker!no_fit "
+     "j3/worker!no_time"},
     // Found by the fuzzer: the sentence of the refusal named the count, which no integer held.
     {"alibaba-gpu-2020: counts and times beyond every integer",
      "alibaba-gpu-2020",
-     {"j1,ps,1e18,Terminated,10,100,200,8,,\nj1,x,1e67,Terminated,10,100,200,8,,\nj1,y,1,Terminated,1e18,"
+     {"j1,ps,1e18,Terminated,10,100,200,8,,\nj1,x,1e67,Terminated,10,100,200,8,,\nj1,y,1,"
+      "Terminated,1e18,"
       "1e18,200,8,,\n"},
      "a:1>j1/ps a:2!bad_number a:3>j1/y j1/ps!too_many_tasks j1/y=req-1"},
     {"philly: an array over many lines, attempts, no attempt, null times, what is no object's end",
@@ -225,32 +260,39 @@
      {"[\n{\"status\":\"Pass\",\"vc\":\"v1\",\"jobid\":\"application_1\",\"attempts\":[\n "
       "{\"start_time\":\"2017-10-09 07:01:54\","
       "\"end_time\":\"2017-10-09 "
-      "07:02:54\",\"detail\":[{\"ip\":\"m1\",\"gpus\":[\"gpu0\",\"gpu1\"]},{\"ip\":\"m2\",\"gpus\":[\"gpu0\","
+      "07:02:54\",\"detail\":[{\"ip\":\"m1\",\"gpus\":[\"gpu0\",\"gpu1\"]},{\"ip\":\"m2\",\"gpus\":"
+      "[\"gpu0\","
       "\"gpu1\"]}]}],\n"
       "\"submitted_time\":\"2017-10-09 07:01:49\",\"user\":\"u}\\\"{\"},\n"
-      "{\"status\":\"Killed\",\"vc\":\"v1\",\"jobid\":\"application_2\",\"attempts\":[],\"submitted_time\":"
+      "{\"status\":\"Killed\",\"vc\":\"v1\",\"jobid\":\"application_2\",\"attempts\":[],"
+      "\"submitted_time\":"
       "\"2017-10-09 07:01:50\",\"user\":\"u\"},\n"
-      "{\"status\":\"Killed\",\"vc\":\"v1\",\"jobid\":\"application_3\",\"attempts\":[{\"start_time\":\"2017-"
+      "{\"status\":\"Killed\",\"vc\":\"v1\",\"jobid\":\"application_3\",\"attempts\":[{\"start_"
+      "time\":\"2017-"
       "10-09 07:01:54\",\"end_time\":null,"
       "\"detail\":[{\"ip\":\"m1\",\"gpus\":[\"gpu0\"]}]}],\"submitted_time\":\"2017-10-09 "
       "07:01:50\",\"user\":\"u\"}, "
       "{\"jobid\":\"application_4\",\"submitted_time\":\"2017-13-09 "
       "07:01:50\"},{\"jobid\":\"application_5\",\"submitted_time\":null},\n"
       "{\"jobid\":\"application_6\""},
-     "a:2#1>application_1 application_1=req-1 a:5#2>application_2 application_2!no_task a:6#3>application_3 "
-     "application_3!no_end a:6#4!bad_number a:6#5>application_5 application_5!no_task a:7#6!input_cut"},
+     "a:2#1>application_1 application_1=req-1 a:5#2>application_2 application_2!no_task "
+     "a:6#3>application_3 "
+     "application_3!no_end a:6#4!bad_number a:6#5>application_5 application_5!no_task "
+     "a:7#6!input_cut"},
     {"philly: what is no object between the elements",
      "philly",
      {"[ 5, \"x{\", null,\n{\"jobid\":\"j\"}]"},
      "a:1#1!bad_json a:1#2!bad_json a:1#3!bad_json a:2#4>j j!no_task"},
     {"azure-vm: rows, a header, an empty field, an end before the start, bytes that are not UTF-8",
      "azure-vm",
-     {"vmid,subscriptionid,deploymentid,vmcreated,vmdeleted,maxcpu,avgcpu,p95maxcpu,vmcategory,vmcorecount,"
+     {"vmid,subscriptionid,deploymentid,vmcreated,vmdeleted,maxcpu,avgcpu,p95maxcpu,vmcategory,"
+      "vmcorecount,"
       "vmmemory\n"
       "v1,s,d,0,300,99,3.4,10,Interactive,2,3.5\nv2,s,d,300,0,99,3.4,10,Delay-insensitive,2,3.5\n"
       "v3,s,d,0,300,99,3.4,10,Interactive,,3.5\nv\xff,s,d,0,300,99,3.4,10,Interactive,2,3.5\n"
       "v4,s,d,0,,99,3.4,10,Interactive,2,3.5\nv5,s,d,0,300,99,3.4,10,Interactive,2,3.5"},
-     "a:2>v1 v1=req-1 a:3>v2 v2!end_before_start a:4!empty_field a:5!not_utf8 a:6>v4 v4!no_end a:7>v5 "
+     "a:2>v1 v1=req-1 a:3>v2 v2!end_before_start a:4!empty_field a:5!not_utf8 a:6>v4 v4!no_end "
+     "a:7>v5 "
      "v5=req-2"},
 };
 
@@ -269,37 +311,43 @@
 }
 
 TEST(Traces, WhatJobsBecome) {
-    // Units, teams, urgencies and classes of the map; processors packed into tasks; the longest task's run.
+    // Units, teams, urgencies and classes of the map; processors packed into tasks; the longest
+    // task's run.
     Map map;
     map.cores = 32;
     map.mem_gb = 100;
     map.team.by_value = {{"u", "red"}};
     map.urgency_at = {{0, "low"}, {9, "high"}};
     map.job_class.by_value = {{"2", "batch"}};
-    auto google = import_texts("google-2011",
-                               {"1000000,,1,0,u,2,n,l\n9000000,,1,4,u,2,n,l\n",
-                                "1000000,,1,0,,0,u,2,9,0.25,0.1,0,0\n1000000,,1,1,,0,u,2,9,0.5,0.1,0,0\n"
-                                "2000000,,1,0,m1,1,u,2,9,0.25,0.1,0,0\n3000000,,1,1,m1,1,u,2,9,0.25,0.1,0,0\n"
-                                "4000000,,1,0,m1,4,u,2,9,0.25,0.1,0,0\n"},
-                               map);
+    auto google =
+        import_texts("google-2011",
+                     {"1000000,,1,0,u,2,n,l\n9000000,,1,4,u,2,n,l\n",
+                      "1000000,,1,0,,0,u,2,9,0.25,0.1,0,0\n1000000,,1,1,,0,u,2,9,0.5,0.1,0,0\n"
+                      "2000000,,1,0,m1,1,u,2,9,0.25,0.1,0,0\n3000000,,1,1,m1,1,u,2,9,0.25,0.1,0,0\n"
+                      "4000000,,1,0,m1,4,u,2,9,0.25,0.1,0,0\n"},
+                     map);
     EXPECT_EQ(google.submissions, "req-1@1 2x16/0/10 6s red high batch\n") << google.told;
 
     auto swf = import_texts("swf", {"1 0 5 100 -1 -1 -1 100 200 1048576 1 7 1 1 1 1 -1 -1\n"
                                     "2 1 5 100 -1 -1 -1 200 200 -1 1 7 1 1 1 1 1 -1\n"});
-    EXPECT_EQ(swf.submissions,
-              "req-1@0 gang 2x50/0/50 100s trace normal trace\nreq-2@1 gang 3x67/0/67 100s trace normal "
-              "trace <req-1\n");
+    EXPECT_EQ(
+        swf.submissions,
+        "req-1@0 gang 2x50/0/50 100s trace normal trace\nreq-2@1 gang 3x67/0/67 100s trace normal "
+        "trace <req-1\n");
 
-    auto gpus = import_texts("alibaba-gpu-2020", {"j1,worker,4,Terminated,10,100,600,29.5,50,V100\n",
-                                                  "j1,x,usr,Terminated,5,100\n"});
+    auto gpus = import_texts(
+        "alibaba-gpu-2020",
+        {"j1,worker,4,Terminated,10,100,600,29.5,50,V100\n", "j1,x,usr,Terminated,5,100\n"});
     EXPECT_EQ(gpus.submissions, "req-1@5 gang 4x6/0.5/29.5 90s trace normal trace\n");
 }
 
 TEST(Traces, ATimeFarAheadDoesNotHaveTheRestRefused) {
     std::string text =
-        "1 100 0 9 1 -1 -1 1 9 -1 1 1 1 1 1 1 -1 -1\n2 999999999 0 9 1 -1 -1 1 9 -1 1 1 1 1 1 1 -1 -1\n";
+        "1 100 0 9 1 -1 -1 1 9 -1 1 1 1 1 1 1 -1 -1\n2 999999999 0 9 1 -1 -1 1 9 -1 1 1 1 1 1 1 -1 "
+        "-1\n";
     for (int i = 3; i < 100; ++i)
-        text += std::to_string(i) + " " + std::to_string(100 + i) + " 0 9 1 -1 -1 1 9 -1 1 1 1 1 1 1 -1 -1\n";
+        text += std::to_string(i) + " " + std::to_string(100 + i) +
+                " 0 9 1 -1 -1 1 9 -1 1 1 1 1 1 1 -1 -1\n";
     auto got = import_texts("swf", {text});
     EXPECT_EQ(got.account.reasons["time_backwards"], static_cast<uint64_t>(Assembler::kResync));
     EXPECT_EQ(got.account.accepted_jobs, 99u - Assembler::kResync);
@@ -330,8 +378,8 @@
         auto got = import_texts("swf", {bytes});
         EXPECT_EQ(got.jobs, plain.jobs);
         EXPECT_TRUE(got.account.broken.empty());
-        // Cut anywhere: what was read is told of, and that it was cut. Not a byte is taken for a record's
-        // end.
+        // Cut anywhere: what was read is told of, and that it was cut. Not a byte is taken for a
+        // record's end.
         for (size_t keep : {bytes.size() / 3, bytes.size() - 1}) {
             auto cut = import_texts("swf", {bytes.substr(0, keep)});
             EXPECT_EQ(cut.account.broken.size(), 1u) << keep << " of " << bytes.size();
@@ -353,10 +401,10 @@
 
 TEST(Traces, TheMapIsChecked) {
     Folder folder;
-    auto map =
-        load_map(folder.file("m",
-                             "unit.cores = 32\nteam.from = group\nteam.a.b = red\nteam.default = blue\n"
-                             "urgency.at.9 = high\nurgency.at.2 = low\nloaners = true\nscript = s.lua\n"));
+    auto map = load_map(
+        folder.file("m",
+                    "unit.cores = 32\nteam.from = group\nteam.a.b = red\nteam.default = blue\n"
+                    "urgency.at.9 = high\nurgency.at.2 = low\nloaners = true\nscript = s.lua\n"));
     EXPECT_EQ(map.cores, 32);
     EXPECT_EQ(map.team.by_value.at("a.b"), "red");
     EXPECT_EQ(map.urgency_at.front().first, 2);
@@ -369,29 +417,34 @@
 
 TEST(Traces, ScriptsDecideAndAreBounded) {
     const std::string log =
-        "1 0 5 100 4 -1 -1 4 200 -1 1 1 1 1 1 1 -1 -1\n2 0 5 900 4 -1 -1 4 200 -1 1 2 1 1 1 1 -1 -1\n";
+        "1 0 5 100 4 -1 -1 4 200 -1 1 1 1 1 1 1 -1 -1\n2 0 5 900 4 -1 -1 4 200 -1 1 2 1 1 1 1 -1 "
+        "-1\n";
     struct Row {
         const char* script;
         const char* told;
     };
     const Row rows[] = {
-        {"function job(j) if j.user == '2' then return nil, 'not wanted' end j.urgency = 'high' return j end",
+        {"function job(j) if j.user == '2' then return nil, 'not wanted' end j.urgency = 'high' "
+         "return j end",
          "a:1>1 1=req-1 a:2>2 2!script"},
         {"function job(j) if j.run_s > 500 then while true do end end return j end",
          "a:1>1 1=req-1 a:2>2 2!script_failed"},
         // One script that runs out of memory leaves the next job a sound state.
-        {"function job(j) if j.key == '1' then local t = {} for i = 1, 1e9 do t[i] = ('x'):upper() .. i .. "
+        {"function job(j) if j.key == '1' then local t = {} for i = 1, 1e9 do t[i] = ('x'):upper() "
+         ".. i .. "
          "j.key end end "
          "return j end",
          "a:1>1 1!script_failed a:2>2 2=req-2"},
-        {"function job(j) local s = 'xxxxxxxxxxxxxxxx' for i = 1, 40 do s = s .. s end return j end",
+        {"function job(j) local s = 'xxxxxxxxxxxxxxxx' for i = 1, 40 do s = s .. s end return j "
+         "end",
          "a:1>1 1!script_failed a:2>2 2!script_failed"},
         {"function job(j) j.tasks = 0/0 return j end", "a:1>1 1!no_task a:2>2 2!no_task"},
         {"function job(j) j.cores = 1e300 return j end", "a:1>1 1!no_fit a:2>2 2!no_fit"},
         {"function job(j) return setmetatable({}, {__index = function() error('no') end}) end",
          "a:1>1 1!no_task a:2>2 2!no_task"},
         {"function job(j) return 7 end", "a:1>1 1!script_failed a:2>2 2!script_failed"},
-        {"function job(j) assert(io == nil and os == nil and load == nil and require == nil and debug == nil "
+        {"function job(j) assert(io == nil and os == nil and load == nil and require == nil and "
+         "debug == nil "
          "and "
          "dofile == nil and pcall == nil and string.rep == nil) return j end",
          "a:1>1 1=req-1 a:2>2 2=req-2"},
@@ -409,9 +462,9 @@
     }
 }
 
-// The samples above with bytes changed, left out and doubled: whatever comes, every record is told of once,
-// and what is accepted can be submitted (import_files checks it). A fixed corpus; longer runs outside CI take
-// more seeds from WEIRMILL_FUZZ_SEEDS.
+// The samples above with bytes changed, left out and doubled: whatever comes, every record is told
+// of once, and what is accepted can be submitted (import_files checks it). A fixed corpus; longer
+// runs outside CI take more seeds from WEIRMILL_FUZZ_SEEDS.
 TEST(Traces, ChangedBytesLoseNoRecord) {
     auto* more = std::getenv("WEIRMILL_FUZZ_SEEDS");
     auto seeds = more ? std::stoul(more) : 25ul;
@@ -496,7 +549,8 @@
         {"trace play --to nowhere j.ndjson", 2},
     };
     for (auto& r : rows) {
-        auto command = "cd " + folder.path.string() + " && " WEIRMILLCTL " " + r.arguments + " 2>/dev/null";
+        auto command =
+            "cd " + folder.path.string() + " && " WEIRMILLCTL " " + r.arguments + " 2>/dev/null";
         EXPECT_EQ(run(command).second, r.code) << r.arguments;
     }
 }
@@ -514,8 +568,9 @@
                         {"trace import --map im", ""}};
     for (auto& r : rows) {
         std::string words = std::string("weirmillctl ") + r.words;
-        auto got = run("bash -c 'source <(" WEIRMILLCTL " completion bash); COMP_WORDS=(" + words +
-                       "); COMP_CWORD=$((${#COMP_WORDS[@]}-1)); _weirmillctl; echo \"${COMPREPLY[@]}\"'");
+        auto got =
+            run("bash -c 'source <(" WEIRMILLCTL " completion bash); COMP_WORDS=(" + words +
+                "); COMP_CWORD=$((${#COMP_WORDS[@]}-1)); _weirmillctl; echo \"${COMPREPLY[@]}\"'");
         EXPECT_EQ(got.first, std::string(r.reply) + "\n") << r.words;
     }
 }
@@ -537,7 +592,8 @@
     for (int full = 0; full < 2; ++full) {
         std::string text;
         append_submission(text, s, names);
-        EXPECT_EQ(submission_json(parse_submission(text, names), names), submission_json(s, names)) << text;
+        EXPECT_EQ(submission_json(parse_submission(text, names), names), submission_json(s, names))
+            << text;
         s.types = {names.types.intern("a"), names.types.intern("b")};
         s.zone = names.zones.intern("z");
         s.one_zone = s.spread = s.spot = true;
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,5 +1,5 @@
-// Two versions on each other's data: the one before pipelines, as its own records and frames stand in
-// old_records.h, and this one. And limits of the state service that become lower.
+// Two versions on each other's data: the one before pipelines, as its own records and frames stand
+// in old_records.h, and this one. And limits of the state service that become lower.
 #include <capnp/message.h>
 #include <capnp/serialize.h>
 #include <gtest/gtest.h>
@@ -82,7 +82,8 @@
     }
 }
 
-// What the version before refuses: entry tags that it does not know. What it would not notice: fields.
+// What the version before refuses: entry tags that it does not know. What it would not notice:
+// fields.
 void expect_readable_by_the_version_before(const Store& s) {
     const std::set<std::string> fields{"job", "at", "cancelled"};
     for (auto& [key, value] : s.keys) {
@@ -157,7 +158,9 @@
     check(reader.getRoot<oldpeer::Frame>());
 }
 
-std::string text_of(capnp::Data::Reader d) { return {reinterpret_cast<const char*>(d.begin()), d.size()}; }
+std::string text_of(capnp::Data::Reader d) {
+    return {reinterpret_cast<const char*>(d.begin()), d.size()};
+}
 
 TEST(Upgrade, EitherVersionReadsTheOthersFramesBetweenControllers) {
     const auto call = from_hex(test::kOldCall), reply = from_hex(test::kOldReply);
@@ -169,7 +172,8 @@
     PeerCall heard;
     PeerServer server(io, {"127.0.0.1", 0}, [&](PeerCall c) -> asio::awaitable<PeerReply> {
         heard = c;
-        PeerReply r{200, "{\"op\":" + std::to_string(static_cast<int>(c.op)) + "}", 3, 41, false, links};
+        PeerReply r{200,  "{\"op\":" + std::to_string(static_cast<int>(c.op)) + "}", 3, 41, false,
+                    links};
         co_return r;
     });
     auto turn_until = [&](auto condition) {
@@ -256,7 +260,8 @@
     World w;
     auto spec = w.spec(id, JobKind::Array, 3, 1);
     for (int i = 0; i < 60; ++i)
-        spec.types.push_back(w.tables.names.types.intern("type-" + std::string(40, 'x') + std::to_string(i)));
+        spec.types.push_back(
+            w.tables.names.types.intern("type-" + std::string(40, 'x') + std::to_string(i)));
     spec.image = w.tables.names.images.intern(std::string(60, '"') + "\u00e9\u00e9");
     auto j = w.job(spec);
     return job_record(*w.tables.jobs[j], j, w.tables);
@@ -291,8 +296,8 @@
             l.finish(j);
             test::flush(l, w.tables, s, tight, w.now);
         }
-        // In pieces it would not be readable by the version before, which may still lead: its segment stays
-        // until pipelines are used.
+        // In pieces it would not be readable by the version before, which may still lead: its
+        // segment stays until pipelines are used.
         EXPECT_EQ(s.keys.count(segment_key(1)), pipelines ? 0u : 1u);
         if (!pipelines) expect_readable_by_the_version_before(s);
         World fresh;
@@ -302,7 +307,8 @@
         auto* job = fresh.tables.find_job("req-7");
         ASSERT_TRUE(job);
         EXPECT_EQ(job->done, 1u);
-        EXPECT_EQ(job_record(*job, fresh.tables.job_index.at("req-7"), fresh.tables).size() > 2048, true);
+        EXPECT_EQ(job_record(*job, fresh.tables.job_index.at("req-7"), fresh.tables).size() > 2048,
+                  true);
         EXPECT_EQ(job->spec.types.size(), 60u);
         EXPECT_EQ(fresh.tables.names.images.name(job->spec.image),
                   w.tables.names.images.name(w.tables.find_job("req-7")->spec.image));
@@ -310,13 +316,15 @@
 }
 
 TEST(LowerLimits, WhatIsRefusedAsTooLargeIsToldInSmallerTransactions) {
-    // Nothing was announced. The same text was once sent again for ever, and all else waited behind it.
+    // Nothing was announced. The same text was once sent again for ever, and all else waited behind
+    // it.
     World w;
     Store s;
     Ledger l(w.tables, 41, {24, 32});
     auto m = w.machine("vm-000001");
     for (int i = 1; i <= 40; ++i) {
-        auto j = w.tables.add_job(w.spec("req-" + std::to_string(i), JobKind::Array, 30, 0.001), 1000, w.now);
+        auto j = w.tables.add_job(w.spec("req-" + std::to_string(i), JobKind::Array, 30, 0.001),
+                                  1000, w.now);
         l.new_job(j);
     }
     constexpr LedgerLimits held{6, 2};
@@ -377,16 +385,16 @@
         LedgerLimits limits{ops, 2};
         Ledger l(w.tables, 41, limits);
         for (int i = 1; i <= 200; ++i)
-            l.new_job(
-                w.tables.add_job(w.spec("req-" + std::to_string(i), JobKind::Array, 1, 0.01), 1, w.now));
+            l.new_job(w.tables.add_job(w.spec("req-" + std::to_string(i), JobKind::Array, 1, 0.01),
+                                       1, w.now));
         test::flush(l, w.tables, s, limits, w.now);
         for (Index j = 0; j < 200; ++j) {
             w.tables.finish(j, 0, w.now);
             w.tables.jobs[j]->ending = true;
             l.finish(j);
             l.note(kRoundKey, R"({"number":1})");
-            l.new_job(w.tables.add_job(w.spec("req-" + std::to_string(1000 + j), JobKind::Array, 1, 0.01), 1,
-                                       w.now));
+            l.new_job(w.tables.add_job(
+                w.spec("req-" + std::to_string(1000 + j), JobKind::Array, 1, 0.01), 1, w.now));
         }
         test::flush(l, w.tables, s, limits, w.now);
         EXPECT_EQ(w.tables.job_index.size(), 200u) << ops;
