--- a/bench/pass_bench.cpp
+++ b/bench/pass_bench.cpp
@@ -84,7 +84,7 @@
 // A log that tells of jobs of 50 tasks each, all placed.
 struct Log {
     Settings settings = large_site();
-    std::vector<StateItem> segments;
+    std::vector<KvItem> segments;
 
     explicit Log(size_t tasks) {
         Tables tables(settings);
--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -324,7 +324,7 @@
     tell_forgets(s, b);
     if (s.open_untouched) s.segments.erase(s.segments.begin());
     // The log first: its keys tell an unsure sender whether the transaction was applied.
-    std::vector<StateChange> log;
+    std::vector<KvChange> log;
     for (auto& w : s.segments) {
         bool open = !open_.empty() && w.number == segments_.back().number;
         condition(segment_key(w.number), open ? segments_.back().version : 0);
@@ -592,13 +592,13 @@
     cursor_job_ = kNone;
 }
 
-void Ledger::load_head(const StateItem& item) {
+void Ledger::load_head(const KvItem& item) {
     first_ = read::count(read::object(item.value), "first");
     head_version_ = item.version;
     next_number_ = std::max(next_number_, first_);
 }
 
-void Ledger::load_segment(const StateItem& item, double now) {
+void Ledger::load_segment(const KvItem& item, double now) {
     uint64_t number = segment_number(item.key);
     if (number < next_number_) read::bad("key");
     if (!item.value.is_array()) read::bad("segment");
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -61,7 +61,7 @@
     FinalState ended{};      // Finish: as it is written, and so to be told
 };
 struct LedgerBatch {
-    StateTxn txn;
+    CasTransaction txn;
     std::vector<LedgerEntry> entries;
     std::vector<TaskChange> tasks;  // whose changes it carries
     uint64_t through = 0;           // every change up to this one is recorded with it
@@ -122,8 +122,8 @@
     // Rebuilding the tables of a fresh leader: the head, all segments in order, then `loaded`. Each
     // throws BadMessage.
     void clear();
-    void load_head(const StateItem& item);
-    void load_segment(const StateItem& item, double now);
+    void load_head(const KvItem& item);
+    void load_segment(const KvItem& item, double now);
     void loaded(double now);
 
   private:
--- a/src/bookkeeping/state_client.cpp
+++ b/src/bookkeeping/state_client.cpp
@@ -11,78 +11,77 @@
 constexpr size_t kMaxPage = 1024 * 1024;
 constexpr size_t kMaxWatch = 4 * 1024 * 1024;
 
-StateClient::StateClient(asio::io_context& io, const Settings& s)
+KvClient::KvClient(asio::io_context& io, const Settings& s)
     : calls_(io, s.state, kMaxPage),
       leases_(io, s.state, kMaxPage),
       watches_(io, s.state, kMaxWatch) {}
 
 template <class F>
-asio::awaitable<StateResult<std::invoke_result_t<F, std::string_view>>> StateClient::ask(
+asio::awaitable<KvResult<std::invoke_result_t<F, std::string_view>>> KvClient::ask(
     HttpClient& via, const char* method, std::string target, std::string body, double timeout_s,
     F parse) {
-    StateResult<std::invoke_result_t<F, std::string_view>> out;
+    KvResult<std::invoke_result_t<F, std::string_view>> out;
     auto answer = co_await via.request(method, target, std::move(body), timeout_s);
     if (!answer) co_return out;
     try {
         switch (answer->status) {
             case 200:
                 out.value = parse(std::string_view(answer->body));
-                out.outcome = StateOutcome::Ok;
+                out.outcome = KvOutcome::Ok;
                 break;
             case 409:
                 out.failed = parse_failed(answer->body);
-                out.outcome = StateOutcome::Conflict;
+                out.outcome = KvOutcome::Conflict;
                 break;
             case 404:
-                out.outcome = StateOutcome::Missing;
+                out.outcome = KvOutcome::Missing;
                 break;
             case 429:
             case 503:
                 out.too_fast = answer->status == 429;
-                out.outcome = StateOutcome::Refused;
+                out.outcome = KvOutcome::Refused;
                 break;
             default:
                 spdlog::error("state: {} {} answered {}: {}", method, target, answer->status,
                               answer->body.substr(0, 200));
-                out.outcome = StateOutcome::Invalid;
+                out.outcome = KvOutcome::Invalid;
         }
     } catch (const BadMessage& e) {
         spdlog::error("state: malformed answer to {} {}: {}", method, target, e.what());
-        out.outcome = StateOutcome::Unknown;
+        out.outcome = KvOutcome::Unknown;
     }
-    if (out || out.outcome == StateOutcome::Conflict || out.outcome == StateOutcome::Missing)
+    if (out || out.outcome == KvOutcome::Conflict || out.outcome == KvOutcome::Missing)
         answered_at_ = steady_now();
     co_return out;
 }
 
-asio::awaitable<StateResult<StateItem>> StateClient::get(std::string key, double timeout_s) {
-    return ask(calls_, "GET", state_key_target(key), "", timeout_s, parse_state_item);
+asio::awaitable<KvResult<KvItem>> KvClient::get(std::string key, double timeout_s) {
+    return ask(calls_, "GET", kv_key_target(key), "", timeout_s, parse_kv_item);
 }
 
-asio::awaitable<StateResult<StatePage>> StateClient::list(std::string prefix, std::string after,
-                                                          int limit, double timeout_s) {
-    return ask(calls_, "GET", state_list_target(prefix, after, limit), "", timeout_s,
-               parse_state_page);
+asio::awaitable<KvResult<KvPage>> KvClient::list(std::string prefix, std::string after, int limit,
+                                                 double timeout_s) {
+    return ask(calls_, "GET", kv_list_target(prefix, after, limit), "", timeout_s, parse_kv_page);
 }
 
-asio::awaitable<StateResult<uint64_t>> StateClient::txn(StateTxn t, double timeout_s) {
+asio::awaitable<KvResult<uint64_t>> KvClient::txn(CasTransaction t, double timeout_s) {
     return ask(calls_, "POST", paths::kTxn, txn_json(t), timeout_s, parse_revision);
 }
 
-asio::awaitable<StateResult<uint64_t>> StateClient::grant(double ttl_s, double timeout_s) {
+asio::awaitable<KvResult<uint64_t>> KvClient::grant(double ttl_s, double timeout_s) {
     return ask(leases_, "POST", paths::kLeases, lease_json(static_cast<int64_t>(ttl_s * 1000)),
                timeout_s, parse_lease);
 }
 
-asio::awaitable<StateResult<bool>> StateClient::renew(uint64_t lease, double timeout_s) {
+asio::awaitable<KvResult<bool>> KvClient::renew(uint64_t lease, double timeout_s) {
     return ask(leases_, "POST", fmt::format("{}/{}{}", paths::kLeases, lease, paths::kRenew), "",
                timeout_s, [](std::string_view) { return true; });
 }
 
-asio::awaitable<StateResult<StateWatch>> StateClient::watch(std::string prefix, uint64_t after,
-                                                            double wait_s) {
-    return ask(watches_, "GET", state_watch_target(prefix, after, static_cast<int>(wait_s * 1000)),
-               "", wait_s + 3, parse_watch);
+asio::awaitable<KvResult<KvWatch>> KvClient::watch(std::string prefix, uint64_t after,
+                                                   double wait_s) {
+    return ask(watches_, "GET", kv_watch_target(prefix, after, static_cast<int>(wait_s * 1000)), "",
+               wait_s + 3, parse_watch);
 }
 
 }  // namespace weirmill
--- a/src/bookkeeping/state_client.h
+++ b/src/bookkeeping/state_client.h
@@ -8,7 +8,7 @@
 
 namespace weirmill {
 
-enum class StateOutcome : uint8_t {
+enum class KvOutcome : uint8_t {
     Ok,
     Conflict,  // 409: a condition failed, nothing was changed
     Missing,   // 404
@@ -18,19 +18,19 @@
 };
 
 template <class T>
-struct StateResult {
-    StateOutcome outcome = StateOutcome::Unknown;
+struct KvResult {
+    KvOutcome outcome = KvOutcome::Unknown;
     T value{};
     std::vector<std::string> failed;  // Conflict: the keys
     bool too_fast = false;            // Refused: for the rate (429)
-    explicit operator bool() const { return outcome == StateOutcome::Ok; }
+    explicit operator bool() const { return outcome == KvOutcome::Ok; }
 };
 
 // A rate with bursts. Where it proves too high, it falls at once and comes back in some minutes: a
 // limit that was not announced would else refuse transactions all the time.
-class RateBudget {
+class RateLimiter {
   public:
-    RateBudget(double per_s, double burst_s)
+    RateLimiter(double per_s, double burst_s)
         : allowed_(per_s), rate_(per_s), burst_s_(burst_s), level_(per_s * burst_s) {}
     double available(double now) {
         if (last_ > 0) {
@@ -53,25 +53,25 @@
     double allowed_, rate_, burst_s_, level_, last_ = 0;
 };
 
-class StateClient {
+class KvClient {
   public:
-    StateClient(boost::asio::io_context& io, const Settings& settings);
+    KvClient(boost::asio::io_context& io, const Settings& settings);
 
-    boost::asio::awaitable<StateResult<StateItem>> get(std::string key, double timeout_s);
-    boost::asio::awaitable<StateResult<StatePage>> list(std::string prefix, std::string after,
-                                                        int limit, double timeout_s);
-    boost::asio::awaitable<StateResult<uint64_t>> txn(StateTxn txn, double timeout_s);
-    boost::asio::awaitable<StateResult<uint64_t>> grant(double ttl_s, double timeout_s);
-    boost::asio::awaitable<StateResult<bool>> renew(uint64_t lease, double timeout_s);
-    boost::asio::awaitable<StateResult<StateWatch>> watch(std::string prefix, uint64_t after,
-                                                          double wait_s);
+    boost::asio::awaitable<KvResult<KvItem>> get(std::string key, double timeout_s);
+    boost::asio::awaitable<KvResult<KvPage>> list(std::string prefix, std::string after, int limit,
+                                                  double timeout_s);
+    boost::asio::awaitable<KvResult<uint64_t>> txn(CasTransaction txn, double timeout_s);
+    boost::asio::awaitable<KvResult<uint64_t>> grant(double ttl_s, double timeout_s);
+    boost::asio::awaitable<KvResult<bool>> renew(uint64_t lease, double timeout_s);
+    boost::asio::awaitable<KvResult<KvWatch>> watch(std::string prefix, uint64_t after,
+                                                    double wait_s);
 
     // When the state service last answered this controller, refusals aside; steady clock, seconds.
     double answered_at() const { return answered_at_; }
 
   private:
     template <class F>
-    boost::asio::awaitable<StateResult<std::invoke_result_t<F, std::string_view>>> ask(
+    boost::asio::awaitable<KvResult<std::invoke_result_t<F, std::string_view>>> ask(
         HttpClient& via, const char* method, std::string target, std::string body, double timeout_s,
         F parse);
 
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -22,12 +22,12 @@
 }  // namespace
 
 Election::Election(asio::io_context& io, const Settings& settings, const Properties& properties,
-                   StateClient& state, Events events)
+                   KvClient& state, Events events)
     : io_(io),
       settings_(settings),
       lease_s_(properties.election_lease_s),
       started_(steady_now()),
-      state_(state),
+      kv_(state),
       events_(std::move(events)),
       wake_(io) {
     asio::co_spawn(io, run(), asio::detached);
@@ -68,7 +68,7 @@
             if (tenure->yields) co_await give_up_leadership(tenure->token, *tenure->yields);
             pause = jitter(0.2, 0.6);
         } else if (!leader_.empty() && leader_ != settings_.name) {
-            auto watched = co_await state_.watch(kLeaderKey, revision_, 10);
+            auto watched = co_await kv_.watch(kLeaderKey, revision_, 10);
             if (watched)
                 revision_ = std::max(revision_, watched.value.revision);
             else
@@ -80,10 +80,10 @@
 // Of a process that was back within its lease, users and workers once waited until that was over.
 // The transaction is conditional on the key's version, so that it can end no other tenure.
 asio::awaitable<bool> Election::drop_own_leadership() {
-    StateTxn txn;
+    CasTransaction txn;
     txn.conditions.push_back({kLeaderKey, token_});
     txn.changes.push_back({kLeaderKey, "", 0});
-    auto dropped = co_await state_.txn(std::move(txn), kCall_s);
+    auto dropped = co_await kv_.txn(std::move(txn), kCall_s);
     if (!dropped) co_return false;
     spdlog::info("election: ends token={} of an earlier life", token_);
     learn("", 0);
@@ -93,7 +93,7 @@
 // Reads who leads. False: not known now.
 asio::awaitable<bool> Election::observe() {
     double started = steady_now();
-    auto page = co_await state_.list(kLeaderKey, "", 1, kCall_s);
+    auto page = co_await kv_.list(kLeaderKey, "", 1, kCall_s);
     if (!page) co_return false;
     revision_ = page.value.revision;
     if (page.value.items.empty() || page.value.items[0].key != kLeaderKey) {
@@ -111,7 +111,7 @@
     if (unsure_lease_ != 0 && item.lease == unsure_lease_) {
         // The campaign without an answer was won after all. The lease must be proven alive first.
         started = steady_now();
-        auto renewed = co_await state_.renew(unsure_lease_, kCall_s);
+        auto renewed = co_await kv_.renew(unsure_lease_, kCall_s);
         if (!renewed) co_return false;
         tenure_ = std::make_shared<Tenure>();
         tenure_->token = item.version;
@@ -134,20 +134,20 @@
     // than a lease nobody was ever elected.
     double started = steady_now();
     auto lease = unsure_lease_;
-    if (lease != 0 && !co_await state_.renew(lease, kCall_s)) {
+    if (lease != 0 && !co_await kv_.renew(lease, kCall_s)) {
         unsure_lease_ = 0;
         co_return;
     }
     if (lease == 0) {
-        auto granted = co_await state_.grant(lease_s_, kCall_s);
+        auto granted = co_await kv_.grant(lease_s_, kCall_s);
         if (!granted) co_return;
         lease = granted.value;
     }
-    StateTxn txn;
+    CasTransaction txn;
     txn.conditions.push_back({kLeaderKey, 0});
     txn.changes.push_back(
         {kLeaderKey, json::serialize(json::object{{"name", settings_.name}}), lease});
-    auto won = co_await state_.txn(std::move(txn), std::min(kCall_s, lease_s_ / 2));
+    auto won = co_await kv_.txn(std::move(txn), std::min(kCall_s, lease_s_ / 2));
     if (won) {
         tenure_ = std::make_shared<Tenure>();
         tenure_->token = won.value;
@@ -156,7 +156,7 @@
         tenure_->sure_until = sure_until(started, lease_s_);
         unsure_lease_ = 0;
         learn(settings_.name, won.value);
-    } else if (won.outcome == StateOutcome::Unknown) {
+    } else if (won.outcome == KvOutcome::Unknown) {
         unsure_lease_ = lease;
     }
 }
@@ -166,9 +166,9 @@
 // answer kept its leader unsure, and nobody else could lead.
 asio::awaitable<void> Election::renew(std::shared_ptr<Tenure> tenure, OneShot<bool> renewed) {
     double started = steady_now();
-    auto result = co_await state_.renew(tenure->lease, std::max(0.3, lease_s_));
+    auto result = co_await kv_.renew(tenure->lease, std::max(0.3, lease_s_));
     if (result) tenure->sure_until = std::max(tenure->sure_until, sure_until(started, lease_s_));
-    if (result.outcome == StateOutcome::Missing) {
+    if (result.outcome == KvOutcome::Missing) {
         tenure->ended = true;
         if (tenure == tenure_) wake_.cancel();
     }
@@ -211,7 +211,7 @@
 // Without an answer nothing is lost: the lease is not renewed any more.
 asio::awaitable<void> Election::give_up_leadership(uint64_t token, HandOvers to) {
     auto txn = yield_leadership(kLeaderKey, token, to);
-    auto result = co_await state_.txn(std::move(txn), kCall_s);
+    auto result = co_await kv_.txn(std::move(txn), kCall_s);
     spdlog::info("election: yields token={} to {} for the {}. time{}", token, to.to, to.count,
                  result ? "" : ", not confirmed");
 }
--- a/src/coordination/election.h
+++ b/src/coordination/election.h
@@ -89,7 +89,7 @@
         std::function<boost::asio::awaitable<double>()> campaign_wait;
     };
     Election(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
-             StateClient& state, Events events);
+             KvClient& state, Events events);
 
     // Ends this controller's tenure, which has settled what it could, in favour of another.
     void yield(HandOvers to);
@@ -113,7 +113,7 @@
     const Settings& settings_;
     double lease_s_;
     double started_;  // this controller
-    StateClient& state_;
+    KvClient& kv_;
     Events events_;
     std::string leader_;
     uint64_t token_ = 0;
--- a/src/coordination/front.cpp
+++ b/src/coordination/front.cpp
@@ -27,16 +27,12 @@
 }  // namespace
 
 Front::Front(asio::io_context& io, const Settings& settings, const Properties& properties)
-    : io_(io),
-      settings_(settings),
-      properties_(properties),
-      state_(io, settings),
-      roster_(settings) {
+    : io_(io), settings_(settings), properties_(properties), kv_(io, settings), roster_(settings) {
     heard_leader_ = steady_now();
     Election::Events events;
     events.won = [this](std::shared_ptr<Tenure> tenure) {
         tenure_ = tenure;
-        leader_ = std::make_shared<Leader>(io_, settings_, properties_, state_, metrics_, tenure);
+        leader_ = std::make_shared<Leader>(io_, settings_, properties_, kv_, metrics_, tenure);
         leader_->pass_on = [this](std::string name, PeerCall call) -> asio::awaitable<bool> {
             auto reply = co_await by_peer(std::move(name), std::move(call));
             co_return reply.status == 200;
@@ -51,8 +47,8 @@
     };
     events.campaign_wait = [this] { return membership_->campaign_wait(); };
     set_up_membership();
-    election_ = std::make_unique<Election>(io, settings_, properties_, state_, std::move(events));
-    door_ = std::make_unique<Door>(io, settings_, properties_, state_, metrics_,
+    election_ = std::make_unique<Election>(io, settings_, properties_, kv_, std::move(events));
+    door_ = std::make_unique<Door>(io, settings_, properties_, kv_, metrics_,
                                    [this] { return leader_ && leader_->ready(); });
     peers_in_ = std::make_unique<PeerServer>(
         io, settings.peer, [this](PeerCall call) { return from_peer(std::move(call)); },
@@ -83,8 +79,8 @@
             if (auto held = tenure.lock(); held && held == tenure_) election_->yield(to);
         });
     };
-    membership_ = std::make_unique<Membership>(io_, settings_, properties_, state_, metrics_,
-                                               std::move(hooks));
+    membership_ =
+        std::make_unique<Membership>(io_, settings_, properties_, kv_, metrics_, std::move(hooks));
 }
 
 PeerClient* Front::link_to(const std::string& name) {
@@ -149,7 +145,7 @@
     if (!membership_->enabled() || call.via) return std::nullopt;
     auto views = membership_->views(steady_now());
     if (auto way = way_to_leader(leader_name(), views)) return way;
-    return membership_->reaches_state(steady_now()) ? std::nullopt : way_to_state(views);
+    return membership_->reaches_kv(steady_now()) ? std::nullopt : relay_to_kv(views);
 }
 
 asio::awaitable<PeerReply> Front::by_peer(std::string name, PeerCall call) {
@@ -306,7 +302,7 @@
     if (membership_->enabled() && leader_ && !leader_->sure(steady_now())) {
         double now = steady_now();
         bool alone = membership_->views(now).empty() && !settings_.peers.empty();
-        if (alone && now - state_.answered_at() > kDeaf_s) return false;
+        if (alone && now - kv_.answered_at() > kDeaf_s) return false;
     }
     if (leader_ || door_->open()) return true;
     return steady_now() - heard_leader_ < kDeaf_s;
--- a/src/coordination/front.h
+++ b/src/coordination/front.h
@@ -57,7 +57,7 @@
     boost::asio::io_context& io_;
     const Settings& settings_;
     const Properties& properties_;
-    StateClient state_;
+    KvClient kv_;
     std::unique_ptr<Election> election_;
     std::shared_ptr<Leader> leader_;
     std::shared_ptr<Tenure> tenure_;  // while this node leads
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -30,11 +30,11 @@
 }  // namespace
 
 Leader::Leader(asio::io_context& io, const Settings& settings, const Properties& properties,
-               StateClient& state, Metrics& metrics, std::shared_ptr<Tenure> tenure)
+               KvClient& state, Metrics& metrics, std::shared_ptr<Tenure> tenure)
     : io_(io),
       settings_(settings),
       properties_(properties),
-      state_(state),
+      kv_(state),
       cloud_(io, settings.cloud, 1024 * 1024),
       metrics_(metrics),
       tenure_(std::move(tenure)),
@@ -176,10 +176,10 @@
     for (const std::string& prefix : {kRoundKey, kTypesKey, kLogKey, kSegments, kOldJobs}) {
         std::string after;
         for (bool more = true; more;) {
-            auto page = co_await state_.list(prefix, after, kSegmentsAPage, 3);
+            auto page = co_await kv_.list(prefix, after, kSegmentsAPage, 3);
             if (stopped_) co_return false;
             if (!page) {
-                if (page.outcome == StateOutcome::Unknown)
+                if (page.outcome == KvOutcome::Unknown)
                     spdlog::info("leader: loading waits for the state service");
                 co_return false;
             }
--- a/src/coordination/leader.h
+++ b/src/coordination/leader.h
@@ -36,7 +36,7 @@
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
     Leader(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
-           StateClient& state, Metrics& metrics, std::shared_ptr<Tenure> tenure);
+           KvClient& state, Metrics& metrics, std::shared_ptr<Tenure> tenure);
     void start();
     // The tenure is over: nothing is answered or sent any more.
     void stop();
@@ -67,12 +67,12 @@
     struct FinalRead {
         PeerCall call;
         Reply reply;
-        StateResult<StateItem> result;
+        KvResult<KvItem> result;
         PeerReply refusal;  // the answer should there be no final state
     };
     struct TxnDone {
         LedgerBatch batch;
-        StateResult<uint64_t> result;
+        KvResult<uint64_t> result;
     };
     struct TxnUnsure {};
     struct DependenciesRead {  // final states of jobs that a submission names
@@ -84,7 +84,7 @@
         bool collects = false;  // for a job that a door accepted
     };
     struct InboxChanged {
-        std::vector<StateEvent> events;
+        std::vector<KvEvent> events;
         bool whole = false;  // all records there are, not only what changed
     };
     struct TypesRead {
@@ -126,13 +126,13 @@
         bool known = false, yes = false;
         uint64_t version = 0;
     };
-    boost::asio::awaitable<Applied> was_applied(const StateTxn& txn);
+    boost::asio::awaitable<Applied> was_applied(const CasTransaction& txn);
     boost::asio::awaitable<void> read_final(std::shared_ptr<Leader> self, PeerCall call,
                                             Reply reply, PeerReply refusal);
     boost::asio::awaitable<void> read_dependencies(std::shared_ptr<Leader> self, PeerCall call,
                                                    Reply reply, std::vector<std::string> ids,
                                                    bool collects);
-    boost::asio::awaitable<StateResult<StateItem>> read_ended(std::string id, double timeout_s);
+    boost::asio::awaitable<KvResult<KvItem>> read_ended(std::string id, double timeout_s);
     boost::asio::awaitable<std::optional<InboxChanged>> read_inbox();
     boost::asio::awaitable<void> inbox_loop(std::shared_ptr<Leader> self);
     boost::asio::awaitable<void> types_loop(std::shared_ptr<Leader> self);
@@ -193,7 +193,7 @@
         } step = Step::Waiting;
         double not_before = 0;
     };
-    void take_door_record(const StateItem& item);
+    void take_door_record(const KvItem& item);
     // The job is told by its door record alone, as yet.
     bool at_door(const std::string& id) const;
     void collect_inbox();
@@ -203,7 +203,7 @@
     void forget(const std::string& id);
     void forgotten(const LedgerEntry& e);
     uint64_t door_version(const std::string& id) const;
-    std::optional<FinalState> final_state(const StateItem& item) const;
+    std::optional<FinalState> final_state(const KvItem& item) const;
     void drop_new_job(Index job);
     void status(PeerCall& call, Reply& reply);
     void cancel(PeerCall& call, Reply& reply);
@@ -242,7 +242,7 @@
     // Unsure of the lease for so long that reports may not be answered any more.
     bool past_grace() const { return now_ > tenure_->sure_until + answering_grace(settings_); }
     bool may_tell(const Job& job) const;
-    bool state_down() const;
+    bool kv_unavailable() const;
     JobState job_state(const Job& job) const;
     PeerReply job_reply(const Job& job, PeerOp op, int status) const;
     PeerReply final_reply(const std::string& id, const FinalState& f, PeerOp op) const;
@@ -254,7 +254,7 @@
     boost::asio::io_context& io_;
     const Settings& settings_;
     const Properties& properties_;
-    StateClient& state_;
+    KvClient& kv_;
     HttpClient cloud_;
     Metrics& metrics_;
     std::shared_ptr<Tenure> tenure_;
@@ -269,10 +269,10 @@
     std::function<void()> settled_;  // handing over: called once nothing is under way
     double settle_until_ = 0;
 
-    RateBudget writes_, cloud_budget_;
+    RateLimiter writes_, cloud_budget_;
     double cloud_pause_until_ = 0;
     bool flushing_ = false;
-    double flush_not_before_ = 0, state_failed_at_ = -1e9, state_worked_at_ = 0;
+    double flush_not_before_ = 0, kv_failed_at_ = -1e9, kv_succeeded_at_ = 0;
     std::map<std::string, std::vector<std::pair<PeerOp, Reply>>> waiters_;  // by job id
     std::map<Index, Held> held_;                                            // by machine
     std::map<Index, std::vector<Command>> direct_;  // stops to send, by machine
--- a/src/coordination/leader_inbox.cpp
+++ b/src/coordination/leader_inbox.cpp
@@ -26,7 +26,7 @@
     read.whole = true;
     std::string after;
     for (bool more = true; more;) {
-        auto page = co_await state_.list(kDoorKeys, after, kRecordsAPage, 3);
+        auto page = co_await kv_.list(kDoorKeys, after, kRecordsAPage, 3);
         if (stopped_ || !page) co_return std::nullopt;
         if (after.empty()) inbox_revision_ = page.value.revision;
         more = page.value.more && !page.value.items.empty();
@@ -40,7 +40,7 @@
 asio::awaitable<void> Leader::inbox_loop(std::shared_ptr<Leader> self) {
     (void)self;
     while (!stopped_) {
-        auto watched = co_await state_.watch(kDoorKeys, inbox_revision_, kWatch_s);
+        auto watched = co_await kv_.watch(kDoorKeys, inbox_revision_, kWatch_s);
         if (stopped_) co_return;
         if (watched) {
             inbox_revision_ = std::max(inbox_revision_, watched.value.revision);
@@ -49,13 +49,13 @@
         }
         // Too old to be told on: all records are read again. Never without a pause, as any other
         // status that stays would else be asked for without an end.
-        if (watched.outcome == StateOutcome::Invalid)
+        if (watched.outcome == KvOutcome::Invalid)
             if (auto all = co_await read_inbox()) post(std::move(*all));
         co_await sleep_s(kAgain_s);
     }
 }
 
-void Leader::take_door_record(const StateItem& item) {
+void Leader::take_door_record(const KvItem& item) {
     auto id = item.key.substr(kDoorKeys.size());
     if (auto it = inbox_.find(id); it != inbox_.end() && it->second.version >= item.version) return;
     try {
--- a/src/coordination/leader_records.cpp
+++ b/src/coordination/leader_records.cpp
@@ -42,13 +42,13 @@
 
 // Whether a transaction without an answer was applied. Its keys say so: nobody else may write them,
 // or delete them.
-asio::awaitable<Leader::Applied> Leader::was_applied(const StateTxn& txn) {
+asio::awaitable<Leader::Applied> Leader::was_applied(const CasTransaction& txn) {
     auto write = std::find_if(txn.changes.begin(), txn.changes.end(),
                               [](auto& c) { return !c.value.empty(); });
     bool deletes = write == txn.changes.end();
     auto& change = deletes ? txn.changes.front() : *write;
-    auto item = co_await state_.get(change.key, kCall_s);
-    if (!item) co_return Applied{item.outcome == StateOutcome::Missing, deletes, 0};
+    auto item = co_await kv_.get(change.key, kCall_s);
+    if (!item) co_return Applied{item.outcome == KvOutcome::Missing, deletes, 0};
     if (deletes) co_return Applied{true, false, 0};
     uint64_t expected = 0;
     for (auto& c : txn.conditions)
@@ -61,15 +61,15 @@
 asio::awaitable<void> Leader::commit(std::shared_ptr<Leader> self, LedgerBatch batch) {
     bool unsure = false;
     for (double pause = 0.1; !stopped_; pause = std::min(1.0, pause * 1.7)) {
-        auto result = co_await state_.txn(batch.txn, kCall_s);
+        auto result = co_await kv_.txn(batch.txn, kCall_s);
         if (stopped_) co_return;
-        bool refused_late = unsure && result.outcome == StateOutcome::Invalid;
-        bool open = result.outcome == StateOutcome::Unknown ||
-                    (unsure && result.outcome == StateOutcome::Refused);
+        bool refused_late = unsure && result.outcome == KvOutcome::Invalid;
+        bool open = result.outcome == KvOutcome::Unknown ||
+                    (unsure && result.outcome == KvOutcome::Refused);
         if (open && !unsure) post(TxnUnsure{});
         unsure = unsure || open;
         if (open || refused_late ||
-            (unsure && result.outcome == StateOutcome::Conflict && !names_leader(result.failed))) {
+            (unsure && result.outcome == KvOutcome::Conflict && !names_leader(result.failed))) {
             // The keys are read after each copy without an answer, not only after a refused one:
             // where no copy is answered, the first may have been carried out long ago, and others
             // tell users of it.
@@ -80,7 +80,7 @@
                 continue;
             }
             if (applied.yes) {
-                result.outcome = StateOutcome::Ok;
+                result.outcome = KvOutcome::Ok;
                 result.value = applied.version;
                 result.failed.clear();
             } else if (refused_late) {
@@ -108,15 +108,15 @@
 
 // Users are not kept waiting for an outcome that may take long.
 void Leader::handle(TxnUnsure&) {
-    state_failed_at_ = now_;
+    kv_failed_at_ = now_;
     for (auto& [id, list] : waiters_)
         for (auto& [op, reply] : list) reply.set(undecided());
 }
 
 void Leader::handle(TxnDone& m) {
     flushing_ = false;
-    if (m.result.outcome == StateOutcome::Ok) {
-        state_worked_at_ = now_;
+    if (m.result.outcome == KvOutcome::Ok) {
+        kv_succeeded_at_ = now_;
         // What one transaction could not take of a burst of submissions goes with the next at once.
         bool burst = ledger_.submissions() >= static_cast<size_t>(settings_.txn_ops);
         flush_not_before_ = now_ + (burst ? 0 : kFlushPause_s);
@@ -176,7 +176,7 @@
         return;
     }
     std::vector<std::pair<Index, uint64_t>> again;  // with the versions of their door records
-    if (m.result.outcome == StateOutcome::Conflict) {
+    if (m.result.outcome == KvOutcome::Conflict) {
         // Only a job that has ended already may stand in the way, or one that a door has accepted,
         // or cancelled, meanwhile.
         auto& failed = m.result.failed;
@@ -211,7 +211,7 @@
         }
     } else {
         // Not executed. Users are told at once; all the rest is tried again.
-        state_failed_at_ = now_;
+        kv_failed_at_ = now_;
         for (auto& e : m.batch.entries) {
             if (e.kind == EntryKind::NewJob) {
                 auto id = tables_.jobs[e.job]->spec.id;
@@ -224,7 +224,7 @@
         }
         // Malformed, as it is well-formed: larger than the state service takes. The same text would
         // be refused for ever, and with it all that waits to be recorded.
-        if (m.result.outcome == StateOutcome::Invalid && ledger_.shrink())
+        if (m.result.outcome == KvOutcome::Invalid && ledger_.shrink())
             spdlog::error(
                 "state: a transaction was refused as malformed, the next ones are smaller");
         m.result.too_fast ? writes_.too_fast() : writes_.drain();
--- a/src/coordination/leader_users.cpp
+++ b/src/coordination/leader_users.cpp
@@ -52,9 +52,9 @@
 
 // The last word from the state service was a failure: neither a transaction nor a renewal has
 // worked since.
-bool Leader::state_down() const {
-    return state_failed_at_ >
-           std::max(state_worked_at_, tenure_->sure_until - properties_.election_lease_s);
+bool Leader::kv_unavailable() const {
+    return kv_failed_at_ >
+           std::max(kv_succeeded_at_, tenure_->sure_until - properties_.election_lease_s);
 }
 
 JobState Leader::job_state(const Job& job) const {
@@ -106,7 +106,7 @@
     if (inbox_.count(spec.id)) collect_inbox();
     if (auto* job = tables_.find_job(spec.id)) {
         if (may_tell(*job)) return reply.set(job_reply(*job, PeerOp::Submit, 200));
-        if (job->version != 0 || state_down()) return reply.set(undecided());
+        if (job->version != 0 || kv_unavailable()) return reply.set(undecided());
         waiters_[spec.id].emplace_back(PeerOp::Submit, reply);
         return;
     }
@@ -118,7 +118,7 @@
     if (tables_.never_runs(spec)) return refuse_for_good(call, reply, spec.id);
     // The service can't record it now: told at once. Another controller's door may reach the state
     // service.
-    if (state_down()) return reply.set(undecided());
+    if (kv_unavailable()) return reply.set(undecided());
     if (ledger_.submissions() > 4 * settings_.state_write_rps) return reply.set(come_back());
     if (tables_.task_count + spec.tasks > tables_.max_tasks) return reply.set(come_back(10));
     auto depends = dependence(call, reply, spec);
@@ -211,7 +211,7 @@
         if (stopped_ || steady_now() > until) read.all = false;
         if (!read.all) break;
         auto result = co_await read_ended(id, 0.6);
-        if (result.outcome == StateOutcome::Missing) {
+        if (result.outcome == KvOutcome::Missing) {
             read.missing = id;
             break;
         }
@@ -268,7 +268,7 @@
     }
     auto& job = *tables_.jobs[it->second];
     if (job.cancel_recorded) return reply.set(job_reply(job, PeerOp::Cancel, 200));
-    if (job.version == 0 || state_down()) return reply.set(come_back());
+    if (job.version == 0 || kv_unavailable()) return reply.set(come_back());
     // Answered once the cancellation, or the end that came before it, is recorded.
     waiters_[call.subject].emplace_back(PeerOp::Cancel, reply);
     if (job.cancelled || job.ending) return;
@@ -286,7 +286,7 @@
 }
 
 // Nothing: it makes no sense, and is as good as not read.
-std::optional<FinalState> Leader::final_state(const StateItem& item) const {
+std::optional<FinalState> Leader::final_state(const KvItem& item) const {
     try {
         return parse_final(item.value);
     } catch (const BadMessage& e) {
@@ -297,12 +297,12 @@
 
 // The final state of a job that is not in the tables. A door's record is read first, as jobs move
 // from there to the log and on: while it stands, a missing final state says nothing.
-asio::awaitable<StateResult<StateItem>> Leader::read_ended(std::string id, double timeout_s) {
-    auto door = co_await state_.get(door_key(id), timeout_s);
-    StateResult<StateItem> result;
-    if (door.outcome != StateOutcome::Missing && !door) co_return result;
-    result = co_await state_.get(final_key(id), timeout_s);
-    if (door && result.outcome == StateOutcome::Missing) result.outcome = StateOutcome::Unknown;
+asio::awaitable<KvResult<KvItem>> Leader::read_ended(std::string id, double timeout_s) {
+    auto door = co_await kv_.get(door_key(id), timeout_s);
+    KvResult<KvItem> result;
+    if (door.outcome != KvOutcome::Missing && !door) co_return result;
+    result = co_await kv_.get(final_key(id), timeout_s);
+    if (door && result.outcome == KvOutcome::Missing) result.outcome = KvOutcome::Unknown;
     co_return result;
 }
 
@@ -324,8 +324,7 @@
     }
     // What was read is as old as the read: the job may have come, or ended, meanwhile.
     bool here = tables_.find_job(id) || finals_.count(id);
-    if (m.result.outcome == StateOutcome::Missing && !here)
-        return m.reply.set(std::move(m.refusal));
+    if (m.result.outcome == KvOutcome::Missing && !here) return m.reply.set(std::move(m.refusal));
     m.reply.set(come_back());
 }
 
--- a/src/doors/decide.cpp
+++ b/src/doors/decide.cpp
@@ -36,7 +36,7 @@
     return {200, job_answer(id, s.state)};
 }
 
-bool all_collect(const Settings& settings, const StatePage& marks) {
+bool all_collect(const Settings& settings, const KvPage& marks) {
     auto marked = [&](const std::string& name) {
         return std::any_of(marks.items.begin(), marks.items.end(),
                            [&](auto& item) { return item.key == mark_key(name); });
--- a/src/doors/decide.h
+++ b/src/doors/decide.h
@@ -40,7 +40,7 @@
 PeerReply door_reply(const std::string& id, const Standing& s, PeerOp op);
 
 // Doors open only where every controller collects what they take: each of them has left its mark.
-bool all_collect(const Settings& settings, const StatePage& marks);
+bool all_collect(const Settings& settings, const KvPage& marks);
 
 // How long a door waits for the leader's answer before it acts itself: some deviations above the
 // usual time, as a retransmission timer has it. The bounds are in seconds.
--- a/src/doors/door.cpp
+++ b/src/doors/door.cpp
@@ -43,11 +43,11 @@
 }  // namespace
 
 Door::Door(asio::io_context& io, const Settings& settings, const Properties& properties,
-           StateClient& state, Metrics& metrics, std::function<bool()> resting)
+           KvClient& state, Metrics& metrics, std::function<bool()> resting)
     : io_(io),
       settings_(settings),
       properties_(properties),
-      state_(state),
+      kv_(state),
       metrics_(metrics),
       resting_(std::move(resting)),
       tables_(settings),
@@ -64,9 +64,9 @@
 }
 
 template <class T>
-bool Door::heard(const StateResult<T>& result) {
-    bool answered = result || result.outcome == StateOutcome::Missing ||
-                    result.outcome == StateOutcome::Conflict;
+bool Door::heard(const KvResult<T>& result) {
+    bool answered =
+        result || result.outcome == KvOutcome::Missing || result.outcome == KvOutcome::Conflict;
     if (answered) heard_at_ = steady_now();
     return answered;
 }
@@ -77,12 +77,12 @@
     for (bool marked = false;;) {
         if (!marked) {
             auto mark = door_mark(settings_.name);
-            auto result = co_await state_.txn(std::move(mark), kWrite_s);
-            marked = result || result.outcome == StateOutcome::Conflict;
+            auto result = co_await kv_.txn(std::move(mark), kWrite_s);
+            marked = result || result.outcome == KvOutcome::Conflict;
         }
         if (marked && !properties_.doors_enabled) co_return;
         if (marked) {
-            auto marks = co_await state_.list(kMarkKeys, "", 1000, kRead_s);
+            auto marks = co_await kv_.list(kMarkKeys, "", 1000, kRead_s);
             if (marks) {
                 bool collect = all_collect(settings_, marks.value);
                 if (collect != collect_)
@@ -90,7 +90,7 @@
                                                      : "closed, not every controller collects");
                 collect_ = collect;
             }
-            auto types = co_await state_.get(kTypesKey, kRead_s);
+            auto types = co_await kv_.get(kTypesKey, kRead_s);
             try {
                 if (types)
                     tables_.set_types(parse_machine_types(json::serialize(types.value.value)));
@@ -151,7 +151,7 @@
         bool begins = true, in_order = true;
         for (bool more = true; more && in_order;) {
             reads_.take(1);
-            auto page = co_await state_.list(kSegments, after, kSegmentsAPage, kRead_s);
+            auto page = co_await kv_.list(kSegments, after, kSegmentsAPage, kRead_s);
             if (!heard(page) || !page) co_return false;
             try {
                 in_order = view_.take(page.value, begins);
@@ -196,7 +196,7 @@
     reads_.take(1);
     Look out;
     Seen seen;
-    auto door = co_await state_.get(door_key(id), kRead_s);
+    auto door = co_await kv_.get(door_key(id), kRead_s);
     if (!heard(door)) co_return std::nullopt;
     if (door) {
         try {
@@ -215,7 +215,7 @@
         co_return out;
     }
     reads_.take(1);
-    auto ended = co_await state_.get(final_key(id), kRead_s);
+    auto ended = co_await kv_.get(final_key(id), kRead_s);
     if (!heard(ended)) co_return std::nullopt;
     try {
         if (ended) seen.ended = parse_final(ended.value.value);
@@ -300,8 +300,8 @@
     if (!may_write(steady_now())) co_return come_back();
     auto moment = view_.moment();
     auto txn = door_accept(spec.id, record);
-    auto result = co_await state_.txn(std::move(txn), kWrite_s);
-    if (result.outcome == StateOutcome::Conflict || result.outcome == StateOutcome::Unknown) {
+    auto result = co_await kv_.txn(std::move(txn), kWrite_s);
+    if (result.outcome == KvOutcome::Conflict || result.outcome == KvOutcome::Unknown) {
         heard(result);
         // Without an answer it may have been taken all the same, now or by an earlier try.
         auto seen = co_await look(spec.id, false);
@@ -337,12 +337,12 @@
     if (!requested) {
         if (!may_write(steady_now())) co_return come_back();
         auto txn = door_cancel(id, seen->version, seen->record.value_or(DoorRecord{}));
-        auto result = co_await state_.txn(std::move(txn), kWrite_s);
+        auto result = co_await kv_.txn(std::move(txn), kWrite_s);
         if (result.too_fast) writes_.too_fast();
         // Without an answer it may have been carried out, or be later: what is recorded is looked
         // at either way.
-        if (!heard(result) && result.outcome != StateOutcome::Unknown) co_return come_back();
-        if (result.outcome == StateOutcome::Conflict) co_return come_back();
+        if (!heard(result) && result.outcome != KvOutcome::Unknown) co_return come_back();
+        if (result.outcome == KvOutcome::Conflict) co_return come_back();
         metrics_.count("door_cancellations_total");
     }
     // A leader may have collected it before, and even ended it since: looked at again, from the
--- a/src/doors/door.h
+++ b/src/doors/door.h
@@ -18,7 +18,7 @@
   public:
     // `resting`: whether this node leads, and so needs no copy of the log.
     Door(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
-         StateClient& state, Metrics& metrics, std::function<bool()> resting);
+         KvClient& state, Metrics& metrics, std::function<bool()> resting);
 
     // It can serve: every controller collects, the copy of the log is whole, and the state service
     // answered lately.
@@ -48,12 +48,12 @@
     Look in_log(const std::string& id) const;
     bool may_write(double now);
     template <class T>
-    bool heard(const StateResult<T>& result);
+    bool heard(const KvResult<T>& result);
 
     boost::asio::io_context& io_;
     const Settings& settings_;
     const Properties& properties_;
-    StateClient& state_;
+    KvClient& kv_;
     Metrics& metrics_;
     std::function<bool()> resting_;
     Tables tables_;  // names, teams, machine types and limits only
@@ -61,7 +61,7 @@
     bool whole_ = false;    // the view
     bool collect_ = false;  // every controller collects
     double heard_at_ = -1e9;
-    RateBudget reads_, writes_;
+    RateLimiter reads_, writes_;
     // Passes over the log are shared: who asks waits for the first that begins after that.
     bool passing_ = false;
     uint64_t passes_ = 0;
--- a/src/doors/log_view.cpp
+++ b/src/doors/log_view.cpp
@@ -20,7 +20,7 @@
 
 std::string LogView::after() const { return open_ > 0 ? segment_key(open_ - 1) : ""; }
 
-bool LogView::take(const StatePage& page, bool begins) {
+bool LogView::take(const KvPage& page, bool begins) {
     if (begins && open_ > 0 && (page.items.empty() || page.items[0].key != segment_key(open_)))
         return false;
     for (auto& item : page.items) {
--- a/src/doors/log_view.h
+++ b/src/doors/log_view.h
@@ -30,7 +30,7 @@
     std::string after() const;
     // One page of segments, in order; `begins`: the first of a pass. False: segments are gone that
     // were not read to their end; start over. Throws BadMessage.
-    bool take(const StatePage& page, bool begins);
+    bool take(const KvPage& page, bool begins);
 
     const Job* find(const std::string& id) const;
     // The job's cancellation is recorded, by its own entry or by that of a job that it needs. `id`
--- a/src/doors/records.cpp
+++ b/src/doors/records.cpp
@@ -32,16 +32,16 @@
     return r;
 }
 
-StateTxn door_accept(const std::string& id, const DoorRecord& r) {
+CasTransaction door_accept(const std::string& id, const DoorRecord& r) {
     return {{{door_key(id), 0}, {final_key(id), 0}}, {{door_key(id), door_record(r), 0}}};
 }
 
-StateTxn door_cancel(const std::string& id, uint64_t version, DoorRecord r) {
+CasTransaction door_cancel(const std::string& id, uint64_t version, DoorRecord r) {
     r.cancelled = true;
     return {{{door_key(id), version}}, {{door_key(id), door_record(r), 0}}};
 }
 
-StateTxn door_mark(const std::string& controller) {
+CasTransaction door_mark(const std::string& controller) {
     return {{{mark_key(controller), 0}}, {{mark_key(controller), R"({"collects":1})", 0}}};
 }
 
--- a/src/doors/records.h
+++ b/src/doors/records.h
@@ -30,11 +30,11 @@
 DoorRecord parse_door_record(const boost::json::value& v);  // throws BadMessage
 
 // The job was not accepted by a door before, and has not ended.
-StateTxn door_accept(const std::string& id, const DoorRecord& r);
+CasTransaction door_accept(const std::string& id, const DoorRecord& r);
 // The record still stands as it was read at `version` (0: none). Whether the cancellation holds is
 // read afterwards: the job may have been collected, or have ended.
-StateTxn door_cancel(const std::string& id, uint64_t version, DoorRecord r);
+CasTransaction door_cancel(const std::string& id, uint64_t version, DoorRecord r);
 // This controller collects door records whenever it leads.
-StateTxn door_mark(const std::string& controller);
+CasTransaction door_mark(const std::string& controller);
 
 }  // namespace weirmill
--- a/src/membership/decide.cpp
+++ b/src/membership/decide.cpp
@@ -76,7 +76,7 @@
     return std::nullopt;
 }
 
-std::optional<std::string> way_to_state(std::span<const PeerView> others) {
+std::optional<std::string> relay_to_kv(std::span<const PeerView> others) {
     for (auto& p : others)
         if (p.heard && p.links.told && p.links.state) return p.name;
     return std::nullopt;
--- a/src/membership/decide.h
+++ b/src/membership/decide.h
@@ -44,7 +44,7 @@
 std::optional<std::string> way_to_leader(const std::string& leader,
                                          std::span<const PeerView> others);
 // A peer that this controller hears and that reaches the state service, where this one does not.
-std::optional<std::string> way_to_state(std::span<const PeerView> others);
+std::optional<std::string> relay_to_kv(std::span<const PeerView> others);
 
 // Hand-overs of late, as the last one left them under `m/yield`.
 struct HandOvers {
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -44,12 +44,12 @@
 }
 
 Membership::Membership(asio::io_context& io, const Settings& settings, const Properties& properties,
-                       StateClient& state, Metrics& metrics, Hooks hooks)
+                       KvClient& state, Metrics& metrics, Hooks hooks)
     : io_(io),
       settings_(settings),
       properties_(properties),
       times_(LinkTimes::of(settings)),
-      state_(state),
+      kv_(state),
       metrics_(metrics),
       hooks_(std::move(hooks)) {
     if (enabled()) asio::co_spawn(io_, run(), asio::detached);
@@ -65,7 +65,7 @@
 LinkReport Membership::own(double now) const {
     LinkReport r = hooks_.workers();
     r.told = enabled();
-    r.state = reaches_state(now);
+    r.state = reaches_kv(now);
     r.hears = hears(now);
     if (!hooks_.leads_since()) r.reach = reach_through(r.direct, views(now));
     return r;
@@ -108,17 +108,17 @@
 }
 
 asio::awaitable<void> Membership::read_hand_overs(double timeout_s) {
-    auto item = co_await state_.get(kYieldKey, timeout_s);
+    auto item = co_await kv_.get(kYieldKey, timeout_s);
     try {
         if (item) last_ = parse_hand_overs(item.value.value);
-        if (item.outcome == StateOutcome::Missing) last_ = {};
+        if (item.outcome == KvOutcome::Missing) last_ = {};
     } catch (const BadMessage& e) {
         spdlog::error("links: malformed record {}: {}", kYieldKey, e.what());
     }
 }
 
 asio::awaitable<void> Membership::read_records() {
-    auto page = co_await state_.list(kLinkKeys, "", 100, kRead_s);
+    auto page = co_await kv_.list(kLinkKeys, "", 100, kRead_s);
     if (!page) co_return;
     double now = steady_now();
     for (auto& item : page.value.items) {
@@ -135,13 +135,13 @@
 
 asio::awaitable<void> Membership::publish(LinkReport links) {
     if (lease_ != 0) {
-        auto renewed = co_await state_.renew(lease_, kRead_s);
-        if (renewed.outcome == StateOutcome::Missing) lease_ = 0;
+        auto renewed = co_await kv_.renew(lease_, kRead_s);
+        if (renewed.outcome == KvOutcome::Missing) lease_ = 0;
         if (renewed && !moved(links, published_)) co_return;
     }
     if (lease_ == 0) {
-        auto lease = co_await state_.grant(std::max(kLeastLease_s, kRecordPings * settings_.ping_s),
-                                           kRead_s);
+        auto lease =
+            co_await kv_.grant(std::max(kLeastLease_s, kRecordPings * settings_.ping_s), kRead_s);
         if (!lease) co_return;
         lease_ = lease.value;
         // The record ended with its lease. Taken for standing, one whose writing then failed stayed
@@ -149,9 +149,9 @@
         published_ = {};
     }
     auto txn = link_record(settings_.name, links, lease_);
-    auto result = co_await state_.txn(std::move(txn), kRead_s);
+    auto result = co_await kv_.txn(std::move(txn), kRead_s);
     if (result) published_ = std::move(links);
-    if (result.outcome == StateOutcome::Invalid) lease_ = 0;  // it ended before
+    if (result.outcome == KvOutcome::Invalid) lease_ = 0;  // it ended before
 }
 
 asio::awaitable<void> Membership::run() {
@@ -159,10 +159,10 @@
     for (;;) {
         co_await sleep_s(settings_.ping_s / kTicks);
         double now = steady_now();
-        if (now - state_.answered_at() > settings_.ping_s) co_await read_hand_overs(kRead_s);
+        if (now - kv_.answered_at() > settings_.ping_s) co_await read_hand_overs(kRead_s);
         now = steady_now();
         bool apart = hears(now).size() < settings_.peers.size();
-        if (apart && now >= next && reaches_state(now)) {
+        if (apart && now >= next && reaches_kv(now)) {
             next = now + settings_.ping_s;
             co_await read_records();
             auto links = own(steady_now());
@@ -192,7 +192,7 @@
     }
     if (now - better_since_ < times_.firm_s) co_return;
     co_await read_hand_overs(kRead_s);
-    if (!reaches_state(steady_now())) co_return;
+    if (!reaches_kv(steady_now())) co_return;
     double wall = wall_now();
     if (!may_hand_over(last_, times_, settings_.clock_off_ms / 1000, wall)) co_return;
     if (hooks_.leads_since() != since || better_.empty()) co_return;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -27,7 +27,7 @@
         std::function<void(HandOvers)> hand_over;
     };
     Membership(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
-               StateClient& state, Metrics& metrics, Hooks hooks);
+               KvClient& state, Metrics& metrics, Hooks hooks);
 
     bool enabled() const { return properties_.membership_enabled; }
     const LinkTimes& times() const { return times_; }
@@ -37,7 +37,7 @@
     std::optional<LinkReport> view(const std::string& peer, double now) const;
     void heard(const std::string& peer, const LinkReport& links);
     void silent(const std::string& peer);
-    bool reaches_state(double now) const { return fresh(state_.answered_at(), now); }
+    bool reaches_kv(double now) const { return fresh(kv_.answered_at(), now); }
     // How long this controller lets others go first in a campaign, seconds.
     boost::asio::awaitable<double> campaign_wait();
     void gauges(std::map<std::string, double>& out) const;
@@ -61,7 +61,7 @@
     const Settings& settings_;
     const Properties& properties_;
     LinkTimes times_;
-    StateClient& state_;
+    KvClient& kv_;
     Metrics& metrics_;
     Hooks hooks_;
     std::map<std::string, Peer> peers_;
--- a/src/membership/records.cpp
+++ b/src/membership/records.cpp
@@ -4,7 +4,7 @@
 
 namespace json = boost::json;
 
-StateTxn link_record(const std::string& controller, const LinkReport& links, uint64_t lease) {
+CasTransaction link_record(const std::string& controller, const LinkReport& links, uint64_t lease) {
     json::object o{{"state", links.state},
                    {"direct", links.direct},
                    {"reach", links.reach},
@@ -34,7 +34,7 @@
     return r;
 }
 
-StateTxn yield_leadership(const std::string& leader_key, uint64_t token, const HandOvers& h) {
+CasTransaction yield_leadership(const std::string& leader_key, uint64_t token, const HandOvers& h) {
     json::object o{{"from", h.from}, {"to", h.to}, {"count", h.count}, {"at", h.at}};
     return {{{leader_key, token}}, {{leader_key, "", 0}, {kYieldKey, json::serialize(o), 0}}};
 }
--- a/src/membership/records.h
+++ b/src/membership/records.h
@@ -12,13 +12,13 @@
 inline const std::string kLinkKeys = "m/c/";
 inline const std::string kYieldKey = "m/yield";
 
-StateTxn link_record(const std::string& controller, const LinkReport& links, uint64_t lease);
+CasTransaction link_record(const std::string& controller, const LinkReport& links, uint64_t lease);
 LinkReport parse_link_record(const boost::json::value& v);  // throws BadMessage
 
 // Ends the leadership with this token and says to whom. The tenure has ended before this is sent,
 // and is not taken up again whatever the answer: a copy may be executed at any later time. It names
 // the token, so that it then does nothing.
-StateTxn yield_leadership(const std::string& leader_key, uint64_t token, const HandOvers& h);
+CasTransaction yield_leadership(const std::string& leader_key, uint64_t token, const HandOvers& h);
 HandOvers parse_hand_overs(const boost::json::value& v);  // throws BadMessage
 
 }  // namespace weirmill
--- a/src/protocol/state_codec.cpp
+++ b/src/protocol/state_codec.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-StateItem item_of(const json::value& v) {
+KvItem item_of(const json::value& v) {
     auto& o = read::object(v);
-    StateItem item;
+    KvItem item;
     item.key = read::text(o, "path");
     auto* value = o.if_contains("value");
     if (!value) read::bad("value");
@@ -20,12 +20,12 @@
 
 }  // namespace
 
-StateItem parse_state_item(std::string_view body) { return item_of(read::parse(body)); }
+KvItem parse_kv_item(std::string_view body) { return item_of(read::parse(body)); }
 
-StatePage parse_state_page(std::string_view body) {
+KvPage parse_kv_page(std::string_view body) {
     auto v = read::parse(body);
     auto& o = read::object(v);
-    StatePage page;
+    KvPage page;
     for (auto& item : read::array(o, "pairs")) page.items.push_back(item_of(item));
     page.more = read::flag(o, "has_next", false);
     page.revision = read::count(o, "ledger");
@@ -52,10 +52,10 @@
     return read::count(read::object(v), "permit");
 }
 
-StateWatch parse_watch(std::string_view body) {
+KvWatch parse_watch(std::string_view body) {
     auto v = read::parse(body);
     auto& o = read::object(v);
-    StateWatch watch{read::count(o, "ledger"), {}};
+    KvWatch watch{read::count(o, "ledger"), {}};
     for (auto& e : read::array(o, "events")) {
         auto& event = read::object(e);
         auto* value = event.if_contains("value");
@@ -68,7 +68,7 @@
     return watch;
 }
 
-std::string txn_json(const StateTxn& txn) {
+std::string txn_json(const CasTransaction& txn) {
     // Values are JSON texts already; they are spliced in rather than parsed again.
     std::string out = R"({"when":[)";
     for (size_t i = 0; i < txn.conditions.size(); ++i) {
@@ -95,15 +95,15 @@
 
 std::string lease_json(int64_t ttl_ms) { return json::serialize(json::object{{"ttl_ms", ttl_ms}}); }
 
-std::string state_key_target(const std::string& key) { return "/keys/" + key; }
+std::string kv_key_target(const std::string& key) { return "/keys/" + key; }
 
-std::string state_list_target(const std::string& prefix, const std::string& after, int limit) {
+std::string kv_list_target(const std::string& prefix, const std::string& after, int limit) {
     std::string t = "/keys?starts=" + prefix + "&most=" + std::to_string(limit);
     if (!after.empty()) t += "&from=" + after;
     return t;
 }
 
-std::string state_watch_target(const std::string& prefix, uint64_t after, int wait_ms) {
+std::string kv_watch_target(const std::string& prefix, uint64_t after, int wait_ms) {
     return "/follow?starts=" + prefix + "&from=" + std::to_string(after) +
            "&block_ms=" + std::to_string(wait_ms);
 }
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -152,12 +152,12 @@
 }
 
 TEST(StateCodec, WritesTransactionsAndReadsAnswers) {
-    StateTxn txn{{{"a/b", 0}}, {{"a/b", "{\"x\":1}", 7}, {"c/d", "", 0}}};
+    CasTransaction txn{{{"a/b", 0}}, {{"a/b", "{\"x\":1}", 7}, {"c/d", "", 0}}};
     EXPECT_EQ(json::parse(txn_json(txn)), json::parse(R"({"when":[{"path":"a/b","stamp":0}],
         "then":[{"write":"a/b","value":{"x":1},"permit":7},{"drop":"c/d"}]})"));
     EXPECT_EQ(parse_failed(R"({"failed":["a/b"],"ledger":431})"), std::vector<std::string>{"a/b"});
     EXPECT_EQ(parse_revision(R"({"ledger":432})"), 432u);
-    EXPECT_EQ(parse_state_item(R"({"path":"a/b","value":{},"stamp":412,"permit":7})").lease, 7u);
+    EXPECT_EQ(parse_kv_item(R"({"path":"a/b","value":{},"stamp":412,"permit":7})").lease, 7u);
     for (const char* bad : {"", "{}", R"({"ledger":-1})", R"({"ledger":"1"})"})
         EXPECT_THROW(parse_revision(bad), BadMessage) << bad;
 }
--- a/tests/door_model_test.cpp
+++ b/tests/door_model_test.cpp
@@ -221,7 +221,7 @@
             if (without->taken(kind, k)) t.conditions[k] = kAny;
     }
     // The real transactions of doors, as the model's.
-    Txn of(const StateTxn& real, Kind kind, uint8_t door_value) const {
+    Txn of(const CasTransaction& real, Kind kind, uint8_t door_value) const {
         Txn t = empty();
         auto key = [](const std::string& k) { return k == door_key(kJob) ? kDoor : kFinal; };
         for (auto& c : real.conditions) t.conditions[key(c.key)] = static_cast<uint8_t>(c.version);
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -16,8 +16,8 @@
 
 constexpr LedgerLimits kSmall{12, 4};
 
-StatePage page_of(const Store& store, const std::string& after, size_t most) {
-    StatePage page;
+KvPage page_of(const Store& store, const std::string& after, size_t most) {
+    KvPage page;
     page.revision = store.revision;
     for (auto& [key, value] : store.keys) {
         if (!key.starts_with(kSegments) || key <= after) continue;
@@ -173,7 +173,7 @@
     for (auto& row : {Row{{}, false}, Row{{"node-0"}, false}, Row{{"node-1", "node-2"}, false},
                       Row{{"node-0", "node-1"}, false}, Row{{"node-0", "node-1", "node-2"}, true},
                       Row{{"node-0", "node-1", "node-2", "node-9"}, true}}) {
-        StatePage page;
+        KvPage page;
         for (auto& m : row.marks) page.items.push_back({mark_key(m), json::object{}, 1, 0});
         EXPECT_EQ(all_collect(s, page), row.open) << row.marks.size();
     }
@@ -264,13 +264,13 @@
 
 TEST(LogView, AGapInTheSegmentsStartsItOver) {
     auto page = [](std::initializer_list<uint64_t> numbers) {
-        StatePage p;
+        KvPage p;
         for (auto n : numbers) p.items.push_back({segment_key(n), json::array{}, n, 0});
         return p;
     };
     struct Row {
         const char* what;
-        StatePage first, second;
+        KvPage first, second;
         bool begins, kept;
     };
     const Row rows[] = {
@@ -302,7 +302,7 @@
         if (!awaits.empty()) body["awaits"] = std::move(awaits);
         return json::array{"j", json::object{{"job", body}, {"at", 1}}};
     };
-    StatePage page;
+    KvPage page;
     page.items.push_back(
         {segment_key(1),
          json::array{job("req-1", {}), job("req-2", {"req-1"}), job("req-3", {"req-9", "req-2"}),
@@ -317,7 +317,7 @@
          {R"([[1,"x"]])", R"([["j",{}]])", R"([["t",5]])", R"([["z","req-1"]])",
           R"([["t","req-4",[7,1]]])", R"([["p","req-5"]])", R"([["t","req-4",[0,3,"d"]]])"}) {
         LogView fresh = view;
-        StatePage next;
+        KvPage next;
         next.items.push_back({segment_key(2), json::parse(bad), 2, 0});
         EXPECT_THROW(fresh.take(next, false), BadMessage) << bad;
     }
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -121,7 +121,7 @@
         Ledger ledger(w.tables, 41, kSmall);
         std::vector<Index> machines;
         for (int i = 0; i < 6; ++i) machines.push_back(w.machine("vm-00000" + std::to_string(i)));
-        std::vector<StateTxn> sent;
+        std::vector<CasTransaction> sent;
         int jobs = 0;
         size_t most_segments = 0;
         for (int step = 0; step < 1500; ++step) {
@@ -303,10 +303,10 @@
     EXPECT_EQ(condition(ledger.next(12), kTypesKey), 50u);
 }
 
-TEST(RateBudget, FallsWhereItProvesTooHighAndComesBack) {
+TEST(RateLimiter, FallsWhereItProvesTooHighAndComesBack) {
     // Against limits that were not announced: 20 a second asked for.
     for (double held : {30.0, 15.0, 8.0}) {
-        RateBudget budget(20, 1);
+        RateLimiter budget(20, 1);
         double level = held, now = 1;
         int done = 0, refused = 0;
         for (int i = 0; i < 6000; ++i, now += 0.05) {  // five minutes
@@ -326,7 +326,7 @@
         EXPECT_LE(budget.rate(), 20);
     }
     // A refusal for any other reason changes no rate.
-    RateBudget budget(20, 1);
+    RateLimiter budget(20, 1);
     budget.drain();
     EXPECT_EQ(budget.rate(), 20);
 }
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -155,7 +155,7 @@
     settings.cloud = cloud.at();
     Properties properties;
     Metrics metrics;
-    StateClient state(io, settings);
+    KvClient state(io, settings);
     auto tenure = std::make_shared<Tenure>();
     tenure->token = 1;
     tenure->won = steady_now();
--- a/tests/membership_model_test.cpp
+++ b/tests/membership_model_test.cpp
@@ -69,7 +69,7 @@
   public:
     explicit Model(Condition without) : without_(without) {
         auto real = yield_leadership(kLeaderKey, 7, {"a", "b", 1, 1});
-        yield_named_ = real.conditions == std::vector<StateCondition>{{kLeaderKey, 7}};
+        yield_named_ = real.conditions == std::vector<KvCondition>{{kLeaderKey, 7}};
     }
     std::string run() {
         State first;
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -272,7 +272,7 @@
         auto& tables = k.w.tables;
         std::vector<Index> machines;
         for (int i = 0; i < 4; ++i) machines.push_back(k.w.machine("vm-00000" + std::to_string(i)));
-        std::vector<StateTxn> sent;
+        std::vector<CasTransaction> sent;
         int jobs = 0;
         for (int step = 0; step < 700; ++step) {
             k.w.now += 0.25;
--- a/tests/store.h
+++ b/tests/store.h
@@ -13,7 +13,7 @@
     uint64_t revision = 41;
 
     // The revision, or 0 where a condition fails.
-    uint64_t apply(const StateTxn& txn) {
+    uint64_t apply(const CasTransaction& txn) {
         for (auto& c : txn.conditions) {
             auto it = keys.find(c.key);
             if ((it == keys.end() ? 0 : it->second.second) != c.version) return 0;
@@ -32,8 +32,8 @@
         for (auto& [key, value] : keys) n += key.starts_with(kSegments);
         return n;
     }
-    StatePage log() const {
-        StatePage page;
+    KvPage log() const {
+        KvPage page;
         for (auto& [key, value] : keys)
             if (key.starts_with(kSegments))
                 page.items.push_back({key, boost::json::parse(value.first), value.second, 0});
@@ -42,7 +42,7 @@
     void load(Ledger& ledger, double now) const {
         ledger.clear();
         auto item = [](auto& k) {
-            return StateItem{k.first, boost::json::parse(k.second.first), k.second.second, 0};
+            return KvItem{k.first, boost::json::parse(k.second.first), k.second.second, 0};
         };
         if (auto it = keys.find(kLogKey); it != keys.end()) ledger.load_head(item(*it));
         for (auto& k : keys)
