--- a/bench/pass_bench.cpp
+++ b/bench/pass_bench.cpp
@@ -42,7 +42,7 @@
 // placed first.
 struct Site {
     Settings settings = large_site();
-    Tables tables{settings};
+    ClusterState cluster{settings};
     std::mt19937 random{7};
 
     // `jobs`: 0 for as many as there are fifths of machines.
@@ -50,10 +50,10 @@
         if (jobs == 0) jobs = machines / 5;
         MachineType cpu{"cpu", {16000, 0, 64000}, 25, 0.6, 1.15, 0.43, 15, {"a"}};
         MachineType gpu{"gpu", {12000, 2000, 72000}, 150, 0.4, 5.91, 1.98, 25, {"a"}};
-        tables.set_types({cpu, gpu});
+        cluster.set_types({cpu, gpu});
         for (size_t i = 0; i < machines; ++i) {
-            auto& m = *tables.machines[tables.add_machine("vm-" + std::to_string(i), kNow)];
-            tables.describe_machine(m, i % 2 ? "gpu" : "cpu", "a", i % 8 == 1);
+            auto& m = *cluster.machines[cluster.add_machine("vm-" + std::to_string(i), kNow)];
+            cluster.describe_machine(m, i % 2 ? "gpu" : "cpu", "a", i % 8 == 1);
             m.up = true;
             m.session = 1;
             m.up_at = m.last_report = kNow;
@@ -65,18 +65,18 @@
             s.kind = gang ? JobKind::Gang : JobKind::Array;
             s.priority = gang ? Priority::High : Priority::Low;
             s.tasks = gang ? 4 + random() % 20 : 5 + random() % 30;
-            s.need = gang ? Resources{15000, 0, 51000} : Resources{5000, 1000, 27000};
+            s.demand = gang ? Resources{15000, 0, 51000} : Resources{5000, 1000, 27000};
             s.team = 0;
-            s.job_class = tables.names.classes.intern(gang ? "gang" : "array");
-            s.image = tables.names.images.intern("image-" + std::to_string(random() % 16));
+            s.job_class = cluster.names.classes.intern(gang ? "gang" : "array");
+            s.image = cluster.names.images.intern("image-" + std::to_string(random() % 16));
             s.image_gb = 4;
             s.estimate_s = 80;
             s.deadline_s = gang ? -1 : 200;
             s.spot = !gang;
             s.one_zone = gang;
-            auto index = tables.add_job(std::move(s), 1000, kNow);
-            tables.jobs[index]->version = 1;
-            if (j == jobs * 5 / 8 - 1) place_waiting(tables, up, kNow, 100000);
+            auto index = cluster.add_job(std::move(s), 1000, kNow);
+            cluster.jobs[index]->version = 1;
+            if (j == jobs * 5 / 8 - 1) place_waiting(cluster, up, kNow, 100000);
         }
     }
 };
@@ -87,63 +87,63 @@
     std::vector<KvItem> segments;
 
     explicit Log(size_t tasks) {
-        Tables tables(settings);
-        Ledger ledger(tables, 41, {settings.txn_ops, settings.value_kb});
+        ClusterState cluster(settings);
+        StateLog state_log(cluster, 41, {settings.txn_ops, settings.value_kb});
         std::map<std::string, std::string> store;
         for (size_t j = 0; j < tasks / 50; ++j) {
             JobSpec s;
             s.id = "req-" + std::to_string(j);
             s.tasks = 50;
-            s.need = {1000, 0, 3000};
+            s.demand = {1000, 0, 3000};
             s.team = 0;
-            s.job_class = tables.names.classes.intern("array");
-            s.image = tables.names.images.intern("image");
-            auto index = tables.add_job(std::move(s), 1000, kNow);
-            ledger.new_job(index);
-            tables.jobs[index]->version = 1;
+            s.job_class = cluster.names.classes.intern("array");
+            s.image = cluster.names.images.intern("image");
+            auto index = cluster.add_job(std::move(s), 1000, kNow);
+            state_log.new_job(index);
+            cluster.jobs[index]->version = 1;
             for (uint32_t t = 0; t < 50; ++t) {
-                auto machine = tables.add_machine("vm-" + std::to_string((j * 50 + t) / 16), kNow);
-                tables.place(index, t, machine, 1, kNow);
+                auto machine = cluster.add_machine("vm-" + std::to_string((j * 50 + t) / 16), kNow);
+                cluster.place(index, t, machine, 1, kNow);
             }
         }
-        for (uint64_t revision = 50; ledger.waiting(); ++revision) {
-            auto b = ledger.next(settings.txn_ops);
+        for (uint64_t revision = 50; state_log.waiting(); ++revision) {
+            auto b = state_log.next(settings.txn_ops);
             if (b.empty()) break;
             for (auto& c : b.txn.changes) store[c.key] = c.value;
-            ledger.committed(b, revision);
+            state_log.committed(b, revision);
         }
         for (auto& [key, value] : store)
-            if (key.starts_with(kSegments))
+            if (key.starts_with(kSegmentPrefix))
                 segments.push_back({key, boost::json::parse(value), 50, 0});
     }
 };
 
 size_t load(const Log& log) {
-    Tables tables(log.settings);
-    Ledger ledger(tables, 42, {log.settings.txn_ops, log.settings.value_kb});
-    for (auto& s : log.segments) ledger.load_segment(s, kNow);
-    ledger.loaded(kNow);
-    return tables.task_count;
+    ClusterState cluster(log.settings);
+    StateLog state_log(cluster, 42, {log.settings.txn_ops, log.settings.value_kb});
+    for (auto& s : log.segments) state_log.load_segment(s, kNow);
+    state_log.loaded(kNow);
+    return cluster.task_count;
 }
 
 struct Decision {
     const char* name;
-    size_t (*decide)(Tables&);
+    size_t (*decide)(ClusterState&);
 };
 const Decision kDecisions[] = {
-    {"place", [](Tables& t) { return place_waiting(t, up, kNow).size(); }},
-    {"rent", [](Tables& t) { return plan_rentals(t, up, {0.3, 8}, kNow).size(); }},
+    {"place", [](ClusterState& t) { return place_waiting(t, up, kNow).size(); }},
+    {"rent", [](ClusterState& t) { return plan_rentals(t, up, {0.3, 8}, kNow).size(); }},
     {"rent_distinct",  // as where every job's tasks are of another size
-     [](Tables& t) { return plan_rentals(t, up, {0.3, 8, 0}, kNow).size(); }},
-    {"preempt", [](Tables& t) { return plan_preemption(t, up, kNow).clearings.size(); }},
-    {"close", [](Tables& t) { return size_t{plan_closing(t, up, kNow) != kNone}; }},
+     [](ClusterState& t) { return plan_rentals(t, up, {0.3, 8, 0}, kNow).size(); }},
+    {"preempt", [](ClusterState& t) { return plan_preemption(t, up, kNow).clearings.size(); }},
+    {"close", [](ClusterState& t) { return size_t{plan_closing(t, up, kNow) != kNone}; }},
     {"forecast",
-     [](Tables& t) {
+     [](ClusterState& t) {
          Forecast f;
          f.observe(t, kNow);
          return f.queues().size();
      }},
-    {"return", [](Tables& t) { return plan_returns(t, {0.3, 8}, kNow).size(); }},
+    {"return", [](ClusterState& t) { return plan_returns(t, {0.3, 8}, kNow).size(); }},
 };
 
 int count(const std::string& what, size_t size, size_t jobs) {
@@ -156,8 +156,8 @@
     for (auto& d : kDecisions) {
         if (what != d.name) continue;
         Site site(size, jobs);
-        size_t waiting = waiting_jobs(site.tables, kNow).size();
-        std::cout << what << ": " << d.decide(site.tables) << " decided, " << waiting
+        size_t waiting = waiting_jobs(site.cluster, kNow).size();
+        std::cout << what << ": " << d.decide(site.cluster) << " decided, " << waiting
                   << " jobs waiting\n";
         return 0;
     }
@@ -178,7 +178,7 @@
                                              state.PauseTiming();
                                              auto site = std::make_unique<Site>(machines);
                                              state.ResumeTiming();
-                                             benchmark::DoNotOptimize(d.decide(site->tables));
+                                             benchmark::DoNotOptimize(d.decide(site->cluster));
                                              state.PauseTiming();
                                              site.reset();
                                              state.ResumeTiming();
--- a/src/bookkeeping/dependencies.cpp
+++ b/src/bookkeeping/dependencies.cpp
@@ -9,24 +9,24 @@
 const std::vector<Index> kNobody;
 }
 
-void Dependencies::add(Index job, const std::vector<Index>& on) {
+void DependencyGraph::add(Index job, const std::vector<Index>& on) {
     if (on.empty()) return;
     nodes_[job].on = on;
     for (auto d : on) nodes_[d].dependants.push_back(job);
     ++waiting_;
 }
 
-const std::vector<Index>& Dependencies::of(Index job) const {
+const std::vector<Index>& DependencyGraph::of(Index job) const {
     auto it = nodes_.find(job);
     return it == nodes_.end() ? kNobody : it->second.on;
 }
 
-const std::vector<Index>& Dependencies::dependants(Index job) const {
+const std::vector<Index>& DependencyGraph::dependants(Index job) const {
     auto it = nodes_.find(job);
     return it == nodes_.end() ? kNobody : it->second.dependants;
 }
 
-std::vector<Index> Dependencies::all_dependants(Index job) const {
+std::vector<Index> DependencyGraph::all_dependants(Index job) const {
     std::vector<Index> out = dependants(job);
     std::unordered_set<Index> seen(out.begin(), out.end());
     for (size_t i = 0; i < out.size(); ++i)
@@ -35,7 +35,7 @@
     return out;
 }
 
-void Dependencies::unlink(Index job, std::vector<Index> Node::* side, Index other) {
+void DependencyGraph::unlink(Index job, std::vector<Index> Node::* side, Index other) {
     auto it = nodes_.find(job);
     if (it == nodes_.end()) return;
     auto& list = it->second.*side;
@@ -47,7 +47,7 @@
     if (it->second.on.empty() && it->second.dependants.empty()) nodes_.erase(it);
 }
 
-void Dependencies::remove(Index job) {
+void DependencyGraph::remove(Index job) {
     auto it = nodes_.find(job);
     if (it == nodes_.end()) return;
     Node node = std::move(it->second);
--- a/src/bookkeeping/dependencies.h
+++ b/src/bookkeeping/dependencies.h
@@ -9,7 +9,7 @@
 
 namespace weirmill {
 
-class Dependencies {
+class DependencyGraph {
   public:
     // `job` waits for each of `on`, none of them twice and none a dependant of the job.
     void add(Index job, const std::vector<Index>& on);
--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -25,12 +25,12 @@
 constexpr size_t kDroppedAtOnce = 3;
 }  // namespace
 
-std::string segment_key(uint64_t number) { return fmt::format("{}{:016}", kSegments, number); }
+std::string segment_key(uint64_t number) { return fmt::format("{}{:016}", kSegmentPrefix, number); }
 uint64_t segment_number(const std::string& key) {
     uint64_t number = 0;
     auto* last = key.data() + key.size();
-    if (key.size() <= kSegments.size()) read::bad("key");
-    auto [end, ec] = std::from_chars(key.data() + kSegments.size(), last, number);
+    if (key.size() <= kSegmentPrefix.size()) read::bad("key");
+    auto [end, ec] = std::from_chars(key.data() + kSegmentPrefix.size(), last, number);
     if (ec != std::errc() || end != last) read::bad("key");
     return number;
 }
@@ -83,11 +83,12 @@
     return o;
 }
 
-json::object job_body(const Job& job, Index index, const Tables& tables) {
-    auto body = submission_json(job.spec, tables.names);
+json::object job_body(const Job& job, Index index, const ClusterState& cluster) {
+    auto body = submission_json(job.spec, cluster.names);
     if (job.waits && !job.cancel_recorded) {
         json::array awaits;
-        for (auto d : tables.dependencies().of(index)) awaits.emplace_back(tables.jobs[d]->spec.id);
+        for (auto d : cluster.dependencies().of(index))
+            awaits.emplace_back(cluster.jobs[d]->spec.id);
         body["awaits"] = std::move(awaits);
     }
     return body;
@@ -102,8 +103,8 @@
 }
 }  // namespace
 
-std::string job_record(const Job& job, Index index, const Tables& tables) {
-    json::object o{{"job", job_body(job, index, tables)}};
+std::string job_record(const Job& job, Index index, const ClusterState& cluster) {
+    json::object o{{"job", job_body(job, index, cluster)}};
     for (auto& field : job_head(job)) o.insert(field);
     return json::serialize(json::array{"j", std::move(o)});
 }
@@ -139,7 +140,7 @@
 
 // One row; a run of done tasks is one. Returns the task after it.
 uint32_t add_row(std::string& text, const Job& job, uint32_t t, uint32_t end,
-                 const Tables& tables) {
+                 const ClusterState& cluster) {
     auto& task = job.tasks[t];
     auto out = std::back_inserter(text);
     if (task.state == TaskState::Done) {
@@ -150,7 +151,7 @@
     }
     if (task.state == TaskState::Placed)
         fmt::format_to(out, ",[{},{},{},{}]", t, task.attempt, task.session,
-                       quoted(tables.machines[task.machine]->name));
+                       quoted(cluster.machines[task.machine]->name));
     else
         fmt::format_to(out, ",[{},{}]", t, task.attempt);
     return t + 1;
@@ -160,14 +161,14 @@
 
 // What a transaction will write to the log: the open segment with more entries, and further ones
 // after it.
-struct Ledger::Staged {
-    std::vector<LedgerBatch::Written> segments;
+struct StateLog::Staged {
+    std::vector<StateLogBatch::Written> segments;
     bool open_untouched = false;  // the first of them is the open one, as it stands
     size_t soft, hard, bytes = 0;
     int ops;  // changes that the transaction may still have
     uint64_t next_number;
 
-    void condition(LedgerBatch& b, std::string key, uint64_t version) {
+    void condition(StateLogBatch& b, std::string key, uint64_t version) {
         bytes += key.size() + 40;
         b.txn.conditions.push_back({std::move(key), version});
     }
@@ -197,19 +198,19 @@
     uint64_t number() const { return segments.back().number; }
 };
 
-Ledger::Ledger(Tables& tables, uint64_t token, LedgerLimits limits)
-    : tables_(tables), token_(token) {
+StateLog::StateLog(ClusterState& cluster, uint64_t token, StateLogLimits limits)
+    : cluster_(cluster), token_(token) {
     set_limits(limits.txn_ops, static_cast<size_t>(limits.value_kb * 1024));
 }
 
-void Ledger::set_limits(int txn_ops, size_t value_bytes) {
+void StateLog::set_limits(int txn_ops, size_t value_bytes) {
     txn_ops_ = txn_ops;
     hard_limit_ = value_bytes - kSpare;
     soft_limit_ = std::min(hard_limit_, kFull);
     entry_limit_ = std::min(kEntryBytes, hard_limit_ / 2);
 }
 
-bool Ledger::shrink() {
+bool StateLog::shrink() {
     int ops = std::max(kLeastOps, txn_ops_ / 2);
     size_t now = hard_limit_ + kSpare, bytes = std::max(kLeastValue, now / 2);
     if (ops >= txn_ops_ && bytes >= now) return false;
@@ -221,7 +222,7 @@
     return true;
 }
 
-void Ledger::note(const std::string& key, std::string record) {
+void StateLog::note(const std::string& key, std::string record) {
     if (record.size() > hard_limit_) {
         // It would never be taken, and all else in its transaction with it.
         spdlog::error("state: a record of {} bytes for {} is too long, not written", record.size(),
@@ -231,23 +232,23 @@
     notes_[key].record = std::move(record);
 }
 
-bool Ledger::can_hold(Index index) const {
-    auto& job = *tables_.jobs[index];
+bool StateLog::can_hold(Index index) const {
+    auto& job = *cluster_.jobs[index];
     auto record = json::serialize(json::array{
         "j",
-        json::object{{"job", submission_json(job.spec, tables_.names)}, {"at", job.submitted}}});
+        json::object{{"job", submission_json(job.spec, cluster_.names)}, {"at", job.submitted}}});
     // And its cancellation, and when it became ready. Pieces are not written while a version that
     // can't read them may still lead; with pipelines all are new.
     return record.size() + 60 <= hard_limit_ || pipelines_used();
 }
 
 // Usually one.
-std::vector<std::string> Ledger::record_entries(Index index) const {
-    auto& job = *tables_.jobs[index];
-    std::vector<std::string> out{job_record(job, index, tables_)};
+std::vector<std::string> StateLog::record_entries(Index index) const {
+    auto& job = *cluster_.jobs[index];
+    std::vector<std::string> out{job_record(job, index, cluster_)};
     if (fits(out[0])) return out;
     out.clear();
-    auto body = json::serialize(job_body(job, index, tables_));
+    auto body = json::serialize(job_body(job, index, cluster_));
     // Quoted once more it takes up to twice its length.
     const size_t most = hard_limit_ / 2 - 60;
     for (size_t at = 0; at < body.size();) {
@@ -262,17 +263,17 @@
     return out;
 }
 
-bool Ledger::waiting() const {
+bool StateLog::waiting() const {
     return !new_jobs_.empty() || !cancels_.empty() || !finishes_.empty() ||
-           !tables_.changes.empty() || !forgets_.empty() || retelling_ != 0 ||
+           !cluster_.changes.empty() || !forgets_.empty() || retelling_ != 0 ||
            std::any_of(notes_.begin(), notes_.end(),
                        [](auto& n) { return !n.second.record.empty(); });
 }
 
-LedgerBatch Ledger::next(int ops) {
-    LedgerBatch b;
+StateLogBatch StateLog::next(int ops) {
+    StateLogBatch b;
     ops = std::min(ops, txn_ops_);
-    b.through = tables_.recorded_through;
+    b.through = cluster_.recorded_through;
     b.first = first_;
     Staged s{{}, !open_.empty(), soft_limit_, hard_limit_, 0, ops, next_number_};
     if (!open_.empty()) s.segments.push_back({segments_.back().number, open_});
@@ -289,7 +290,7 @@
 
     while (!cancels_.empty()) {
         auto index = cancels_.front();
-        if (!s.put(short_entry("c", tables_.jobs[index]->spec.id))) break;
+        if (!s.put(short_entry("c", cluster_.jobs[index]->spec.id))) break;
         cancels_.pop_front();
         b.entries.push_back({EntryKind::Cancel, index, {}});
         b.urgent = true;
@@ -297,10 +298,10 @@
     tell_new_jobs(s, b);
     while (!finishes_.empty() && s.ops >= 1) {
         auto index = finishes_.front();
-        auto& job = *tables_.jobs[index];
+        auto& job = *cluster_.jobs[index];
         // Its final state takes a change of its own, which the log must leave.
         --s.ops;
-        if (!s.put(end_entry(job, !tables_.dependencies().dependants(index).empty()))) {
+        if (!s.put(end_entry(job, !cluster_.dependencies().dependants(index).empty()))) {
             ++s.ops;
             break;
         }
@@ -339,13 +340,13 @@
 
 // A job whose record takes several entries lets those behind it go first: it takes a few
 // transactions.
-void Ledger::tell_new_jobs(Staged& s, LedgerBatch& b) {
+void StateLog::tell_new_jobs(Staged& s, StateLogBatch& b) {
     for (auto it = new_jobs_.begin(); it != new_jobs_.end();) {
         // A condition for each change, for the leadership and for the head; the rest is for new
         // jobs, two each.
         if (2 * b.bases.size() + 4 > 3 * static_cast<size_t>(txn_ops_)) return;
         Index index = *it;
-        auto& job = *tables_.jobs[index];
+        auto& job = *cluster_.jobs[index];
         auto found = telling_.find(index);
         std::vector<std::string> fresh;
         if (found == telling_.end()) fresh = record_entries(index);
@@ -380,8 +381,8 @@
 }
 
 // Changes of tasks, in order, as far as they fit; of several to one task only the newest.
-void Ledger::tell_tasks(Staged& s, LedgerBatch& b) {
-    auto& queue = tables_.changes;
+void StateLog::tell_tasks(Staged& s, StateLogBatch& b) {
+    auto& queue = cluster_.changes;
     while (!queue.empty()) {
         Index index = queue.front().ref.job;
         std::string text;
@@ -393,11 +394,11 @@
             if (c.ref.job != index) break;
             through = c.change;
             // The end of a job replaces all of this.
-            if (!tables_.current(c) || tables_.jobs[index]->ending) continue;
-            add_row(text, *tables_.jobs[index], c.ref.task, c.ref.task + 1, tables_);
+            if (!cluster_.current(c) || cluster_.jobs[index]->ending) continue;
+            add_row(text, *cluster_.jobs[index], c.ref.task, c.ref.task + 1, cluster_);
             told.push_back(c);
         }
-        if (!text.empty() && !s.put(tasks_entry(tables_.jobs[index]->spec.id, text))) return;
+        if (!text.empty() && !s.put(tasks_entry(cluster_.jobs[index]->spec.id, text))) return;
         b.tasks.insert(b.tasks.end(), told.begin(), told.end());
         b.through = through;
         queue.erase(queue.begin(), queue.begin() + static_cast<long>(n));
@@ -406,7 +407,7 @@
 
 // Half of what a transaction may have is left for users who come next; but one goes with each that
 // has room, as on a busy day there is never more.
-void Ledger::tell_forgets(Staged& s, LedgerBatch& b) {
+void StateLog::tell_forgets(Staged& s, StateLogBatch& b) {
     for (int n = std::max(1, s.ops - txn_ops_ / 2); n > 0 && s.ops > 0 && !forgets_.empty();
          --n, --s.ops) {
         auto& [key, version] = forgets_.front();
@@ -418,22 +419,22 @@
 }
 
 // Segments that what is alive should take, with as much again for what is not.
-size_t Ledger::wanted_segments() const {
+size_t StateLog::wanted_segments() const {
     size_t bytes = 0;
-    for (auto& job : tables_.jobs)
+    for (auto& job : cluster_.jobs)
         if (job) bytes += 500 + 40 * size_t{job->placed} + 14 * size_t{job->done};
     return 4 + 2 * bytes / soft_limit_;
 }
 
 // Jobs that the oldest segments tell of are told anew, some at a time.
-void Ledger::retell(Staged& s, LedgerBatch& b) {
+void StateLog::retell(Staged& s, StateLogBatch& b) {
     if (retelling_ == 0) return;
     size_t until = s.bytes + kRetoldAtOnce;
-    for (Index j = 0; j < tables_.jobs.size() && s.bytes < until; ++j) {
-        auto* job = tables_.jobs[j].get();
+    for (Index j = 0; j < cluster_.jobs.size() && s.bytes < until; ++j) {
+        auto* job = cluster_.jobs[j].get();
         if (!job || job->version == 0 || job->base > retelling_ || job->ending) continue;
         if (cursor_job_ != kNone && cursor_job_ != j) {
-            auto* other = tables_.jobs[cursor_job_].get();
+            auto* other = cluster_.jobs[cursor_job_].get();
             if (other && other->version != 0 && other->base <= retelling_ && !other->ending)
                 continue;  // one after the other
             cursor_job_ = kNone;
@@ -477,7 +478,7 @@
                 if (task.state == TaskState::Pending && task.attempt == 0)
                     ++t;
                 else
-                    t = add_row(text, *job, t, end, tables_);
+                    t = add_row(text, *job, t, end, cluster_);
             }
             if (!text.empty() && !s.put(tasks_entry(job->spec.id, text))) return;
             cursor_task_ = t;
@@ -489,9 +490,9 @@
 }
 
 // Segments that tell of nothing any more.
-void Ledger::drop(LedgerBatch& b, int ops) {
+void StateLog::drop(StateLogBatch& b, int ops) {
     if (retelling_ == 0 || ops < 2) return;
-    for (auto& job : tables_.jobs)
+    for (auto& job : cluster_.jobs)
         if (job && job->version != 0 && job->base <= retelling_) return;
     for (auto& [j, t] : telling_)
         if (t.told > 0 && t.base <= retelling_) return;
@@ -510,8 +511,8 @@
     b.txn.changes.push_back({kLogKey, json::serialize(json::object{{"first", first}}), 0});
 }
 
-void Ledger::committed(const LedgerBatch& batch, uint64_t revision) {
-    tables_.recorded_through = std::max(tables_.recorded_through, batch.through);
+void StateLog::committed(const StateLogBatch& batch, uint64_t revision) {
+    cluster_.recorded_through = std::max(cluster_.recorded_through, batch.through);
     for (auto& w : batch.segments) {
         if (!segments_.empty() && segments_.back().number == w.number)
             segments_.back().version = revision;
@@ -521,12 +522,12 @@
         next_number_ = std::max(next_number_, w.number + 1);
     }
     for (auto& [j, base] : batch.bases)
-        if (tables_.jobs[j]) tables_.jobs[j]->base = base;
+        if (cluster_.jobs[j]) cluster_.jobs[j]->base = base;
     for (auto& [j, n, base] : batch.told)
         if (auto it = telling_.find(j); it != telling_.end())
             it->second.told = n, it->second.base = base;
     for (auto& e : batch.entries) {
-        auto* job = e.job == kNone ? nullptr : tables_.jobs[e.job].get();
+        auto* job = e.job == kNone ? nullptr : cluster_.jobs[e.job].get();
         if (e.kind == EntryKind::Cancel) job->cancel_recorded = job->cancel_logged = true;
         if (e.kind == EntryKind::NewJob) {
             job->version = revision;
@@ -554,9 +555,9 @@
     }
 }
 
-void Ledger::rejected(const LedgerBatch& batch) {
+void StateLog::rejected(const StateLogBatch& batch) {
     for (auto it = batch.tasks.rbegin(); it != batch.tasks.rend(); ++it)
-        if (tables_.current(*it)) tables_.changes.push_front(*it);
+        if (cluster_.current(*it)) cluster_.changes.push_front(*it);
     cursor_job_ = kNone;
     for (auto it = batch.entries.rbegin(); it != batch.entries.rend(); ++it) {
         auto& e = *it;
@@ -572,7 +573,7 @@
     }
 }
 
-void Ledger::clear() {
+void StateLog::clear() {
     new_jobs_.clear();
     cancels_.clear();
     finishes_.clear();
@@ -592,13 +593,13 @@
     cursor_job_ = kNone;
 }
 
-void Ledger::load_head(const KvItem& item) {
+void StateLog::load_head(const KvItem& item) {
     first_ = read::count(read::object(item.value), "first");
     head_version_ = item.version;
     next_number_ = std::max(next_number_, first_);
 }
 
-void Ledger::load_segment(const KvItem& item, double now) {
+void StateLog::load_segment(const KvItem& item, double now) {
     uint64_t number = segment_number(item.key);
     if (number < next_number_) read::bad("key");
     if (!item.value.is_array()) read::bad("segment");
@@ -611,7 +612,7 @@
     next_number_ = number + 1;
 }
 
-void Ledger::load_entry(const json::array& entry, double now) {
+void StateLog::load_entry(const json::array& entry, double now) {
     if (!entry[0].is_string()) read::bad("entry");
     std::string_view tag = entry[0].get_string();
     if (tag == "j") {
@@ -651,18 +652,18 @@
         pipelines_ = true;
         loading_ended_[id] = entry[2].to_number<double>();
     }
-    auto it = tables_.job_index.find(id);
+    auto it = cluster_.job_index.find(id);
     // A job of which an earlier segment told that is gone by now: it has ended, or is told anew
     // further on.
-    if (it == tables_.job_index.end()) return;
+    if (it == cluster_.job_index.end()) return;
     Index index = it->second;
-    auto& job = *tables_.jobs[index];
+    auto& job = *cluster_.jobs[index];
     if (tag == "c") {
         job.cancelled = job.cancel_recorded = job.cancel_logged = true;
     } else if (tag == "e") {
         loading_.erase(index);
         for (auto& task : job.tasks) task.state = TaskState::Pending;  // none is on a machine yet
-        tables_.remove_job(index, now);
+        cluster_.remove_job(index, now);
     } else if (tag == "t") {
         auto& names = loading_[index];
         names.resize(job.tasks.size());
@@ -682,22 +683,22 @@
     }
 }
 
-void Ledger::load_job(const json::object& record, const json::value& body, uint64_t base,
-                      double now) {
-    auto spec = parse_submission(body, tables_.names);
+void StateLog::load_job(const json::object& record, const json::value& body, uint64_t base,
+                        double now) {
+    auto spec = parse_submission(body, cluster_.names);
     if (spec.team == kNone) read::bad("job.team");
     bool cancelled = read::flag(record, "cancelled", false);
     double ready = read::number(record, "ready", 0, 1e12);
     pipelines_ = pipelines_ || ready > 0 || !spec.dependencies.empty();
-    auto it = tables_.job_index.find(spec.id);
+    auto it = cluster_.job_index.find(spec.id);
     // Told anew: what came before stands, and what follows repeats it. Only what it waits for may
     // have become less.
-    if (it != tables_.job_index.end())
-        tables_.jobs[it->second]->spec.dependencies = std::move(spec.dependencies);
-    auto index = it != tables_.job_index.end()
+    if (it != cluster_.job_index.end())
+        cluster_.jobs[it->second]->spec.dependencies = std::move(spec.dependencies);
+    auto index = it != cluster_.job_index.end()
                      ? it->second
-                     : tables_.add_job(std::move(spec), read::number(record, "at", {}, 1e12), now);
-    auto& job = *tables_.jobs[index];
+                     : cluster_.add_job(std::move(spec), read::number(record, "at", {}, 1e12), now);
+    auto& job = *cluster_.jobs[index];
     if (job.version == 0) {
         job.version = 1;
         job.base = base;
@@ -709,40 +710,40 @@
 // A dependency that is not alive once the whole log is read has ended as done: its dependants were
 // accepted after it, and a cancelled job leaves the log only after the cancellations of all that
 // wait for it.
-void Ledger::load_dependencies(double now) {
-    for (Index j = 0; j < tables_.jobs.size(); ++j) {
-        auto* job = tables_.jobs[j].get();
+void StateLog::load_dependencies(double now) {
+    for (Index j = 0; j < cluster_.jobs.size(); ++j) {
+        auto* job = cluster_.jobs[j].get();
         if (!job || !job->waits) continue;
         std::vector<Index> alive;
         for (auto& id : job->spec.dependencies) {
-            if (auto it = tables_.job_index.find(id); it != tables_.job_index.end())
+            if (auto it = cluster_.job_index.find(id); it != cluster_.job_index.end())
                 alive.push_back(it->second);
             else if (auto ended = loading_ended_.find(id); ended != loading_ended_.end())
                 job->ready = std::max(job->ready, ended->second);
         }
         if (job->cancelled) alive.clear();
-        tables_.set_dependencies(j, alive, now);
+        cluster_.set_dependencies(j, alive, now);
     }
     // One recorded cancellation is that of all who need the job.
-    for (Index j = 0; j < tables_.jobs.size(); ++j)
-        if (tables_.jobs[j] && tables_.jobs[j]->cancel_logged)
-            for (auto d : tables_.cancel_dependants(j)) cancels_.push_back(d);
+    for (Index j = 0; j < cluster_.jobs.size(); ++j)
+        if (cluster_.jobs[j] && cluster_.jobs[j]->cancel_logged)
+            for (auto d : cluster_.cancel_dependants(j)) cancels_.push_back(d);
 }
 
-void Ledger::loaded(double now) {
+void StateLog::loaded(double now) {
     load_dependencies(now);
     loading_pieces_.clear();
     loading_ended_.clear();
-    for (Index j = 0; j < tables_.jobs.size(); ++j)
-        if (tables_.jobs[j]) tables_.restore_counts(j);
-    for (auto& job : tables_.jobs)
-        if (job && !job->waits) tables_.mark_guaranteed(*job);
+    for (Index j = 0; j < cluster_.jobs.size(); ++j)
+        if (cluster_.jobs[j]) cluster_.restore_counts(j);
+    for (auto& job : cluster_.jobs)
+        if (job && !job->waits) cluster_.mark_guaranteed(*job);
     for (auto& [j, names] : loading_)
         for (uint32_t t = 0; t < names.size(); ++t) {
             if (names[t].empty()) continue;
-            auto& task = tables_.jobs[j]->tasks[t];
-            tables_.restore_placed(j, t, tables_.add_machine(names[t], now), task.attempt,
-                                   task.session);
+            auto& task = cluster_.jobs[j]->tasks[t];
+            cluster_.restore_placed(j, t, cluster_.add_machine(names[t], now), task.attempt,
+                                    task.session);
         }
     loading_.clear();
 }
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -20,7 +20,7 @@
 
 inline const std::string kLeaderKey = "leader";
 inline const std::string kLogKey = "log";
-inline const std::string kSegments = "w/";
+inline const std::string kSegmentPrefix = "w/";
 // Single records that only the newest value of matters.
 inline const std::string kRoundKey = "round";  // the last round of preemption
 inline const std::string kTypesKey = "types";  // the machine types last offered
@@ -38,7 +38,7 @@
 TaskRow parse_row(const boost::json::value& v, size_t tasks);  // throws BadMessage
 std::string final_key(const std::string& id);
 
-std::string job_record(const Job& job, Index index, const Tables& tables);
+std::string job_record(const Job& job, Index index, const ClusterState& cluster);
 std::string final_record(JobState state, uint32_t done);
 struct FinalState {
     JobState state = JobState::Done;
@@ -46,13 +46,13 @@
 };
 FinalState parse_final(const boost::json::value& v);
 
-struct LedgerLimits {
+struct StateLogLimits {
     int txn_ops = 12;
     double value_kb = 4;
 };
 
 enum class EntryKind : uint8_t { NewJob, Cancel, Finish, Note, Forget };
-struct LedgerEntry {
+struct StateLogEntry {
     EntryKind kind = EntryKind::Note;
     Index job = kNone;
     std::string key;         // Note, Forget (empty: not to be tried again)
@@ -60,9 +60,9 @@
     uint64_t version = 0;    // Forget: of the door record
     FinalState ended{};      // Finish: as it is written, and so to be told
 };
-struct LedgerBatch {
+struct StateLogBatch {
     CasTransaction txn;
-    std::vector<LedgerEntry> entries;
+    std::vector<StateLogEntry> entries;
     std::vector<TaskChange> tasks;  // whose changes it carries
     uint64_t through = 0;           // every change up to this one is recorded with it
     struct Written {
@@ -82,9 +82,9 @@
     bool urgent = false;  // a user waits for it
 };
 
-class Ledger {
+class StateLog {
   public:
-    Ledger(Tables& tables, uint64_t token, LedgerLimits limits);
+    StateLog(ClusterState& cluster, uint64_t token, StateLogLimits limits);
 
     // `door`: the version of its door record (doors/records.h), which it replaces; 0: there must be
     // none.
@@ -112,12 +112,12 @@
     bool shrink();
 
     // The next transaction of at most `ops` changes; every one is conditional on the leadership.
-    LedgerBatch next(int ops);
+    StateLogBatch next(int ops);
     // It was applied at `revision`. Finished jobs are left in the tables for the caller to remove.
-    void committed(const LedgerBatch& batch, uint64_t revision);
+    void committed(const StateLogBatch& batch, uint64_t revision);
     // It was not, and never will be: its entries wait again. New jobs do not: their users are told
     // to return.
-    void rejected(const LedgerBatch& batch);
+    void rejected(const StateLogBatch& batch);
 
     // Rebuilding the tables of a fresh leader: the head, all segments in order, then `loaded`. Each
     // throws BadMessage.
@@ -133,20 +133,20 @@
     struct Staged;
     void set_limits(int txn_ops, size_t value_bytes);
     bool fits(const std::string& record) const { return record.size() + 8 <= hard_limit_; }
-    bool pipelines_used() const { return pipelines_ || tables_.dependencies().waiting() > 0; }
+    bool pipelines_used() const { return pipelines_ || cluster_.dependencies().waiting() > 0; }
     std::vector<std::string> record_entries(Index job) const;
-    void tell_new_jobs(Staged& s, LedgerBatch& b);
-    void retell(Staged& s, LedgerBatch& b);
-    void drop(LedgerBatch& b, int ops);
-    void tell_tasks(Staged& s, LedgerBatch& b);
-    void tell_forgets(Staged& s, LedgerBatch& b);
+    void tell_new_jobs(Staged& s, StateLogBatch& b);
+    void retell(Staged& s, StateLogBatch& b);
+    void drop(StateLogBatch& b, int ops);
+    void tell_tasks(Staged& s, StateLogBatch& b);
+    void tell_forgets(Staged& s, StateLogBatch& b);
     size_t wanted_segments() const;
     void load_entry(const boost::json::array& entry, double now);
     void load_job(const boost::json::object& record, const boost::json::value& body, uint64_t base,
                   double now);
     void load_dependencies(double now);
 
-    Tables& tables_;
+    ClusterState& cluster_;
     uint64_t token_;
     int txn_ops_;
     size_t soft_limit_, hard_limit_;  // bytes of a segment: when it is full, and at the most
--- a/src/bookkeeping/tables.cpp
+++ b/src/bookkeeping/tables.cpp
@@ -11,7 +11,7 @@
     1000;  // names of classes are the users' own: further ones are not learnt from
 }  // namespace
 
-Tables::Tables(const Settings& settings) : report_s_(settings.report_s) {
+ClusterState::ClusterState(const Settings& settings) : report_s_(settings.report_s) {
     for (auto& t : settings.teams) {
         names.teams.intern(t.name);
         Team team;
@@ -43,7 +43,7 @@
     max_tasks = static_cast<size_t>(settings.mem_mb * 1e6 * 0.3 / sizeof(Task));
 }
 
-Index Tables::add_job(JobSpec spec, double submitted, double now) {
+Index ClusterState::add_job(JobSpec spec, double submitted, double now) {
     auto job = std::make_unique<Job>();
     job->tasks.resize(spec.tasks);
     job->pending = spec.tasks;
@@ -55,8 +55,8 @@
     task_count += job->tasks.size();
     if (job->spec.job_class < kMostClasses && classes.size() <= job->spec.job_class)
         classes.resize(job->spec.job_class + 1);
-    if (auto& need = job->spec.need; need.gpu >= 1000) {
-        Resources share{need.cpu * 1000 / need.gpu, 1000, need.mem * 1000 / need.gpu};
+    if (auto& demand = job->spec.demand; demand.gpu >= 1000) {
+        Resources share{demand.cpu * 1000 / demand.gpu, 1000, demand.mem * 1000 / demand.gpu};
         if (per_gpu.gpu == 0) per_gpu = share;
         per_gpu = {(per_gpu.cpu * 4 + share.cpu) / 5, 1000, (per_gpu.mem * 4 + share.mem) / 5};
     }
@@ -84,7 +84,7 @@
 }  // namespace
 
 // The job may be placed from now on.
-void Tables::came(Job& job, double now) {
+void ClusterState::came(Job& job, double now) {
     mark_guaranteed(job);
     if (job.spec.job_class >= classes.size()) return;
     auto& c = classes[job.spec.job_class];
@@ -93,17 +93,17 @@
     c.last = job.spec;
 }
 
-void Tables::mark_guaranteed(Job& job) const {
+void ClusterState::mark_guaranteed(Job& job) const {
     if (job.spec.team >= teams.size()) return;
-    Resources sum = job.spec.need * job.spec.tasks;
+    Resources sum = job.spec.demand * job.spec.tasks;
     for (auto& other : jobs)
         if (other && other.get() != &job && other->spec.team == job.spec.team && !other->waits &&
             other->came() <= job.came())
-            sum += other->spec.need * (other->spec.tasks - other->done);
-    job.guaranteed = covers(teams[job.spec.team].guarantee, sum, job.spec.need);
+            sum += other->spec.demand * (other->spec.tasks - other->done);
+    job.guaranteed = covers(teams[job.spec.team].guarantee, sum, job.spec.demand);
 }
 
-void Tables::set_dependencies(Index index, const std::vector<Index>& on, double now) {
+void ClusterState::set_dependencies(Index index, const std::vector<Index>& on, double now) {
     auto& job = *jobs[index];
     std::vector<std::string>().swap(job.spec.dependencies);
     dependencies_.add(index, on);
@@ -111,7 +111,7 @@
     job.waits ? spread_needs_from(index) : came(job, now);
 }
 
-void Tables::remove_job(Index index, double now) {
+void ClusterState::remove_job(Index index, double now) {
     auto& job = *jobs[index];
     for (uint32_t t = 0; t < job.tasks.size(); ++t)
         if (job.tasks[t].state == TaskState::Placed) leave_machine(index, t, now);
@@ -137,7 +137,7 @@
     for (auto d : on) spread_needs_from(d);
 }
 
-std::vector<Index> Tables::cancel_dependants(Index index) {
+std::vector<Index> ClusterState::cancel_dependants(Index index) {
     std::vector<Index> out;
     for (auto d : dependencies_.all_dependants(index)) {
         auto& job = *jobs[d];
@@ -149,14 +149,14 @@
     return out;
 }
 
-bool Tables::cancellation_logged(Index index) const {
+bool ClusterState::cancellation_logged(Index index) const {
     auto& dependants = dependencies_.dependants(index);
     return jobs[index]->cancel_logged &&
            std::all_of(dependants.begin(), dependants.end(),
                        [&](Index d) { return jobs[d]->cancel_logged; });
 }
 
-bool Tables::settled(Index index) const {
+bool ClusterState::settled(Index index) const {
     auto& own = *jobs[index];
     if (own.end_sent || own.cancelled != own.cancel_recorded) return false;
     if (dependencies_.of(index).empty())
@@ -173,7 +173,7 @@
 }
 
 // By when a job should end, and what priority it has, for those that need it. Whether that changed.
-bool Tables::take_needs(Index index) {
+bool ClusterState::take_needs(Index index) {
     auto& job = *jobs[index];
     auto priority = job.spec.priority;
     double by = 1e18;
@@ -195,7 +195,7 @@
 // From a job up to all that it needs, as far as anything changes there. First come, first served,
 // each once in the queue: taken depth first, a tower of diamonds would be walked once for each path
 // through it.
-void Tables::spread_needs_from(Index index) {
+void ClusterState::spread_needs_from(Index index) {
     std::deque<Index> left{index};
     std::set<Index> queued{index};
     while (!left.empty()) {
@@ -208,20 +208,20 @@
     }
 }
 
-void Tables::spread_needs() {
+void ClusterState::spread_needs() {
     for (Index j = 0; j < jobs.size(); ++j)
         if (jobs[j] && !dependencies_.of(j).empty()) spread_needs_from(j);
 }
 
 // A stage of a pipeline: its start waits for a report and for its image, then its tasks run.
-double Tables::stage_s(const JobSpec& spec) const {
+double ClusterState::stage_s(const JobSpec& spec) const {
     double fetch = 1e18;
     for (Index t = 0; t < types.size(); ++t)
         if (type_fits(spec, t)) fetch = std::min(fetch, fetch_s(spec, t));
     return expected_run_s(spec) + report_s_ + (fetch < 1e17 ? fetch : 0);
 }
 
-void Tables::clear_work() {
+void ClusterState::clear_work() {
     jobs.clear();
     machines.clear();
     job_index.clear();
@@ -233,12 +233,12 @@
     for (auto& t : teams) t.used = {};
 }
 
-Job* Tables::find_job(const std::string& id) {
+Job* ClusterState::find_job(const std::string& id) {
     auto it = job_index.find(id);
     return it == job_index.end() ? nullptr : jobs[it->second].get();
 }
 
-Index Tables::add_machine(const std::string& name, double now) {
+Index ClusterState::add_machine(const std::string& name, double now) {
     auto it = machine_index.find(name);
     if (it != machine_index.end()) return it->second;
     auto free = std::find(machines.begin(), machines.end(), nullptr);
@@ -251,7 +251,7 @@
     return index;
 }
 
-void Tables::remove_machine(Index index) {
+void ClusterState::remove_machine(Index index) {
     machine_index.erase(machines[index]->name);
     // A later machine may take this index: nothing of this one may be held against it.
     for (auto& job : jobs)
@@ -259,20 +259,20 @@
     machines[index].reset();
 }
 
-Index Tables::find_machine(const std::string& name) const {
+Index ClusterState::find_machine(const std::string& name) const {
     auto it = machine_index.find(name);
     return it == machine_index.end() ? kNone : it->second;
 }
 
-void Tables::describe_machine(Machine& m, const std::string& type, const std::string& zone,
-                              bool spot) {
+void ClusterState::describe_machine(Machine& m, const std::string& type, const std::string& zone,
+                                    bool spot) {
     m.type = names.types.intern(type);
     m.zone = names.zones.intern(zone);
     m.spot = spot;
     if (m.type < types.size() && types[m.type].offered) m.size = types[m.type].type.size;
 }
 
-void Tables::set_types(std::vector<MachineType> list) {
+void ClusterState::set_types(std::vector<MachineType> list) {
     for (auto& t : list) {
         auto index = names.types.intern(t.name);
         if (types.size() <= index) types.resize(index + 1);
@@ -285,18 +285,18 @@
             m->size = types[m->type].type.size;
 }
 
-void Tables::touch(Index index, uint32_t task) {
+void ClusterState::touch(Index index, uint32_t task) {
     jobs[index]->tasks[task].change = ++last_change;
     changes.push_back({{index, task}, last_change});
 }
 
-void Tables::set_phase(Job& job, Task& task, TaskPhase phase) {
+void ClusterState::set_phase(Job& job, Task& task, TaskPhase phase) {
     if ((task.phase == TaskPhase::Running) != (phase == TaskPhase::Running))
         phase == TaskPhase::Running ? ++job.running : --job.running;
     task.phase = phase;
 }
 
-void Tables::saw_image(Machine& m, const JobSpec& spec) const {
+void ClusterState::saw_image(Machine& m, const JobSpec& spec) const {
     std::erase(m.images, spec.image);
     m.images.push_back(spec.image);
     double cache = m.type < types.size() && types[m.type].offered ? types[m.type].type.cache_gb : 0;
@@ -310,8 +310,8 @@
     m.images.erase(m.images.begin(), kept.base());
 }
 
-void Tables::restore_placed(Index index, uint32_t t, Index machine, uint32_t attempt,
-                            uint32_t session) {
+void ClusterState::restore_placed(Index index, uint32_t t, Index machine, uint32_t attempt,
+                                  uint32_t session) {
     auto& job = *jobs[index];
     auto& task = job.tasks[t];
     task.state = TaskState::Placed;
@@ -320,12 +320,12 @@
     task.session = session;
     --job.pending, ++job.placed;
     auto& m = *machines[machine];
-    m.used += job.spec.need;
+    m.used += job.spec.demand;
     m.tasks.push_back({index, t});
-    teams[job.spec.team].used += job.spec.need;
+    teams[job.spec.team].used += job.spec.demand;
 }
 
-void Tables::restore_counts(Index index) {
+void ClusterState::restore_counts(Index index) {
     auto& job = *jobs[index];
     job.pending = job.done = 0;
     for (auto& task : job.tasks) {
@@ -337,7 +337,7 @@
     }
 }
 
-void Tables::place(Index index, uint32_t t, Index machine, uint32_t attempt, double now) {
+void ClusterState::place(Index index, uint32_t t, Index machine, uint32_t attempt, double now) {
     restore_placed(index, t, machine, attempt, static_cast<uint32_t>(machines[machine]->session));
     auto& task = jobs[index]->tasks[t];
     task.start_seq = 0;
@@ -348,21 +348,21 @@
     touch(index, t);
 }
 
-void Tables::leave_machine(Index index, uint32_t t, double now) {
+void ClusterState::leave_machine(Index index, uint32_t t, double now) {
     auto& job = *jobs[index];
     auto& task = job.tasks[t];
     auto& m = *machines[task.machine];
-    m.used -= job.spec.need;
+    m.used -= job.spec.demand;
     std::erase(m.tasks, TaskRef{index, t});
     if (m.tasks.empty()) m.empty_since = now;
-    teams[job.spec.team].used -= job.spec.need;
+    teams[job.spec.team].used -= job.spec.demand;
     set_phase(job, task, TaskPhase::Unseen);
     task.machine = kNone;
     task.stopping = task.graceful = false;
     --job.placed;
 }
 
-void Tables::vacate(Index index, uint32_t t, double now) {
+void ClusterState::unassign(Index index, uint32_t t, double now) {
     leave_machine(index, t, now);
     auto& job = *jobs[index];
     job.tasks[t].state = TaskState::Pending;
@@ -371,7 +371,7 @@
     touch(index, t);
 }
 
-void Tables::finish(Index index, uint32_t t, double now) {
+void ClusterState::finish(Index index, uint32_t t, double now) {
     auto& job = *jobs[index];
     auto& task = job.tasks[t];
     if (task.state == TaskState::Done) return;
@@ -386,7 +386,7 @@
 
 // Every time by which the job should be done, on the steady clock, in no order.
 template <class F>
-void Tables::each_time(const Job& job, F&& f) const {
+void ClusterState::each_time(const Job& job, F&& f) const {
     static const std::vector<double> kOnce{1.0};
     auto* c = job.spec.job_class < classes.size() ? &classes[job.spec.job_class] : nullptr;
     if (job.spec.deadline_s >= 0)
@@ -400,7 +400,7 @@
         f(job.came_at() + c->start_within_s + expected_run_s(job.spec));
 }
 
-double Tables::due(const Job& job, double earliest, int& missed) const {
+double ClusterState::due(const Job& job, double earliest, int& missed) const {
     missed = 0;
     double due = 1e18, passed = -1e18;  // passed: of those given up, the last
     each_time(job, [&](double at) {
@@ -422,18 +422,18 @@
     return due;
 }
 
-size_t Tables::times_asked(const Job& job) const {
+size_t ClusterState::times_asked(const Job& job) const {
     size_t n = 0;
     each_time(job, [&](double) { ++n; });
     return n;
 }
 
-double Tables::expected_run_s(const JobSpec& spec) const {
+double ClusterState::expected_run_s(const JobSpec& spec) const {
     return spec.estimate_s * (spec.job_class < classes.size() ? classes[spec.job_class].bias : 1);
 }
 
 // The geometric mean over recent tasks, starting from the owners' word.
-void Tables::learn_run(const JobSpec& spec, double run_s) {
+void ClusterState::learn_run(const JobSpec& spec, double run_s) {
     if (spec.estimate_s <= 0 || run_s <= 0 || spec.job_class >= classes.size()) return;
     auto& c = classes[spec.job_class];
     double ratio = std::clamp(run_s / spec.estimate_s, 0.2, 5.0);
@@ -443,53 +443,53 @@
     c.bias *= std::pow(ratio / c.bias, weight / (c.learnt + 3));
 }
 
-void Tables::learn_boot(Index type, double boot_s) {
+void ClusterState::learn_boot(Index type, double boot_s) {
     if (type >= types.size() || !types[type].offered || types[type].type.boot_s <= 0) return;
     double ratio = std::clamp(boot_s / types[type].type.boot_s, 0.5, 4.0);
     boot_factor += (ratio - boot_factor) * 0.2;
 }
 
-double Tables::fetch_s(const JobSpec& spec, Index type) const {
+double ClusterState::fetch_s(const JobSpec& spec, Index type) const {
     double rate = types[type].type.fetch_gb_per_s;
     return rate > 0 ? spec.image_gb / rate : 0;
 }
 
-bool Tables::spares_gpus(const JobSpec& spec, Index type) const {
-    if (spec.need.gpu > 0 || per_gpu.gpu == 0 || types[type].type.size.gpu == 0) return false;
+bool ClusterState::spares_gpus(const JobSpec& spec, Index type) const {
+    if (spec.demand.gpu > 0 || per_gpu.gpu == 0 || types[type].type.size.gpu == 0) return false;
     for (Index t = 0; t < types.size(); ++t)
         if (type_fits(spec, t) && types[t].type.size.gpu == 0) return true;
     return false;
 }
 
-bool Tables::leaves_gpus_usable(const JobSpec& spec, const Machine& m) const {
+bool ClusterState::leaves_gpus_usable(const JobSpec& spec, const Machine& m) const {
     if (!spares_gpus(spec, m.type)) return true;
     // Nor does it keep a dear machine from going back: it comes where the GPUs are busy anyway.
     if (m.used.gpu * 2 < m.size.gpu) return false;
-    auto left = m.room() - spec.need;
+    auto left = m.room() - spec.demand;
     int64_t gpus = left.gpu / 1000;
     return left.cpu >= gpus * per_gpu.cpu && left.mem >= gpus * per_gpu.mem;
 }
 
-bool Tables::large(const JobSpec& spec) const {
+bool ClusterState::large(const JobSpec& spec) const {
     if (spec.kind == JobKind::Gang) return true;
     bool any = false;
     for (Index t = 0; t < types.size(); ++t) {
         if (!type_fits(spec, t)) continue;
         any = true;
-        if (spec.need.times_in(types[t].type.size) > 1) return false;
+        if (spec.demand.times_in(types[t].type.size) > 1) return false;
     }
     return any;
 }
 
-bool Tables::type_fits(const JobSpec& spec, Index type) const {
+bool ClusterState::type_fits(const JobSpec& spec, Index type) const {
     if (type >= types.size() || !types[type].offered) return false;
     if (!spec.types.empty() &&
         std::find(spec.types.begin(), spec.types.end(), type) == spec.types.end())
         return false;
-    return spec.need.fits_in(types[type].type.size);
+    return spec.demand.fits_in(types[type].type.size);
 }
 
-const char* Tables::never_runs(const JobSpec& spec) const {
+const char* ClusterState::never_runs(const JobSpec& spec) const {
     if (spec.team == kNone) return "unknown team";
     bool fits = false, zone_ok = spec.zone == kNone;
     for (Index t = 0; t < types.size(); ++t) {
@@ -499,13 +499,13 @@
             if (names.zones.find(z) == spec.zone) zone_ok = true;
     }
     if (!fits || !zone_ok) return "a task fits no allowed machine type";
-    auto all = spec.kind == JobKind::Array ? spec.need : spec.need * spec.tasks;
+    auto all = spec.kind == JobKind::Array ? spec.demand : spec.demand * spec.tasks;
     auto& limit = teams[spec.team].limit;
     bool over = (limit.cpu && all.cpu > limit.cpu) || (limit.gpu && all.gpu > limit.gpu);
     return over ? "more than the team's limit" : nullptr;
 }
 
-bool Tables::machine_allowed(const JobSpec& spec, const Machine& m) const {
+bool ClusterState::machine_allowed(const JobSpec& spec, const Machine& m) const {
     if (m.spot && !spec.spot) return false;
     if (spec.zone != kNone && spec.zone != m.zone) return false;
     return type_fits(spec, m.type);
@@ -517,29 +517,29 @@
 }
 }  // namespace
 
-bool Tables::below_limit(const Team& team, const Resources& use) const {
+bool ClusterState::below_limit(const Team& team, const Resources& use) const {
     return under(team.limit, use);
 }
 
-bool Tables::within_limit(const Team& team, const Resources& extra) const {
+bool ClusterState::within_limit(const Team& team, const Resources& extra) const {
     return below_limit(team, team.used + extra);
 }
 
-bool Tables::within_guarantee(const Team& team, const Resources& extra) const {
+bool ClusterState::within_guarantee(const Team& team, const Resources& extra) const {
     // No guarantee at all means nothing is owed.
     return covers(team.guarantee, team.used + extra, extra);
 }
 
-bool Tables::over_guarantee(const Team& team, const Resources& each) const {
+bool ClusterState::over_guarantee(const Team& team, const Resources& each) const {
     return !covers(team.guarantee, team.used, each);
 }
 
-double Tables::report_due_s(const Machine& m, double now) const {
+double ClusterState::report_due_s(const Machine& m, double now) const {
     double due = m.last_report + report_s_ - now;
     return due > -0.3 * report_s_ ? due : 1e9;
 }
 
-bool Tables::refused(Index type, Index zone, bool spot, double now) const {
+bool ClusterState::refused(Index type, Index zone, bool spot, double now) const {
     return std::any_of(refusals.begin(), refusals.end(), [&](auto& r) {
         return r.first > now && r.second == Refusal{type, zone, spot};
     });
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -164,9 +164,9 @@
     auto operator<=>(const Refusal&) const = default;
 };
 
-class Tables {
+class ClusterState {
   public:
-    explicit Tables(const Settings& settings);
+    explicit ClusterState(const Settings& settings);
 
     Names names;
     std::vector<Team> teams;      // by team index
@@ -188,7 +188,7 @@
     // Of the dependencies that it was added with, those that are in the tables; the others have
     // ended.
     void set_dependencies(Index job, const std::vector<Index>& on, double now);
-    const Dependencies& dependencies() const { return dependencies_; }
+    const DependencyGraph& dependencies() const { return dependencies_; }
     // The job's cancellation is recorded, and so it is that of all who need it: they may be told.
     // Those that were not cancelled already; the recorded ones of them are to get entries of their
     // own.
@@ -212,7 +212,7 @@
 
     // The only three ways a task changes its place. Each is to be recorded.
     void place(Index job, uint32_t task, Index machine, uint32_t attempt, double now);
-    void vacate(Index job, uint32_t task, double now);
+    void unassign(Index job, uint32_t task, double now);
     void finish(Index job, uint32_t task, double now);
     // While a fresh leader reads the records: raw values, put in order for each job by the last
     // call.
@@ -281,7 +281,7 @@
     bool take_needs(Index job);
     void spread_needs_from(Index job);
     double stage_s(const JobSpec& spec) const;
-    Dependencies dependencies_;
+    DependencyGraph dependencies_;
     double report_s_;
     std::vector<float> image_gb_;  // by image index, as the newest job that uses it has it
 
--- a/src/coordination/account.cpp
+++ b/src/coordination/account.cpp
@@ -33,13 +33,13 @@
 
 }  // namespace
 
-RoomAccount account_room(const Tables& tables, const Usable& usable, double now) {
+RoomAccount account_room(const ClusterState& cluster, const Usable& usable, double now) {
     RoomAccount out;
-    for (auto& m : tables.machines) {
+    for (auto& m : cluster.machines) {
         if (!m || m->size == Resources{}) continue;
         for (auto& ref : m->tasks) {
-            auto& job = *tables.jobs[ref.job];
-            out[taken_by(job.tasks[ref.task])] += job.spec.need;
+            auto& job = *cluster.jobs[ref.job];
+            out[taken_by(job.tasks[ref.task])] += job.spec.demand;
         }
         out[free_as(*m, usable, now)] += m->room();
     }
--- a/src/coordination/account.h
+++ b/src/coordination/account.h
@@ -34,7 +34,7 @@
     Resources& operator[](RoomIs is) { return room[static_cast<size_t>(is)]; }
     const Resources& operator[](RoomIs is) const { return room[static_cast<size_t>(is)]; }
 };
-RoomAccount account_room(const Tables& tables, const Usable& usable, double now);
+RoomAccount account_room(const ClusterState& cluster, const Usable& usable, double now);
 
 // One line: GPUs where there are any, else CPUs, by kind, those that are not zero.
 std::string account_text(const RoomAccount& account);
--- a/src/coordination/begin/begin.cpp
+++ b/src/coordination/begin/begin.cpp
@@ -12,35 +12,35 @@
 constexpr double kLate = 0.7;
 }  // namespace
 
-std::vector<Index> late_to_begin(const Tables& tables, double within_s, double now) {
+std::vector<Index> late_to_begin(const ClusterState& cluster, double within_s, double now) {
     std::vector<Index> out;
     if (within_s <= 0) return out;
-    for (Index j = 0; j < tables.jobs.size(); ++j) {
-        auto* job = tables.jobs[j].get();
+    for (Index j = 0; j < cluster.jobs.size(); ++j) {
+        auto* job = cluster.jobs[j].get();
         if (!job || !job->active() || job->waits || job->placed + job->done > 0 ||
             job->not_before > now)
             continue;
         if (now - job->came_at() > kLate * within_s) out.push_back(j);
     }
     std::sort(out.begin(), out.end(), [&](Index a, Index b) {
-        auto &x = *tables.jobs[a], &y = *tables.jobs[b];
+        auto &x = *cluster.jobs[a], &y = *cluster.jobs[b];
         return std::make_pair(x.came_at(), a) < std::make_pair(y.came_at(), b);
     });
     return out;
 }
 
-std::vector<Index> gather_machines(const Tables& tables, const Usable& usable, Index j,
+std::vector<Index> gather_machines(const ClusterState& cluster, const Usable& usable, Index j,
                                    double now) {
-    auto& job = *tables.jobs[j];
-    auto& need = job.spec.need;
-    if (!tables.within_limit(tables.teams[job.spec.team], need * job.pending)) return {};
+    auto& job = *cluster.jobs[j];
+    auto& demand = job.spec.demand;
+    if (!cluster.within_limit(cluster.teams[job.spec.team], demand * job.pending)) return {};
     std::map<Index, std::vector<Index>> by_zone;  // of a gang that may lie anywhere, all in one
-    ZoneRule rule(tables, job);
-    for (Index i = 0; i < tables.machines.size(); ++i) {
-        auto* m = tables.machines[i].get();
-        if (!m || !m->tasks.empty() || !usable(*m) || !tables.machine_allowed(job.spec, *m))
+    ZoneRule rule(cluster, job);
+    for (Index i = 0; i < cluster.machines.size(); ++i) {
+        auto* m = cluster.machines[i].get();
+        if (!m || !m->tasks.empty() || !usable(*m) || !cluster.machine_allowed(job.spec, *m))
             continue;
-        if (tables.spares_gpus(job.spec, m->type) || need.times_in(m->size) != 1 ||
+        if (cluster.spares_gpus(job.spec, m->type) || demand.times_in(m->size) != 1 ||
             !rule.allows(m->zone))
             continue;
         if (m->reserved(now) && m->reserved_for != j) continue;
--- a/src/coordination/fit_queues.cpp
+++ b/src/coordination/fit_queues.cpp
@@ -16,17 +16,17 @@
 bool together(const JobSpec& spec) { return spec.kind == JobKind::Gang && spec.tasks > 1; }
 }  // namespace
 
-Fit fit(const Tables& tables, const Job& job, Index index, double now) {
-    auto& m = *tables.machines[index];
-    auto left = m.room() - job.spec.need;
-    bool wasted_gpus = job.spec.need.gpu == 0 && m.size.gpu > 0;
-    int64_t rest = job.spec.need.gpu > 0 ? left.gpu : left.cpu;
+Fit fit(const ClusterState& cluster, const Job& job, Index index, double now) {
+    auto& m = *cluster.machines[index];
+    auto left = m.room() - job.spec.demand;
+    bool wasted_gpus = job.spec.demand.gpu == 0 && m.size.gpu > 0;
+    int64_t rest = job.spec.demand.gpu > 0 ? left.gpu : left.cpu;
     bool whole = together(job.spec);
     return {wasted_gpus,       job.failed_on.size() && job.failed_on.count(index) > 0,
             m.tasks.empty(),   rest,
             whole && m.spot,   !m.has_image(job.spec.image),
             !whole && !m.spot, left.cpu,
-            left.mem,          tables.report_due_s(m, now)};
+            left.mem,          cluster.report_due_s(m, now)};
 }
 
 int64_t FitQueue::room(Index zone) const {
@@ -40,17 +40,17 @@
     return sum;
 }
 
-FitQueues::FitQueues(const Tables& tables, std::vector<Index> open,
+FitQueues::FitQueues(const ClusterState& cluster, std::vector<Index> open,
                      const std::vector<Index>& waiting, double now)
-    : tables_(tables),
+    : cluster_(cluster),
       now_(now),
       open_(std::move(open)),
-      stamp_(tables.machines.size(), 0),
-      kind_of_(tables.jobs.size(), 0) {
+      stamp_(cluster.machines.size(), 0),
+      kind_of_(cluster.jobs.size(), 0) {
     std::map<Kind, uint32_t> kinds;
     for (auto j : waiting) {
         auto [it, added] =
-            kinds.emplace(kind(tables.jobs[j]->spec), static_cast<uint32_t>(asking_.size()));
+            kinds.emplace(kind(cluster.jobs[j]->spec), static_cast<uint32_t>(asking_.size()));
         if (added) asking_.push_back(0);
         kind_of_[j] = it->second;
         ++asking_[it->second];
@@ -58,11 +58,12 @@
 }
 
 FitQueues::Kind FitQueues::kind(const JobSpec& s) {
-    return {s.need.cpu, s.need.gpu, s.need.mem, s.zone, s.spot, together(s), s.image, s.types};
+    return {s.demand.cpu, s.demand.gpu, s.demand.mem, s.zone,
+            s.spot,       together(s),  s.image,      s.types};
 }
 
 FitQueue& FitQueues::of(Index index, bool near) {
-    auto& job = *tables_.jobs[index];
+    auto& job = *cluster_.jobs[index];
     auto kind = kind_of_[index];
     // Machines on which the job has failed come last for this job alone.
     if (asking_[kind] < 2 || !job.failed_on.empty()) {
@@ -86,21 +87,21 @@
 }
 
 void FitQueues::admit(FitQueue& queue, const Job& job, Index i) const {
-    auto& m = *tables_.machines[i];
+    auto& m = *cluster_.machines[i];
     int64_t times = 0;
-    if (job.spec.need.fits_in(m.room()) && tables_.machine_allowed(job.spec, m) &&
-        (!queue.near_ || image_near(tables_, m, job.spec.image)))
-        times = job.spec.need.times_in(m.room());
+    if (job.spec.demand.fits_in(m.room()) && cluster_.machine_allowed(job.spec, m) &&
+        (!queue.near_ || image_near(cluster_, m, job.spec.image)))
+        times = job.spec.demand.times_in(m.room());
     if (times == 0 && queue.times_[i] == 0) return;
     auto& zone = queue.zones_[m.zone];
     zone.room += times - queue.times_[i];
     queue.times_[i] = times;
-    if (times > 0) zone.heap.push_back({fit(tables_, job, i, now_), i, stamp_[i]});
+    if (times > 0) zone.heap.push_back({fit(cluster_, job, i, now_), i, stamp_[i]});
 }
 
 void FitQueues::build(FitQueue& queue, const Job& job) const {
     queue.zones_.clear();
-    queue.times_.assign(tables_.machines.size(), 0);
+    queue.times_.assign(cluster_.machines.size(), 0);
     queue.read_ = log_.size();
     for (auto i : open_) admit(queue, job, i);
     for (auto& [z, zone] : queue.zones_) {
@@ -116,7 +117,7 @@
     for (; queue.read_ < log_.size(); ++queue.read_) {
         auto i = log_[queue.read_];
         if (stamp_[i] != queue.read_ + 1) continue;  // it comes again later
-        auto& zone = queue.zones_[tables_.machines[i]->zone];
+        auto& zone = queue.zones_[cluster_.machines[i]->zone];
         auto before = zone.heap.size();
         admit(queue, job, i);
         if (zone.heap.size() > before)
--- a/src/coordination/fit_queues.h
+++ b/src/coordination/fit_queues.h
@@ -25,7 +25,7 @@
 // Among equals, one that reports soon: until then a task can't start, and a gang waits for the last
 // of its own.
 using Fit = std::tuple<bool, bool, bool, int64_t, bool, bool, bool, int64_t, int64_t, double>;
-Fit fit(const Tables& tables, const Job& job, Index machine, double now);
+Fit fit(const ClusterState& cluster, const Job& job, Index machine, double now);
 
 class FitQueue {
   public:
@@ -63,8 +63,8 @@
   public:
     // `open`: machines that may be given tasks, ascending; `waiting`: the jobs that will ask, whose
     // kinds are counted.
-    FitQueues(const Tables& tables, std::vector<Index> open, const std::vector<Index>& waiting,
-              double now);
+    FitQueues(const ClusterState& cluster, std::vector<Index> open,
+              const std::vector<Index>& waiting, double now);
 
     // The queue for tasks of the job as room stands now. `near`: only of machines where the image
     // is, or is being fetched. Valid until the next call.
@@ -99,7 +99,7 @@
     void catch_up(FitQueue& queue, const Job& job) const;
     void admit(FitQueue& queue, const Job& job, Index machine) const;
 
-    const Tables& tables_;
+    const ClusterState& cluster_;
     double now_;
     std::vector<Index> open_;
     std::vector<Index> log_;         // machines, in the order in which room was taken
--- a/src/coordination/front.cpp
+++ b/src/coordination/front.cpp
@@ -65,7 +65,7 @@
     hooks.workers = [this] {
         double now = steady_now();
         if (leader_ && leader_->ready())
-            return leader_links(leader_->tables(), membership_->times(), settings_.lease_s, now);
+            return leader_links(leader_->cluster(), membership_->times(), settings_.lease_s, now);
         LinkReport r;
         r.direct = roster_.stranded(leader_token(), membership_->times().cycle_s, now);
         return r;
--- a/src/coordination/gangs/gather.h
+++ b/src/coordination/gangs/gather.h
@@ -9,7 +9,7 @@
 // from then on and gives up after `gang_wait_s`; those on machines that have still to fetch it go
 // first, and the others follow once the slowest of them will surely be there in time. Seconds, as
 // in the settings.
-bool may_launch(const Tables& tables, const Job& job, uint32_t task, double gang_wait_s,
+bool may_launch(const ClusterState& cluster, const Job& job, uint32_t task, double gang_wait_s,
                 double report_s, double now);
 
 }  // namespace weirmill
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -39,8 +39,8 @@
       metrics_(metrics),
       tenure_(std::move(tenure)),
       mailbox_(io, kMailbox),
-      tables_(settings),
-      ledger_(tables_, tenure_->token, {settings.txn_ops, settings.value_kb}),
+      cluster_(settings),
+      state_log_(cluster_, tenure_->token, {settings.txn_ops, settings.value_kb}),
       random_(std::random_device{}()),
       // A share is left to renewals and to what other controllers ask for.
       writes_(settings.state_write_rps * 0.9, 0.8),
@@ -83,25 +83,25 @@
 
 void Leader::gauges(std::map<std::string, double>& out) const {
     size_t up = 0, deaf = 0, placed = 0, pending = 0;
-    for (auto& m : tables_.machines) {
+    for (auto& m : cluster_.machines) {
         up += m && m->up;
         deaf += m && m->up && m->hearing.deaf();
     }
-    for (auto& job : tables_.jobs) {
+    for (auto& job : cluster_.jobs) {
         if (!job) continue;
         placed += job->placed;
         pending += job->pending;
     }
-    out["jobs_waiting"] = static_cast<double>(tables_.dependencies().waiting());
-    out["jobs"] = static_cast<double>(tables_.job_index.size());
-    out["machines"] = static_cast<double>(tables_.machine_index.size());
+    out["jobs_waiting"] = static_cast<double>(cluster_.dependencies().waiting());
+    out["jobs"] = static_cast<double>(cluster_.job_index.size());
+    out["machines"] = static_cast<double>(cluster_.machine_index.size());
     out["machines_up"] = static_cast<double>(up);
     out["machines_deaf"] = static_cast<double>(deaf);
     out["tasks_placed"] = static_cast<double>(placed);
     out["tasks_pending"] = static_cast<double>(pending);
     out["queues_pressed"] = static_cast<double>(forecast_.pressed());
-    account_gauges(account_room(tables_, usable_now(), now_), out);
-    starved_gauges(starved_jobs(tables_, usable_now(), now_, kStarvedAfter_s), out);
+    account_gauges(account_room(cluster_, usable_now(), now_), out);
+    starved_gauges(starved_jobs(cluster_, usable_now(), now_, kStarvedAfter_s), out);
 }
 
 PeerReply Leader::come_back(int seconds) const {
@@ -135,19 +135,19 @@
     if (stopped_) co_return;
     now_ = steady_now();
     // A predecessor's rentals may not be listed yet: without waiting, they would be rented again.
-    if (!tables_.jobs.empty()) rent_not_before_ = tenure_->won + 2 * settings_.list_lag_s;
+    if (!cluster_.jobs.empty()) rent_not_before_ = tenure_->won + 2 * settings_.list_lag_s;
     next_round_ = now_ + properties_.preemption_round_s / 2;
     ready_ = true;
     spdlog::info("leader: ready token={} jobs={} machines={}", tenure_->token,
-                 tables_.job_index.size(), tables_.machine_index.size());
-    for (Index j = 0; j < tables_.jobs.size(); ++j) {
-        if (!tables_.jobs[j]) continue;
-        auto& job = *tables_.jobs[j];
+                 cluster_.job_index.size(), cluster_.machine_index.size());
+    for (Index j = 0; j < cluster_.jobs.size(); ++j) {
+        if (!cluster_.jobs[j]) continue;
+        auto& job = *cluster_.jobs[j];
         job.seen_at = now_ - std::max(0.0, wall_now() - job.submitted);
         job.ready_at = now_ - std::max(0.0, wall_now() - job.ready);
         check_job(j);
     }
-    tables_.spread_needs();
+    cluster_.spread_needs();
     if (!inbox->events.empty())
         spdlog::info("leader: {} door records to collect", inbox->events.size());
     handle(*inbox);
@@ -169,11 +169,11 @@
 
 // Single records first, the head of the log among them, then its segments, page by page.
 asio::awaitable<bool> Leader::load() {
-    tables_.clear_work();
-    ledger_.clear();
+    cluster_.clear_work();
+    state_log_.clear();
     double started = steady_now();
     size_t segments = 0;
-    for (const std::string& prefix : {kRoundKey, kTypesKey, kLogKey, kSegments, kOldJobs}) {
+    for (const std::string& prefix : {kRoundKey, kTypesKey, kLogKey, kSegmentPrefix, kOldJobs}) {
         std::string after;
         for (bool more = true; more;) {
             auto page = co_await kv_.list(prefix, after, kSegmentsAPage, 3);
@@ -188,17 +188,17 @@
                 after = item.key;
                 try {
                     if (item.key == kRoundKey) {
-                        ledger_.load_note(item.key, item.version);
+                        state_log_.load_note(item.key, item.version);
                         rounds_ = read::count(read::object(item.value), "number", 0);
                     } else if (item.key == kTypesKey) {
-                        ledger_.load_note(item.key, item.version);
+                        state_log_.load_note(item.key, item.version);
                         recorded_types_ = boost::json::serialize(item.value);
-                        if (!tables_.types_known)
-                            tables_.set_types(parse_machine_types(recorded_types_));
+                        if (!cluster_.types_known)
+                            cluster_.set_types(parse_machine_types(recorded_types_));
                     } else if (item.key == kLogKey) {
-                        ledger_.load_head(item);
-                    } else if (prefix == kSegments) {
-                        ledger_.load_segment(item, steady_now());
+                        state_log_.load_head(item);
+                    } else if (prefix == kSegmentPrefix) {
+                        state_log_.load_segment(item, steady_now());
                         ++segments;
                     } else if (prefix == kOldJobs) {
                         throw BadMessage(
@@ -213,7 +213,7 @@
             }
         }
     }
-    ledger_.loaded(steady_now());
+    state_log_.loaded(steady_now());
     spdlog::info("leader: read {} segments in {:.2f}s", segments, steady_now() - started);
     co_return true;
 }
@@ -240,11 +240,11 @@
     }
     if (now_ >= next_sizing_) {
         next_sizing_ = now_ + 1.0;
-        if (properties_.overload_enabled) forecast_.observe(tables_, now_);
+        if (properties_.overload_enabled) forecast_.observe(cluster_, now_);
         size_fleet();
         if (spdlog::should_log(spdlog::level::debug) && now_ >= next_account_) {
             next_account_ = now_ + kAccount_s;
-            spdlog::debug("room: {}", account_text(account_room(tables_, usable_now(), now_)));
+            spdlog::debug("room: {}", account_text(account_room(cluster_, usable_now(), now_)));
             for (auto& [key, q] : forecast_.queues())
                 if (q.jobs > 0)
                     spdlog::debug(
@@ -252,8 +252,8 @@
                         "use, "
                         "{:.0f} left, "
                         "drains in {:.0f}s of {:.0f}s",
-                        tables_.names.classes.name(key.job_class),
-                        tables_.names.teams.name(key.team), q.jobs, q.give_up, q.in_use, q.left,
+                        cluster_.names.classes.name(key.job_class),
+                        cluster_.names.teams.name(key.team), q.jobs, q.give_up, q.in_use, q.left,
                         q.drain_s, q.within_s);
         }
         dirty_ = true;  // back-offs and quarantines end with time alone
@@ -278,7 +278,7 @@
 // Records that are under way or waiting are written first: the next leader would else do the work
 // again.
 void Leader::settle() {
-    if ((flushing_ || ledger_.waiting()) && now_ < settle_until_) return;
+    if ((flushing_ || state_log_.waiting()) && now_ < settle_until_) return;
     auto settled = std::exchange(settled_, nullptr);
     settled();
 }
@@ -292,40 +292,41 @@
     ++passes_;
     std::vector<Index> late;
     if (properties_.overload_enabled)
-        late = late_to_begin(tables_, properties_.begin_within_s, now_);
-    place_waiting(tables_, usable_now(), now_, kMostPlaced, spares(tables_, sizing(), now_), late);
+        late = late_to_begin(cluster_, properties_.begin_within_s, now_);
+    place_waiting(cluster_, usable_now(), now_, kMostPlaced, spares(cluster_, sizing(), now_),
+                  late);
     // For one gang at a time, the one that waits the longest.
     auto gang = std::find_if(late.begin(), late.end(), [&](Index j) {
-        return tables_.jobs[j]->spec.kind == JobKind::Gang && tables_.jobs[j]->placed == 0;
+        return cluster_.jobs[j]->spec.kind == JobKind::Gang && cluster_.jobs[j]->placed == 0;
     });
     if (gang == late.end()) return;
-    for (auto i : gather_machines(tables_, usable_now(), *gang, now_)) {
-        tables_.machines[i]->reserved_for = *gang;
-        tables_.machines[i]->reserved_until = now_ + kGather_s;
+    for (auto i : gather_machines(cluster_, usable_now(), *gang, now_)) {
+        cluster_.machines[i]->reserved_for = *gang;
+        cluster_.machines[i]->reserved_until = now_ + kGather_s;
     }
 }
 
 void Leader::preempt() {
     if (!decides()) return;
-    auto round = plan_preemption(tables_, usable_now(), now_);
+    auto round = plan_preemption(cluster_, usable_now(), now_);
     if (round.clearings.empty()) return;
     ++rounds_;
     metrics_.count("preemption_rounds_total");
     metrics_.count("preemption_stops_total", round.stops.size());
-    ledger_.note(kRoundKey, round_record(round, tables_, rounds_));
+    state_log_.note(kRoundKey, round_record(round, cluster_, rounds_));
     for (auto& c : round.clearings) {
         for (auto* machines : {&c.machines, &c.kept})
             for (auto i : *machines) {
-                tables_.machines[i]->reserved_for = c.job;
-                tables_.machines[i]->reserved_until =
+                cluster_.machines[i]->reserved_for = c.job;
+                cluster_.machines[i]->reserved_until =
                     now_ + 2 * properties_.preemption_round_s + settings_.lease_s;
             }
         spdlog::info("preemption: round={} job={} machines={} kept={} stops={}", rounds_,
-                     tables_.jobs[c.job]->spec.id, c.machines.size(), c.kept.size(),
+                     cluster_.jobs[c.job]->spec.id, c.machines.size(), c.kept.size(),
                      round.stops.size());
     }
     for (auto& ref : round.stops) {
-        auto& task = tables_.jobs[ref.job]->tasks[ref.task];
+        auto& task = cluster_.jobs[ref.job]->tasks[ref.task];
         if (task.state == TaskState::Placed && !task.stopping) stop_task(ref.job, ref.task, true);
     }
 }
--- a/src/coordination/leader.h
+++ b/src/coordination/leader.h
@@ -23,7 +23,7 @@
 
 // What a stop allows the task: time to save, with some to spare, or none.
 inline double stop_grace_s(const Job& job, const Task& task) {
-    return task.graceful ? job.spec.save_s * 1.25 + 1 : 0;
+    return task.graceful ? job.spec.checkpoint_duration_s * 1.25 + 1 : 0;
 }
 
 // Sends commands straight to a worker. False: it did not answer, and may carry them out or not.
@@ -49,7 +49,7 @@
 
     // Settles what is under way and starts nothing more, then calls `settled`.
     void hand_over(std::function<void()> settled);
-    const Tables& tables() const { return tables_; }
+    const ClusterState& cluster() const { return cluster_; }
     // Passes a call on to the controller with this name, for workers whose reports it relays.
     std::function<boost::asio::awaitable<bool>(std::string, PeerCall)> pass_on;
 
@@ -71,7 +71,7 @@
         PeerReply refusal;  // the answer should there be no final state
     };
     struct TxnDone {
-        LedgerBatch batch;
+        StateLogBatch batch;
         KvResult<uint64_t> result;
     };
     struct TxnUnsure {};
@@ -121,7 +121,7 @@
     boost::asio::awaitable<void> run(std::shared_ptr<Leader> self);
     boost::asio::awaitable<bool> load();
     boost::asio::awaitable<void> tick_loop(std::shared_ptr<Leader> self);
-    boost::asio::awaitable<void> commit(std::shared_ptr<Leader> self, LedgerBatch batch);
+    boost::asio::awaitable<void> commit(std::shared_ptr<Leader> self, StateLogBatch batch);
     struct Applied {
         bool known = false, yes = false;
         uint64_t version = 0;
@@ -201,7 +201,7 @@
     void collect_again(const DependenciesRead& m);
     void told(const std::string& id, bool recorded);
     void forget(const std::string& id);
-    void forgotten(const LedgerEntry& e);
+    void forgotten(const StateLogEntry& e);
     uint64_t door_version(const std::string& id) const;
     std::optional<FinalState> final_state(const KvItem& item) const;
     void drop_new_job(Index job);
@@ -230,7 +230,7 @@
     void size_fleet();
     SizingSettings sizing() const;
     void flush();
-    void mark_ends(const LedgerBatch& batch, bool sent);
+    void mark_ends(const StateLogBatch& batch, bool sent);
     void flush_stops();
     void repeat_stops();
     bool usable(const Machine& m) const;
@@ -259,8 +259,8 @@
     Metrics& metrics_;
     std::shared_ptr<Tenure> tenure_;
     Mailbox mailbox_;
-    Tables tables_;
-    Ledger ledger_;
+    ClusterState cluster_;
+    StateLog state_log_;
     Forecast forecast_;
     std::mt19937_64 random_;
     size_t asked_ = 0, asked_bytes_ = 0;  // requests in the mailbox
--- a/src/coordination/leader_fleet.cpp
+++ b/src/coordination/leader_fleet.cpp
@@ -25,11 +25,11 @@
 
 // Everything on the machine is proven gone.
 void Leader::machine_gone(Index index, const char* why) {
-    auto& m = *tables_.machines[index];
+    auto& m = *cluster_.machines[index];
     spdlog::info("machine: {} gone, {} tasks={}", m.name, why, m.tasks.size());
     auto tasks = m.tasks;
     for (auto& ref : tasks)
-        if (tables_.jobs[ref.job]->tasks[ref.task].machine == index) lose_task(ref.job, ref.task);
+        if (cluster_.jobs[ref.job]->tasks[ref.task].machine == index) lose_task(ref.job, ref.task);
     if (auto it = held_.find(index); it != held_.end()) {
         it->second.reply.set({503, "{}"});
         held_.erase(it);
@@ -40,21 +40,21 @@
 
 // Until a machine rented in place of this one would do the same work.
 double Leader::replacement_s(const Machine& m, bool cut_off) const {
-    if (m.type >= tables_.types.size() || !tables_.types[m.type].offered) return 0;
-    return (cut_off ? kCutBoots : kAloneBoots) * tables_.boot_factor *
-           tables_.types[m.type].type.boot_s;
+    if (m.type >= cluster_.types.size() || !cluster_.types[m.type].offered) return 0;
+    return (cut_off ? kCutBoots : kAloneBoots) * cluster_.boot_factor *
+           cluster_.types[m.type].type.boot_s;
 }
 
 void Leader::check_machines() {
     if (past_grace()) deaf_at_ = now_;
-    auto cut = silent_zones(tables_, usable_now());
+    auto cut = silent_zones(cluster_, usable_now());
     size_t deaf = 0, up = 0;
-    for (auto& m : tables_.machines) {
+    for (auto& m : cluster_.machines) {
         up += m && m->up;
         deaf += m && m->up && m->hearing.deaf();
     }
-    for (Index i = 0; i < tables_.machines.size(); ++i) {
-        auto* m = tables_.machines[i].get();
+    for (Index i = 0; i < cluster_.machines.size(); ++i) {
+        auto* m = cluster_.machines[i].get();
         if (!m) continue;
         // Until its lease has surely run out, whatever was placed there may be running.
         bool expired = now_ > lease_end(settings_, *m, tenure_->won);
@@ -92,7 +92,7 @@
                             : now_ - m->added > std::max(60.0, 6 * settings_.list_lag_s);
             if (lost) {
                 spdlog::info("machine: {} no longer known", m->name);
-                tables_.remove_machine(i);
+                cluster_.remove_machine(i);
                 continue;
             }
         }
@@ -106,18 +106,18 @@
             m->doomed = true;
         }
         if (!m->up && m->status == MachineStatus::Booting && !m->doomed &&
-            m->type < tables_.types.size() && tables_.types[m->type].offered &&
-            now_ - m->rented > 3 * tables_.types[m->type].type.boot_s + 5) {
-            tables_.learn_boot(m->type, now_ - m->rented);
+            m->type < cluster_.types.size() && cluster_.types[m->type].offered &&
+            now_ - m->rented > 3 * cluster_.types[m->type].type.boot_s + 5) {
+            cluster_.learn_boot(m->type, now_ - m->rented);
             spdlog::info("machine: {} given up after booting {:.0f}s", m->name, now_ - m->rented);
             m->doomed = true;
         }
         if (m->missing && m->doomed && m->tasks.empty() && !m->returning) {
-            tables_.remove_machine(i);
+            cluster_.remove_machine(i);
         }
     }
     std::erase_if(gone_, [&](auto& g) { return now_ - g.second > 600; });
-    std::erase_if(tables_.refusals, [&](auto& r) { return r.first <= now_; });
+    std::erase_if(cluster_.refusals, [&](auto& r) { return r.first <= now_; });
 }
 
 // Recorded, so that the next leader can decide about submissions while the cloud does not answer.
@@ -129,9 +129,9 @@
     if (shape != recorded_shape_ && record != recorded_types_ &&
         record.size() < settings_.value_kb * 1024) {
         recorded_shape_ = shape;
-        ledger_.note(kTypesKey, record);
+        state_log_.note(kTypesKey, record);
     }
-    tables_.set_types(std::move(m.types));
+    cluster_.set_types(std::move(m.types));
 }
 
 void Leader::handle(ListRead& list) {
@@ -140,16 +140,16 @@
     for (auto& l : list.machines) {
         if (gone_.count(l.name)) continue;
         seen.insert(l.name);
-        bool fresh = tables_.find_machine(l.name) == kNone;
-        auto index = tables_.add_machine(l.name, now_);
-        auto& m = *tables_.machines[index];
+        bool fresh = cluster_.find_machine(l.name) == kNone;
+        auto index = cluster_.add_machine(l.name, now_);
+        auto& m = *cluster_.machines[index];
         if (fresh) spdlog::debug("machine: {} found in the list", l.name);
         if (!m.listed) m.rented = std::min(m.rented, now_ - l.age_s);
         m.listed = true;
         m.missing = false;
         if (m.addr.empty()) m.addr = l.addr;
         if (m.type == kNone || m.size == Resources{})
-            tables_.describe_machine(m, l.type, l.zone, l.spot);
+            cluster_.describe_machine(m, l.type, l.zone, l.spot);
         if (l.status == MachineStatus::Failed && m.status != MachineStatus::Failed) {
             m.status = MachineStatus::Failed;
             machine_gone(index, "failed");
@@ -158,7 +158,7 @@
             m.status = MachineStatus::Running;
         }
     }
-    for (auto& m : tables_.machines) {
+    for (auto& m : cluster_.machines) {
         if (!m || !m->listed || seen.count(m->name) || m->missing) continue;
         m->missing = true;
         m->missing_since = now_;
@@ -175,13 +175,13 @@
 }
 
 void Leader::size_fleet() {
-    if (!tables_.types_known || !listed_once_ || !decides()) return;
+    if (!cluster_.types_known || !listed_once_ || !decides()) return;
     if (!returning_) {
-        auto idle = plan_returns(tables_, sizing(), now_);
+        auto idle = plan_returns(cluster_, sizing(), now_);
         std::vector<std::string> names;
         for (auto i : idle) {
             if (names.size() == 100) break;
-            auto& m = *tables_.machines[i];
+            auto& m = *cluster_.machines[i];
             m.returning = true;
             names.push_back(m.name);
         }
@@ -193,8 +193,8 @@
     auto can_use = usable_now();
     if (now_ >= next_closing_) {
         next_closing_ = now_ + kClosingPause_s;
-        if (auto i = plan_closing(tables_, can_use, now_); i != kNone) {
-            auto& m = *tables_.machines[i];
+        if (auto i = plan_closing(cluster_, can_use, now_); i != kNone) {
+            auto& m = *cluster_.machines[i];
             spdlog::info("machine: {} closed, {} tasks move", m.name, m.tasks.size());
             m.closing = true;
             auto tasks = m.tasks;
@@ -202,7 +202,7 @@
         }
     }
     if (!renting_ && now_ >= rent_not_before_) {
-        auto rentals = plan_rentals(tables_, can_use, sizing(), now_);
+        auto rentals = plan_rentals(cluster_, can_use, sizing(), now_);
         if (!rentals.empty()) {
             renting_ = true;
             asio::co_spawn(io_, rent(shared_from_this(), std::move(rentals)), asio::detached);
@@ -211,20 +211,20 @@
 }
 
 void Leader::handle(Rented& r) {
-    auto& type = tables_.names.types.name(r.rental.type);
-    auto& zone = tables_.names.zones.name(r.rental.zone);
+    auto& type = cluster_.names.types.name(r.rental.type);
+    auto& zone = cluster_.names.zones.name(r.rental.zone);
     spdlog::info("cloud: rented {}/{} of {} in {} spot={}", r.names.size(), r.rental.count, type,
                  zone, r.rental.spot);
     metrics_.count("machines_rented_total", r.names.size());
     for (auto& name : r.names) {
         if (gone_.count(name)) continue;
-        auto& m = *tables_.machines[tables_.add_machine(name, now_)];
-        if (m.type == kNone) tables_.describe_machine(m, type, zone, r.rental.spot);
+        auto& m = *cluster_.machines[cluster_.add_machine(name, now_)];
+        if (m.type == kNone) cluster_.describe_machine(m, type, zone, r.rental.spot);
         m.hired = true;
     }
     if (r.names.size() < static_cast<size_t>(r.rental.count))
-        tables_.refusals.push_back({now_ + std::uniform_real_distribution<double>(12, 18)(random_),
-                                    {r.rental.type, r.rental.zone, r.rental.spot}});
+        cluster_.refusals.push_back({now_ + std::uniform_real_distribution<double>(12, 18)(random_),
+                                     {r.rental.type, r.rental.zone, r.rental.spot}});
 }
 
 void Leader::handle(RentPassDone&) {
@@ -235,16 +235,16 @@
 void Leader::handle(Returned& r) {
     returning_ = false;
     for (auto& name : r.names) {
-        auto index = tables_.find_machine(name);
+        auto index = cluster_.find_machine(name);
         if (r.done) gone_[name] = now_;
         if (index == kNone) continue;
         if (!r.done) {
-            tables_.machines[index]->returning = false;
-            tables_.machines[index]->doomed = true;
+            cluster_.machines[index]->returning = false;
+            cluster_.machines[index]->doomed = true;
             continue;
         }
         machine_gone(index, "returned");
-        tables_.remove_machine(index);
+        cluster_.remove_machine(index);
     }
 }
 
@@ -314,8 +314,8 @@
         // Unique for ever: no other leader has this token, and no other rental of this leader this
         // number.
         auto request = fmt::format("w{}-{}", tenure_->token, ++hires_);
-        auto body = rental_json(request, tables_.names.types.name(r.type),
-                                tables_.names.zones.name(r.zone), r.spot, r.count);
+        auto body = rental_json(request, cluster_.names.types.name(r.type),
+                                cluster_.names.zones.name(r.zone), r.spot, r.count);
         while (!stopped_) {
             auto answer = co_await cloud_call("POST", paths::kMachines, body, 4);
             if (stopped_) co_return;
--- a/src/coordination/leader_inbox.cpp
+++ b/src/coordination/leader_inbox.cpp
@@ -93,14 +93,14 @@
 void Leader::collect_inbox() {
     if (inbox_.empty() || !sure(now_)) return;
     for (auto& [id, in] : inbox_) {
-        if (ledger_.submissions() >= kCollectAtOnce) return;
+        if (state_log_.submissions() >= kCollectAtOnce) return;
         if (in.step == Inboxed::Step::Waiting && now_ >= in.not_before) collect(id, in);
     }
 }
 
 void Leader::collect(const std::string& id, Inboxed& in) {
-    if (auto it = tables_.job_index.find(id); it != tables_.job_index.end()) {
-        auto& job = *tables_.jobs[it->second];
+    if (auto it = cluster_.job_index.find(id); it != cluster_.job_index.end()) {
+        auto& job = *cluster_.jobs[it->second];
         if (job.version == 0) return;  // on its way to be recorded
         if (!in.record.cancelled || job.cancel_recorded) return forget(id);
         // Cancelled by a door. Its record goes only once the log tells it, so that no request is
@@ -112,7 +112,7 @@
     if (finals_.count(id) || !in.record.accepted()) return forget(id);
     JobSpec spec;
     try {
-        spec = parse_submission(in.record.job, tables_.names);
+        spec = parse_submission(in.record.job, cluster_.names);
         if (spec.team == kNone) read::bad("job.team");
         if (spec.id != id) read::bad("job.name_id");
     } catch (const BadMessage& e) {
@@ -135,8 +135,8 @@
     depends.cancelled = depends.cancelled || in.record.cancelled;
     auto index = add_new_job(std::move(spec), depends, in.record.at);
     // Doors open only where all controllers collect, so all can read a record in pieces.
-    ledger_.allow_pieces();
-    ledger_.new_job(index, in.version);
+    state_log_.allow_pieces();
+    state_log_.new_job(index, in.version);
     in.step = Inboxed::Step::Telling;
     metrics_.count("door_jobs_collected_total");
 }
@@ -160,7 +160,7 @@
     auto it = inbox_.find(id);
     if (it == inbox_.end() || it->second.step == Inboxed::Step::Forgetting) return;
     it->second.step = Inboxed::Step::Forgetting;
-    ledger_.forget(door_key(id), it->second.version);
+    state_log_.forget(door_key(id), it->second.version);
 }
 
 uint64_t Leader::door_version(const std::string& id) const {
@@ -178,7 +178,7 @@
     it->second.not_before = recorded ? 0 : now_ + kAgain_s;
 }
 
-void Leader::forgotten(const LedgerEntry& e) {
+void Leader::forgotten(const StateLogEntry& e) {
     auto it = inbox_.find(e.key.substr(kDoorKeys.size()));
     if (it != inbox_.end() && it->second.version == e.version) inbox_.erase(it);
 }
--- a/src/coordination/leader_records.cpp
+++ b/src/coordination/leader_records.cpp
@@ -22,12 +22,12 @@
 }  // namespace
 
 void Leader::flush() {
-    if (flushing_ || now_ < flush_not_before_ || !sure(now_) || !ledger_.waiting()) return;
+    if (flushing_ || now_ < flush_not_before_ || !sure(now_) || !state_log_.waiting()) return;
     double budget = writes_.available(now_);
     // The end of a job takes up to three changes (a final state, the open segment and one more);
     // less than that is left to users alone.
-    if (budget < (ledger_.urgent() ? 1 : 3)) return;
-    auto batch = ledger_.next(static_cast<int>(budget));
+    if (budget < (state_log_.urgent() ? 1 : 3)) return;
+    auto batch = state_log_.next(static_cast<int>(budget));
     if (batch.empty()) return;
     writes_.take(static_cast<double>(batch.txn.changes.size()));
     mark_ends(batch, true);
@@ -35,9 +35,9 @@
     asio::co_spawn(io_, commit(shared_from_this(), std::move(batch)), asio::detached);
 }
 
-void Leader::mark_ends(const LedgerBatch& batch, bool sent) {
+void Leader::mark_ends(const StateLogBatch& batch, bool sent) {
     for (auto& e : batch.entries)
-        if (e.kind == EntryKind::Finish) tables_.jobs[e.job]->end_sent = sent;
+        if (e.kind == EntryKind::Finish) cluster_.jobs[e.job]->end_sent = sent;
 }
 
 // Whether a transaction without an answer was applied. Its keys say so: nobody else may write them,
@@ -58,7 +58,7 @@
 }
 
 // One transaction at a time, until its outcome is known.
-asio::awaitable<void> Leader::commit(std::shared_ptr<Leader> self, LedgerBatch batch) {
+asio::awaitable<void> Leader::commit(std::shared_ptr<Leader> self, StateLogBatch batch) {
     bool unsure = false;
     for (double pause = 0.1; !stopped_; pause = std::min(1.0, pause * 1.7)) {
         auto result = co_await kv_.txn(batch.txn, kCall_s);
@@ -101,8 +101,8 @@
 
 // A submission that is not accepted after all.
 void Leader::drop_new_job(Index j) {
-    auto on = tables_.dependencies().of(j);
-    tables_.remove_job(j, now_);
+    auto on = cluster_.dependencies().of(j);
+    cluster_.remove_job(j, now_);
     check_cancelled(on);
 }
 
@@ -118,46 +118,46 @@
     if (m.result.outcome == KvOutcome::Ok) {
         kv_succeeded_at_ = now_;
         // What one transaction could not take of a burst of submissions goes with the next at once.
-        bool burst = ledger_.submissions() >= static_cast<size_t>(settings_.txn_ops);
+        bool burst = state_log_.submissions() >= static_cast<size_t>(settings_.txn_ops);
         flush_not_before_ = now_ + (burst ? 0 : kFlushPause_s);
         metrics_.count("transactions_total");
-        ledger_.committed(m.batch, m.result.value);
+        state_log_.committed(m.batch, m.result.value);
         for (auto& e : m.batch.entries) {
             if (e.kind == EntryKind::NewJob) {
-                auto& job = *tables_.jobs[e.job];
+                auto& job = *cluster_.jobs[e.job];
                 answer_waiters(job.spec.id, job_reply(job, PeerOp::Submit, 201));
                 told(job.spec.id, true);
                 spdlog::debug("job: {} class={} tasks={} accepted, waits for {}", job.spec.id,
-                              tables_.names.classes.name(job.spec.job_class), job.spec.tasks,
-                              tables_.dependencies().of(e.job).size());
+                              cluster_.names.classes.name(job.spec.job_class), job.spec.tasks,
+                              cluster_.dependencies().of(e.job).size());
                 dirty_ = true;
                 if (job.cancelled) {
                     check_job(e.job);
-                    check_cancelled(tables_.dependencies().of(e.job));
+                    check_cancelled(cluster_.dependencies().of(e.job));
                 }
             } else if (e.kind == EntryKind::Cancel) {
-                auto& job = *tables_.jobs[e.job];
+                auto& job = *cluster_.jobs[e.job];
                 // Before its user is told: from then on they are cancelled too.
-                for (auto d : tables_.cancel_dependants(e.job))
-                    if (tables_.jobs[d]->version != 0)
-                        ledger_.cancel(d);  // a new one's record says so itself
+                for (auto d : cluster_.cancel_dependants(e.job))
+                    if (cluster_.jobs[d]->version != 0)
+                        state_log_.cancel(d);  // a new one's record says so itself
                 spdlog::debug("job: {} cancellation recorded, {} tasks placed", job.spec.id,
                               job.placed);
                 answer_waiters(job.spec.id, job_reply(job, PeerOp::Cancel, 200));
                 check_job(e.job);
-                check_cancelled(tables_.dependencies().of(e.job));
+                check_cancelled(cluster_.dependencies().of(e.job));
             } else if (e.kind == EntryKind::Finish) {
-                auto& job = *tables_.jobs[e.job];
+                auto& job = *cluster_.jobs[e.job];
                 auto id = job.spec.id;
                 remember_final(id, e.ended);
                 answer_waiters(id, final_reply(id, e.ended, PeerOp::Cancel));
-                auto on = tables_.dependencies().of(e.job);
-                auto dependants = tables_.dependencies().dependants(e.job);
-                tables_.remove_job(e.job, now_);
+                auto on = cluster_.dependencies().of(e.job);
+                auto dependants = cluster_.dependencies().dependants(e.job);
+                cluster_.remove_job(e.job, now_);
                 for (auto d : dependants) {
                     dirty_ = true;
-                    if (!tables_.jobs[d]->waits && !tables_.jobs[d]->cancelled)
-                        spdlog::debug("job: {} ready", tables_.jobs[d]->spec.id);
+                    if (!cluster_.jobs[d]->waits && !cluster_.jobs[d]->cancelled)
+                        spdlog::debug("job: {} ready", cluster_.jobs[d]->spec.id);
                 }
                 check_cancelled(on);
                 spdlog::debug("job: {} {}", id,
@@ -188,7 +188,7 @@
                 e.key.clear();
             }
             if (e.kind != EntryKind::NewJob) continue;
-            auto id = tables_.jobs[e.job]->spec.id;
+            auto id = cluster_.jobs[e.job]->spec.id;
             bool ended = stands(final_key(id)), at_door = stands(door_key(id));
             if (!ended && !at_door) {
                 again.emplace_back(e.job, door_version(id));
@@ -214,25 +214,25 @@
         kv_failed_at_ = now_;
         for (auto& e : m.batch.entries) {
             if (e.kind == EntryKind::NewJob) {
-                auto id = tables_.jobs[e.job]->spec.id;
+                auto id = cluster_.jobs[e.job]->spec.id;
                 answer_waiters(id, come_back());
                 drop_new_job(e.job);
                 told(id, false);
             } else if (e.kind == EntryKind::Cancel) {
-                answer_waiters(tables_.jobs[e.job]->spec.id, come_back());
+                answer_waiters(cluster_.jobs[e.job]->spec.id, come_back());
             }
         }
         // Malformed, as it is well-formed: larger than the state service takes. The same text would
         // be refused for ever, and with it all that waits to be recorded.
-        if (m.result.outcome == KvOutcome::Invalid && ledger_.shrink())
+        if (m.result.outcome == KvOutcome::Invalid && state_log_.shrink())
             spdlog::error(
                 "state: a transaction was refused as malformed, the next ones are smaller");
         m.result.too_fast ? writes_.too_fast() : writes_.drain();
         flush_not_before_ = now_ + std::uniform_real_distribution<double>(0.2, 0.5)(random_);
     }
     mark_ends(m.batch, false);
-    ledger_.rejected(m.batch);
-    for (auto& [j, door] : again) ledger_.new_job(j, door);
+    state_log_.rejected(m.batch);
+    for (auto& [j, door] : again) state_log_.new_job(j, door);
 }
 
 }  // namespace weirmill
--- a/src/coordination/leader_tasks.cpp
+++ b/src/coordination/leader_tasks.cpp
@@ -25,19 +25,19 @@
 }
 
 void Leader::task_exited(Index j, uint32_t t, Index machine, const TaskReport& r) {
-    auto& job = *tables_.jobs[j];
-    auto& m = *tables_.machines[machine];
+    auto& job = *cluster_.jobs[j];
+    auto& m = *cluster_.machines[machine];
     bool gang = job.spec.kind == JobKind::Gang;
     bool was_graceful = job.tasks[t].graceful;
     dirty_ = true;
     if (r.cause == ExitCause::Done && job.spec.kind != JobKind::Service) {
         m.faulty_jobs.clear();
         m.faults = 0;
-        if (ran_whole(job.tasks[t])) tables_.learn_run(job.spec, now_ - job.tasks[t].running_at);
+        if (ran_whole(job.tasks[t])) cluster_.learn_run(job.spec, now_ - job.tasks[t].running_at);
         if (gang) {  // if one task is done, every one is
-            for (uint32_t i = 0; i < job.tasks.size(); ++i) tables_.finish(j, i, now_);
+            for (uint32_t i = 0; i < job.tasks.size(); ++i) cluster_.finish(j, i, now_);
         } else {
-            tables_.finish(j, t, now_);
+            cluster_.finish(j, t, now_);
         }
         check_job(j);
         return;
@@ -45,7 +45,7 @@
     if (r.cause != ExitCause::Stopped)
         spdlog::info("task: {}/{} attempt={} exited on {} cause={}", job.spec.id, t, r.attempt,
                      m.name, static_cast<int>(r.cause));
-    tables_.vacate(j, t, now_);
+    cluster_.unassign(j, t, now_);
     if (r.cause == ExitCause::Error) task_failed(j, machine);
     if (r.cause == ExitCause::NoRoom || r.cause == ExitCause::Busy || r.cause == ExitCause::Unknown)
         job.not_before = std::max(job.not_before, now_ + 1.0);
@@ -56,8 +56,8 @@
 // A machine that fails different jobs is sick; a job that fails on different machines is at fault
 // itself.
 void Leader::task_failed(Index j, Index machine) {
-    auto& job = *tables_.jobs[j];
-    auto& m = *tables_.machines[machine];
+    auto& job = *cluster_.jobs[j];
+    auto& m = *cluster_.machines[machine];
     ++job.failures;
     ++m.faults;
     job.failed_on.insert(machine);
@@ -69,7 +69,7 @@
             std::min(120.0, 2.0 * std::pow(2.0, std::min<double>(
                                                     job.failed_on.size() + job.failures / 8.0, 8)));
         for (auto i : job.failed_on) {
-            auto* other = tables_.machines[i].get();
+            auto* other = cluster_.machines[i].get();
             if (other && other->faulty_jobs.size() <= 1 && other->quarantined_until > now_)
                 other->quarantined_until = 0;
         }
@@ -86,12 +86,12 @@
 
 // The task is proven gone without having told its outcome.
 void Leader::lose_task(Index j, uint32_t t) {
-    auto& job = *tables_.jobs[j];
+    auto& job = *cluster_.jobs[j];
     spdlog::info("task: {}/{} attempt={} gone from {}", job.spec.id, t, job.tasks[t].attempt,
-                 tables_.machines[job.tasks[t].machine]->name);
+                 cluster_.machines[job.tasks[t].machine]->name);
     metrics_.count("tasks_lost_total");
     bool graceful = job.tasks[t].graceful;
-    tables_.vacate(j, t, now_);
+    cluster_.unassign(j, t, now_);
     dirty_ = true;
     if (job.spec.kind == JobKind::Gang) end_gang(j, graceful);
     check_job(j);
@@ -102,7 +102,7 @@
 // image takes longer than its tasks wait for each other once began anew every half minute to the
 // end of the day.
 void Leader::end_gang(Index j, bool graceful, bool fetch_on) {
-    auto& job = *tables_.jobs[j];
+    auto& job = *cluster_.jobs[j];
     job.gang_ending = job.placed > 0;
     for (uint32_t t = 0; t < job.tasks.size(); ++t) {
         auto& task = job.tasks[t];
@@ -113,7 +113,7 @@
 
 // What follows from the counts of a job.
 void Leader::check_job(Index j) {
-    auto& job = *tables_.jobs[j];
+    auto& job = *cluster_.jobs[j];
     if (job.ending || job.version == 0) return;
     if (job.spec.kind == JobKind::Gang && job.placed == 0) job.gang_ending = false;
     if (job.cancelled) {
@@ -123,7 +123,7 @@
                 stop_task(j, t, false);
         if (job.placed > 0) return;
         spdlog::debug("job: {} cancelled, none of its tasks is left", job.spec.id);
-        if (!tables_.cancellation_logged(j)) return;
+        if (!cluster_.cancellation_logged(j)) return;
     } else if (job.done < job.tasks.size()) {
         // A gang found half placed after a change of leader, or half gone.
         if (job.spec.kind == JobKind::Gang && job.placed > 0 && job.pending > 0 && !job.gang_ending)
@@ -132,21 +132,21 @@
     }
     job.ending = true;
     job.ended = wall_now();
-    ledger_.finish(j);
+    state_log_.finish(j);
 }
 
 // A cancelled job may end once those that need it are recorded as cancelled, or gone: one of these
 // was.
 void Leader::check_cancelled(const std::vector<Index>& jobs) {
     for (auto j : jobs)
-        if (tables_.jobs[j]->cancelled) check_job(j);
+        if (cluster_.jobs[j]->cancelled) check_job(j);
 }
 
 void Leader::stop_task(Index j, uint32_t t, bool graceful) {
-    auto& job = *tables_.jobs[j];
+    auto& job = *cluster_.jobs[j];
     auto& task = job.tasks[t];
     task.stopping = true;
-    task.graceful = graceful && job.spec.checkpoint_s > 0;
+    task.graceful = graceful && job.spec.checkpoint_interval_s > 0;
     if (job.spec.kind == JobKind::Gang) job.gang_ending = true;
     direct_[task.machine].push_back(
         {CommandOp::Stop, job.spec.id, t, task.attempt, stop_grace_s(job, task)});
@@ -156,7 +156,7 @@
 // late copy does no harm: it names the attempt, and the session must still match.
 void Leader::flush_stops() {
     for (auto& [index, commands] : direct_) {
-        auto* m = tables_.machines[index].get();
+        auto* m = cluster_.machines[index].get();
         if (!m || !m->up || m->addr.empty()) continue;
         asio::co_spawn(io_,
                        send_stops(shared_from_this(), m->addr, m->relayed_by,
@@ -174,19 +174,19 @@
 void Leader::repeat_stops() {
     if (now_ < next_stops_) return;
     next_stops_ = now_ + settings_.report_s;
-    size_t count = tables_.machines.size(), left = static_cast<size_t>(stop_sockets(settings_));
+    size_t count = cluster_.machines.size(), left = static_cast<size_t>(stop_sockets(settings_));
     for (size_t n = 0; n < count && left > 0; ++n) {
         stops_cursor_ = (stops_cursor_ + 1) % count;
-        auto* m = tables_.machines[stops_cursor_].get();
+        auto* m = cluster_.machines[stops_cursor_].get();
         if (!m || m->addr.empty() || m->status == MachineStatus::Failed) continue;
         if (now_ - std::max(m->last_report, tenure_->won) <= kMissedReports * settings_.report_s)
             continue;
         uint64_t session = m->up ? m->session : 0;
         for (auto& ref : m->tasks)
-            session = std::max<uint64_t>(session, tables_.jobs[ref.job]->tasks[ref.task].session);
+            session = std::max<uint64_t>(session, cluster_.jobs[ref.job]->tasks[ref.task].session);
         std::vector<Command> commands;
         for (auto& ref : m->tasks) {
-            auto& job = *tables_.jobs[ref.job];
+            auto& job = *cluster_.jobs[ref.job];
             auto& task = job.tasks[ref.task];
             if (job.cancelled && task.session == session)
                 commands.push_back({CommandOp::Stop, job.spec.id, ref.task, task.attempt, 0});
@@ -237,16 +237,17 @@
 
 // The machine will be taken: what can save does so in time, what can't may still complete.
 void Leader::drain(Index index, double notice_s) {
-    auto tasks = tables_.machines[index]->tasks;
+    auto tasks = cluster_.machines[index]->tasks;
     for (auto& ref : tasks) {
-        auto& job = *tables_.jobs[ref.job];
+        auto& job = *cluster_.jobs[ref.job];
         auto& task = job.tasks[ref.task];
         if (task.state != TaskState::Placed || task.machine != index || task.stopping) continue;
         if (job.spec.kind == JobKind::Gang) {
-            end_gang(ref.job, notice_s >= job.spec.save_s);
+            end_gang(ref.job, notice_s >= job.spec.checkpoint_duration_s);
         } else if (task.phase != TaskPhase::Running && task.phase != TaskPhase::Saving) {
             stop_task(ref.job, ref.task, false);
-        } else if (job.spec.checkpoint_s > 0 && notice_s >= job.spec.save_s) {
+        } else if (job.spec.checkpoint_interval_s > 0 &&
+                   notice_s >= job.spec.checkpoint_duration_s) {
             stop_task(ref.job, ref.task, true);
         }
     }
--- a/src/coordination/leader_users.cpp
+++ b/src/coordination/leader_users.cpp
@@ -47,7 +47,7 @@
 // controller's door reads the records. One that told an end from a transaction that this leader had
 // no answer for was once followed by "running" from here.
 bool Leader::may_tell(const Job& job) const {
-    return job.version != 0 && tables_.settled(tables_.job_index.at(job.spec.id));
+    return job.version != 0 && cluster_.settled(cluster_.job_index.at(job.spec.id));
 }
 
 // The last word from the state service was a failure: neither a transaction nor a renewal has
@@ -94,7 +94,7 @@
     JobSpec spec;
     std::optional<PeerReply> malformed;
     try {
-        spec = parse_submission(call.body, tables_.names);
+        spec = parse_submission(call.body, cluster_.names);
     } catch (const BadMessage& e) {
         malformed =
             PeerReply{400, boost::json::serialize(boost::json::object{{"error", e.what()}})};
@@ -104,7 +104,7 @@
     }
     // Accepted by a door: from its record, never anew.
     if (inbox_.count(spec.id)) collect_inbox();
-    if (auto* job = tables_.find_job(spec.id)) {
+    if (auto* job = cluster_.find_job(spec.id)) {
         if (may_tell(*job)) return reply.set(job_reply(*job, PeerOp::Submit, 200));
         if (job->version != 0 || kv_unavailable()) return reply.set(undecided());
         waiters_[spec.id].emplace_back(PeerOp::Submit, reply);
@@ -114,36 +114,36 @@
         return reply.set(final_reply(spec.id, it->second, PeerOp::Submit));
     if (inbox_.count(spec.id)) return refuse_for_good(call, reply, spec.id, come_back());
     if (malformed) return refuse_for_good(call, reply, spec.id, std::move(*malformed));
-    if (!tables_.types_known) return reply.set(come_back(2));
-    if (tables_.never_runs(spec)) return refuse_for_good(call, reply, spec.id);
+    if (!cluster_.types_known) return reply.set(come_back(2));
+    if (cluster_.never_runs(spec)) return refuse_for_good(call, reply, spec.id);
     // The service can't record it now: told at once. Another controller's door may reach the state
     // service.
     if (kv_unavailable()) return reply.set(undecided());
-    if (ledger_.submissions() > 4 * settings_.state_write_rps) return reply.set(come_back());
-    if (tables_.task_count + spec.tasks > tables_.max_tasks) return reply.set(come_back(10));
+    if (state_log_.submissions() > 4 * settings_.state_write_rps) return reply.set(come_back());
+    if (cluster_.task_count + spec.tasks > cluster_.max_tasks) return reply.set(come_back(10));
     auto depends = dependence(call, reply, spec);
     if (!depends) return;
     std::string id = spec.id;
     auto index = add_new_job(std::move(spec), *depends, wall_now());
-    if (!ledger_.can_hold(index)) {
+    if (!state_log_.can_hold(index)) {
         // A version that recorded longer ones may have accepted it.
-        tables_.remove_job(index, now_);
+        cluster_.remove_job(index, now_);
         return refuse_for_good(call, reply, id, kTooLong);
     }
     waiters_[id].emplace_back(PeerOp::Submit, reply);
-    ledger_.new_job(index);
+    state_log_.new_job(index);
 }
 
 // Into the tables; its record is still to be told. `submitted`: by the time of day.
 Index Leader::add_new_job(JobSpec spec, const Dependence& depends, double submitted) {
     if (depends.on.empty() || depends.cancelled) spec.dependencies.clear();
-    auto index = tables_.add_job(std::move(spec), submitted, now_);
-    auto& job = *tables_.jobs[index];
+    auto index = cluster_.add_job(std::move(spec), submitted, now_);
+    auto& job = *cluster_.jobs[index];
     job.seen_at = now_ - std::max(0.0, wall_now() - submitted);
     if (depends.cancelled)
         job.cancelled = job.cancel_recorded = true;  // in its own record
     else if (job.waits)
-        tables_.set_dependencies(index, depends.on, now_);
+        cluster_.set_dependencies(index, depends.on, now_);
     return index;
 }
 
@@ -151,8 +151,8 @@
     Dependence out;
     for (auto& id : spec.dependencies) {
         out.never = out.never || id == spec.id || !valid_job_id(id);
-        if (auto it = tables_.job_index.find(id); it != tables_.job_index.end()) {
-            auto& job = *tables_.jobs[it->second];
+        if (auto it = cluster_.job_index.find(id); it != cluster_.job_index.end()) {
+            auto& job = *cluster_.jobs[it->second];
             out.unsure = out.unsure || job.version == 0;
             // Where its cancellation is not recorded yet, the job follows it once it is.
             if (job.cancel_recorded)
@@ -230,7 +230,7 @@
     if (!sure(now_)) return m.reply.set(come_back());
     if (!m.missing.empty()) {
         // What was read is as old as the read: the job may have come, or ended, meanwhile.
-        if (tables_.find_job(m.missing) || finals_.count(m.missing))
+        if (cluster_.find_job(m.missing) || finals_.count(m.missing))
             return m.reply.set(come_back());
         return refuse_for_good(m.call, m.reply, m.call.subject);
     }
@@ -241,7 +241,7 @@
 void Leader::status(PeerCall& call, Reply& reply) {
     if (!valid_job_id(call.subject)) return reply.set({404, "{}"});
     if (!sure(now_)) return reply.set(undecided());
-    if (auto* job = tables_.find_job(call.subject)) {
+    if (auto* job = cluster_.find_job(call.subject)) {
         // What is on its way to be recorded may be told by a door, which reads the records: polls
         // of a job whose cancellation was asked for, in a minute without answers to transactions,
         // once all failed here.
@@ -257,8 +257,8 @@
 void Leader::cancel(PeerCall& call, Reply& reply) {
     if (!valid_job_id(call.subject)) return reply.set({404, "{}"});
     if (!sure(now_)) return reply.set(undecided());
-    auto it = tables_.job_index.find(call.subject);
-    if (it == tables_.job_index.end()) {
+    auto it = cluster_.job_index.find(call.subject);
+    if (it == cluster_.job_index.end()) {
         if (auto f = finals_.find(call.subject); f != finals_.end())
             return reply.set(final_reply(call.subject, f->second, PeerOp::Cancel));
         if (at_door(call.subject)) return reply.set(come_back());
@@ -266,7 +266,7 @@
                        asio::detached);
         return;
     }
-    auto& job = *tables_.jobs[it->second];
+    auto& job = *cluster_.jobs[it->second];
     if (job.cancel_recorded) return reply.set(job_reply(job, PeerOp::Cancel, 200));
     if (job.version == 0 || kv_unavailable()) return reply.set(come_back());
     // Answered once the cancellation, or the end that came before it, is recorded.
@@ -280,8 +280,8 @@
 // has an answer for it: tasks that waited for the answer once ran on for as long as transactions
 // went unanswered.
 void Leader::ask_cancel(Index j) {
-    tables_.jobs[j]->cancelled = true;
-    ledger_.cancel(j);
+    cluster_.jobs[j]->cancelled = true;
+    state_log_.cancel(j);
     check_job(j);
 }
 
@@ -323,7 +323,7 @@
         return m.reply.set(final_reply(id, *f, m.call.op));
     }
     // What was read is as old as the read: the job may have come, or ended, meanwhile.
-    bool here = tables_.find_job(id) || finals_.count(id);
+    bool here = cluster_.find_job(id) || finals_.count(id);
     if (m.result.outcome == KvOutcome::Missing && !here) return m.reply.set(std::move(m.refusal));
     m.reply.set(come_back());
 }
--- a/src/coordination/leader_workers.cpp
+++ b/src/coordination/leader_workers.cpp
@@ -23,7 +23,7 @@
 bool Leader::usable(const Machine& m) const {
     return m.up && !m.returning && !m.doomed && !m.closing && m.notice_until < 0 &&
            m.quarantined_until <= now_ && now_ - m.last_report < silence_s() && !m.hearing.deaf() &&
-           m.type < tables_.types.size() && tables_.types[m.type].offered;
+           m.type < cluster_.types.size() && cluster_.types[m.type].offered;
 }
 
 void Leader::report(PeerCall& call, Reply& reply) {
@@ -48,8 +48,8 @@
         }
         return reply.set({503, "{}"});
     }
-    auto index = tables_.add_machine(r.machine, now_);
-    auto& m = *tables_.machines[index];
+    auto index = cluster_.add_machine(r.machine, now_);
+    auto& m = *cluster_.machines[index];
     if (std::pair(r.session, r.seq) <= std::pair(m.session, m.seq)) {
         // A copy, or late: what it says is old, its worker has given up on the answer, and a
         // machine is not there for it. Taken for answered, copies once kept a lease from being
@@ -65,7 +65,7 @@
     m.relayed_by = call.sender;
     if (call.sender.empty()) m.direct_at = now_;
     if (m.type == kNone || m.size == Resources{})
-        tables_.describe_machine(m, r.type, r.zone, r.spot);
+        cluster_.describe_machine(m, r.type, r.zone, r.spot);
     Held held{reply, r.seq, now_ + kHold_s, 0};
     size_t before = m.tasks.size();
     take_report(m, index, r);
@@ -86,7 +86,7 @@
 void Leader::take_report(Machine& m, Index index, const Report& r) {
     if (!m.up) {
         // Rented by this leader and up for the first time: its boot tells how boots go at present.
-        if (m.hired && m.up_at == 0) tables_.learn_boot(m.type, now_ - m.rented);
+        if (m.hired && m.up_at == 0) cluster_.learn_boot(m.type, now_ - m.rented);
         m.up = true;
         m.up_at = now_;
         m.status = MachineStatus::Running;
@@ -99,7 +99,7 @@
         // A newer session: everything placed in an older one is gone.
         auto tasks = m.tasks;
         for (auto& ref : tasks) {
-            auto& task = tables_.jobs[ref.job]->tasks[ref.task];
+            auto& task = cluster_.jobs[ref.job]->tasks[ref.task];
             if (task.state == TaskState::Placed && task.machine == index &&
                 task.session < r.session)
                 lose_task(ref.job, ref.task);
@@ -121,7 +121,7 @@
     for (auto& t : r.tasks) present.emplace(t.job, t.task);
     Heard heard{{r.session, r.seq}, m.saw_token, m.relayed_by.empty()};
     for (auto& ref : m.tasks) {
-        auto& job = *tables_.jobs[ref.job];
+        auto& job = *cluster_.jobs[ref.job];
         auto& task = job.tasks[ref.task];
         if (task.phase != TaskPhase::Unseen || task.start_seq == 0 || task.start_seq >= r.seq)
             continue;
@@ -134,7 +134,7 @@
     for (auto& t : r.tasks) take_task(m, index, t);
     auto tasks = m.tasks;
     for (auto& ref : tasks) {
-        auto& job = *tables_.jobs[ref.job];
+        auto& job = *cluster_.jobs[ref.job];
         auto& task = job.tasks[ref.task];
         if (task.state != TaskState::Placed || task.machine != index) continue;
         if (present.count({job.spec.id, ref.task})) continue;
@@ -152,10 +152,10 @@
 
 void Leader::take_task(Machine& m, Index index, const TaskReport& t) {
     bool exited = t.phase == TaskPhase::Exited;
-    auto it = tables_.job_index.find(t.job);
+    auto it = cluster_.job_index.find(t.job);
     bool expected = false;
-    if (it != tables_.job_index.end()) {
-        auto& job = *tables_.jobs[it->second];
+    if (it != cluster_.job_index.end()) {
+        auto& job = *cluster_.jobs[it->second];
         if (t.task < job.tasks.size()) {
             auto& task = job.tasks[t.task];
             expected = task.placed_as(index, t.attempt);
@@ -166,17 +166,17 @@
                 // The image is there, whoever saw it fetched: a new leader learns so from what
                 // runs.
                 if (t.phase != task.phase && t.phase != TaskPhase::Fetching)
-                    tables_.saw_image(m, job.spec);
+                    cluster_.saw_image(m, job.spec);
                 bool began = job.running == 0 && t.phase == TaskPhase::Running;
-                tables_.set_phase(job, task, t.phase);
+                cluster_.set_phase(job, task, t.phase);
                 if (job.gang_ending && !task.stopping && t.phase != TaskPhase::Fetching)
                     stop_task(it->second, t.task, false);  // it was left to fetch its image
                 if (began)
                     spdlog::debug(
                         "job: {} class={} tasks={} attempt={} runs {:.1f}s after it came, placed "
                         "{:.1f}s ago",
-                        job.spec.id, tables_.names.classes.name(job.spec.job_class), job.spec.tasks,
-                        t.attempt, now_ - job.came_at(), now_ - task.placed_at);
+                        job.spec.id, cluster_.names.classes.name(job.spec.job_class),
+                        job.spec.tasks, t.attempt, now_ - job.came_at(), now_ - task.placed_at);
             } else if (expected) {
                 task_exited(it->second, t.task, index, t);
             } else if (exited && t.cause == ExitCause::Done && task.state != TaskState::Done &&
@@ -194,44 +194,44 @@
 // Whether the answer to this machine's report would gain from records on their way.
 bool Leader::unsettled(const Machine& m) const {
     for (auto& ref : m.tasks) {
-        auto& job = *tables_.jobs[ref.job];
+        auto& job = *cluster_.jobs[ref.job];
         auto& task = job.tasks[ref.task];
-        if (task.phase == TaskPhase::Unseen && !task.stopping && !tables_.recorded(job, ref.task))
+        if (task.phase == TaskPhase::Unseen && !task.stopping && !cluster_.recorded(job, ref.task))
             return true;
     }
     for (auto& e : m.strays) {
-        auto it = tables_.job_index.find(e.job);
-        if (it == tables_.job_index.end()) continue;
-        auto& job = *tables_.jobs[it->second];
-        if (e.task < job.tasks.size() && !tables_.recorded(job, e.task)) return true;
+        auto it = cluster_.job_index.find(e.job);
+        if (it == cluster_.job_index.end()) continue;
+        auto& job = *cluster_.jobs[it->second];
+        if (e.task < job.tasks.size() && !cluster_.recorded(job, e.task)) return true;
     }
     return false;
 }
 
 void Leader::answer_report(Index index, Held& held) {
-    auto& m = *tables_.machines[index];
+    auto& m = *cluster_.machines[index];
     std::vector<Command> commands;
     bool may_start = sure(now_);
     if (may_start) {
         for (auto& e : m.strays) {
-            auto it = tables_.job_index.find(e.job);
+            auto it = cluster_.job_index.find(e.job);
             if (!e.exited) {
                 bool expected = false;
-                if (it != tables_.job_index.end() &&
-                    e.task < tables_.jobs[it->second]->tasks.size()) {
-                    auto& task = tables_.jobs[it->second]->tasks[e.task];
+                if (it != cluster_.job_index.end() &&
+                    e.task < cluster_.jobs[it->second]->tasks.size()) {
+                    auto& task = cluster_.jobs[it->second]->tasks[e.task];
                     expected = task.placed_as(index, e.attempt);
                 }
                 if (!expected) commands.push_back({CommandOp::Stop, e.job, e.task, e.attempt, 0});
                 continue;
             }
-            if (it != tables_.job_index.end()) {
-                auto& job = *tables_.jobs[it->second];
+            if (it != cluster_.job_index.end()) {
+                auto& job = *cluster_.jobs[it->second];
                 if (e.task < job.tasks.size()) {
                     auto& task = job.tasks[e.task];
                     // Once cleared, the worker no longer knows the attempt: its outcome must stand
                     // recorded.
-                    if (job.ending || !tables_.recorded(job, e.task)) continue;
+                    if (job.ending || !cluster_.recorded(job, e.task)) continue;
                     if (task.placed_as(index, e.attempt)) continue;
                 }
             }
@@ -239,7 +239,7 @@
         }
     }
     for (auto& ref : m.tasks) {
-        auto& job = *tables_.jobs[ref.job];
+        auto& job = *cluster_.jobs[ref.job];
         auto& task = job.tasks[ref.task];
         if (task.stopping) {
             if (task.phase == TaskPhase::Saving && task.graceful) continue;
@@ -247,8 +247,8 @@
                 {CommandOp::Stop, job.spec.id, ref.task, task.attempt, stop_grace_s(job, task)});
         } else if (task.phase == TaskPhase::Unseen && may_start && job.active() &&
                    task.session == m.session && m.notice_until < 0 && !m.returning &&
-                   tables_.recorded(job, ref.task) &&
-                   (task.start_seq > 0 || may_launch(tables_, job, ref.task, settings_.gang_wait_s,
+                   cluster_.recorded(job, ref.task) &&
+                   (task.start_seq > 0 || may_launch(cluster_, job, ref.task, settings_.gang_wait_s,
                                                      settings_.report_s, now_))) {
             if (task.start_seq == 0) task.placed_at = static_cast<float>(now_);
             task.start_seq = held.seq;
@@ -273,7 +273,7 @@
 
 void Leader::release_held(bool due_only) {
     for (auto it = held_.begin(); it != held_.end();) {
-        auto* m = tables_.machines[it->first].get();
+        auto* m = cluster_.machines[it->first].get();
         if (!m) {
             it->second.reply.set({503, "{}"});
             it = held_.erase(it);
--- a/src/coordination/overload/forecast.cpp
+++ b/src/coordination/overload/forecast.cpp
@@ -16,27 +16,27 @@
 // order by due times would have kept.
 constexpr double kPressed = 2.0, kRelieved = 1.0;
 
-bool by_gpu(const JobSpec& spec) { return spec.need.gpu > 0; }
+bool by_gpu(const JobSpec& spec) { return spec.demand.gpu > 0; }
 double units(const Resources& r, bool gpu) {
     return static_cast<double>(gpu ? r.gpu : r.cpu) / 1000;
 }
 
 // What the machines that are there or coming up have of it.
-Resources machines_have(const Tables& tables) {
+Resources machines_have(const ClusterState& cluster) {
     Resources sum;
-    for (auto& m : tables.machines)
-        if (m && !m->doomed && !m->returning && m->type < tables.types.size()) sum += m->size;
+    for (auto& m : cluster.machines)
+        if (m && !m->doomed && !m->returning && m->type < cluster.types.size()) sum += m->size;
     return sum;
 }
 
 }  // namespace
 
-double waiting_work(const Tables& tables, const Job& job) {
-    return job.pending * units(job.spec.need, by_gpu(job.spec)) *
-           std::max(1.0, tables.expected_run_s(job.spec));
+double waiting_work(const ClusterState& cluster, const Job& job) {
+    return job.pending * units(job.spec.demand, by_gpu(job.spec)) *
+           std::max(1.0, cluster.expected_run_s(job.spec));
 }
 
-std::map<QueueKey, QueueForecast> forecast(const Tables& tables,
+std::map<QueueKey, QueueForecast> forecast(const ClusterState& cluster,
                                            const std::map<QueueKey, double>& used) {
     std::map<QueueKey, QueueForecast> out;
     std::map<QueueKey, std::pair<bool, double>>
@@ -44,12 +44,12 @@
     std::map<QueueKey, Priority> priorities;
     std::map<Priority, double>
         by_priority[2];  // units that all tasks of a priority would have at once
-    for (auto& job : tables.jobs) {
+    for (auto& job : cluster.jobs) {
         if (!job || !job->active() || job->waits) continue;
         QueueKey key{job->spec.team, job->spec.job_class};
         bool gpu = by_gpu(job->spec);
         auto& q = out[key];
-        double each = units(job->spec.need, gpu);
+        double each = units(job->spec.demand, gpu);
         q.in_use += each * job->placed;
         q.wanted += each * (job->placed + job->pending);
         auto& d = deadlines[key];
@@ -59,17 +59,17 @@
         by_priority[gpu][job->priority] += each * (job->placed + job->pending);
         if (job->pending == 0) continue;
         ++q.jobs;
-        q.waiting += waiting_work(tables, *job);
+        q.waiting += waiting_work(cluster, *job);
         d.second += std::max(0.0, job->spec.deadline_s);
     }
-    auto have = machines_have(tables);
+    auto have = machines_have(cluster);
     double wanted[2] = {0, 0};
     for (auto& [key, q] : out) wanted[deadlines[key].first] += q.wanted;
     for (auto& [key, q] : out) {
         auto [gpu, sum] = deadlines[key];
-        if (key.job_class < tables.classes.size() &&
-            !tables.classes[key.job_class].done_within_s.empty())
-            q.within_s = tables.classes[key.job_class].done_within_s.back();
+        if (key.job_class < cluster.classes.size() &&
+            !cluster.classes[key.job_class].done_within_s.empty())
+            q.within_s = cluster.classes[key.job_class].done_within_s.back();
         else if (q.jobs > 0)
             q.within_s = sum / q.jobs;
         double part = wanted[gpu] > 0 ? units(have, gpu) * q.wanted / wanted[gpu] : 0;
@@ -80,7 +80,7 @@
         }
         left = equals > 0 ? std::max(0.0, left) * std::min(1.0, q.wanted / equals) : 0;
         double limit =
-            key.team < tables.teams.size() ? units(tables.teams[key.team].limit, gpu) : 0;
+            key.team < cluster.teams.size() ? units(cluster.teams[key.team].limit, gpu) : 0;
         if (limit > 0) part = std::min(part, limit), left = std::min(left, limit);
         auto learned = used.find(key);
         double had = std::max(q.in_use, learned == used.end() ? 0 : learned->second);
@@ -93,8 +93,8 @@
     return out;
 }
 
-void Forecast::observe(Tables& tables, double now) {
-    queues_ = forecast(tables, used_);
+void Forecast::observe(ClusterState& cluster, double now) {
+    queues_ = forecast(cluster, used_);
     double keep = last_ > 0 ? std::exp(-(now - last_) / kLearn_s) : 0;
     last_ = now;
     for (auto& [key, q] : queues_) {
@@ -104,20 +104,20 @@
     std::erase_if(used_, [&](auto& u) { return !queues_.count(u.first); });
     pressed_ = 0;
     std::map<QueueKey, std::vector<Index>> waiting;
-    for (Index j = 0; j < tables.jobs.size(); ++j)
-        if (auto* job = tables.jobs[j].get(); job && job->active() && !job->waits)
+    for (Index j = 0; j < cluster.jobs.size(); ++j)
+        if (auto* job = cluster.jobs[j].get(); job && job->active() && !job->waits)
             waiting[{job->spec.team, job->spec.job_class}].push_back(j);
     for (auto& [key, jobs] : waiting) {
         auto& q = queues_[key];
         // Where all of it fits at once, none waits for another.
-        give_up_times(tables, jobs, q.left < q.wanted ? q.left : 0, now);
+        give_up_times(cluster, jobs, q.left < q.wanted ? q.left : 0, now);
         q.give_up = static_cast<uint32_t>(std::count_if(
-            jobs.begin(), jobs.end(), [&](Index j) { return tables.jobs[j]->given_up > 0; }));
+            jobs.begin(), jobs.end(), [&](Index j) { return cluster.jobs[j]->given_up > 0; }));
     }
-    for (Index c = 0; c < tables.classes.size(); ++c) {
-        auto& by_team = tables.classes[c].stretch;
-        by_team.resize(tables.teams.size());
-        for (Index t = 0; t < tables.teams.size(); ++t) {
+    for (Index c = 0; c < cluster.classes.size(); ++c) {
+        auto& by_team = cluster.classes[c].stretch;
+        by_team.resize(cluster.teams.size());
+        for (Index t = 0; t < cluster.teams.size(); ++t) {
             auto it = queues_.find({t, c});
             auto& stretch = by_team[t];
             bool was = stretch > 0;
--- a/src/coordination/overload/forecast.h
+++ b/src/coordination/overload/forecast.h
@@ -34,14 +34,14 @@
 };
 
 // One look at the tables. `used` is what was learned so far, by queue.
-std::map<QueueKey, QueueForecast> forecast(const Tables& tables,
+std::map<QueueKey, QueueForecast> forecast(const ClusterState& cluster,
                                            const std::map<QueueKey, double>& used);
 
 class Forecast {
   public:
     // Looks at the tables, learns, and marks pressed queues there. `now` on the steady clock,
     // seconds.
-    void observe(Tables& tables, double now);
+    void observe(ClusterState& cluster, double now);
     const std::map<QueueKey, QueueForecast>& queues() const { return queues_; }
     size_t pressed() const;
 
@@ -53,6 +53,6 @@
 };
 
 // Work that a job still waits with, in seconds of units.
-double waiting_work(const Tables& tables, const Job& job);
+double waiting_work(const ClusterState& cluster, const Job& job);
 
 }  // namespace weirmill
--- a/src/coordination/overload/in_time.cpp
+++ b/src/coordination/overload/in_time.cpp
@@ -28,34 +28,35 @@
     return out;
 }
 
-void give_up_times(Tables& tables, const std::vector<Index>& queue, double units, double now) {
+void give_up_times(ClusterState& cluster, const std::vector<Index>& queue, double units,
+                   double now) {
     std::vector<Index> jobs;
     size_t levels = 0;
     for (auto j : queue) {
-        auto& job = *tables.jobs[j];
+        auto& job = *cluster.jobs[j];
         job.given_up = 0;
         // A gang has machines cleared for it: what its queue has in use says little of when it
         // starts.
         if (job.spec.kind == JobKind::Array && job.pending > 0) jobs.push_back(j);
     }
-    for (auto j : jobs) levels = std::max(levels, tables.times_asked(*tables.jobs[j]));
+    for (auto j : jobs) levels = std::max(levels, cluster.times_asked(*cluster.jobs[j]));
     double before = 0;
     // Those that can meet their first time go before those that can only meet the next.
     for (size_t level = 0; level < levels; ++level) {
         std::vector<Contender> contenders;
         for (auto j : jobs) {
-            auto& job = *tables.jobs[j];
-            double run = tables.expected_run_s(job.spec);
+            auto& job = *cluster.jobs[j];
+            double run = cluster.expected_run_s(job.spec);
             int missed;
-            double due = tables.due(job, now + run, missed);
+            double due = cluster.due(job, now + run, missed);
             if (due > 1e17 || missed != static_cast<int>(level)) continue;
-            contenders.push_back({j, waiting_work(tables, job), due - run - now});
+            contenders.push_back({j, waiting_work(cluster, job), due - run - now});
         }
         double work = 0;
         for (auto& c : contenders) work += c.work;
         for (auto j : given_up(std::move(contenders), units, before)) {
-            work -= waiting_work(tables, *tables.jobs[j]);
-            ++tables.jobs[j]->given_up;
+            work -= waiting_work(cluster, *cluster.jobs[j]);
+            ++cluster.jobs[j]->given_up;
         }
         before += work;
     }
--- a/src/coordination/overload/in_time.h
+++ b/src/coordination/overload/in_time.h
@@ -21,6 +21,7 @@
 std::vector<Index> given_up(std::vector<Contender> jobs, double units, double before);
 
 // Sets how many of its times each waiting array job of the queue gives up (Job::given_up).
-void give_up_times(Tables& tables, const std::vector<Index>& queue, double units, double now);
+void give_up_times(ClusterState& cluster, const std::vector<Index>& queue, double units,
+                   double now);
 
 }  // namespace weirmill
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -10,13 +10,13 @@
 
 namespace weirmill {
 
-ZoneRule::ZoneRule(const Tables& tables, const Job& job)
-    : tables(tables), job(job), in_zone(tables.names.zones.size(), 0) {
+ZoneRule::ZoneRule(const ClusterState& cluster, const Job& job)
+    : cluster(cluster), job(job), in_zone(cluster.names.zones.size(), 0) {
     if (!job.spec.one_zone && !job.spec.spread) return;
     if (job.placed == 0) return;
     for (auto& task : job.tasks) {
         if (task.state != TaskState::Placed) continue;
-        auto zone = tables.machines[task.machine]->zone;
+        auto zone = cluster.machines[task.machine]->zone;
         if (zone == kNone)
             ++somewhere;
         else
@@ -37,7 +37,7 @@
     if (job.spec.one_zone || job.spec.spread) ++in_zone[zone];
 }
 
-std::vector<std::vector<Index>> waiting_ranks(const Tables& tables, double now) {
+std::vector<std::vector<Index>> waiting_ranks(const ClusterState& cluster, double now) {
     // Jobs of one rank are equals but for when they are due.
     using Rank = std::tuple<bool, int, bool, int64_t, int>;
     struct Row {
@@ -45,25 +45,25 @@
         Index job;
     };
     std::vector<Row> rows;
-    for (Index j = 0; j < tables.jobs.size(); ++j) {
-        auto* job = tables.jobs[j].get();
+    for (Index j = 0; j < cluster.jobs.size(); ++j) {
+        auto* job = cluster.jobs[j].get();
         if (!job || !job->active() || job->waits || job->pending == 0 || job->not_before > now)
             continue;
         // A gang starts anew only after every task of its old attempt is gone.
         if (job->spec.kind == JobKind::Gang && (job->placed > 0 || job->gang_ending)) continue;
         // Among equals, those that can still be in time go first, and of them the one due soonest.
         int missed;
-        double due = tables.due(*job, now + tables.expected_run_s(job->spec), missed);
+        double due = cluster.due(*job, now + cluster.expected_run_s(job->spec), missed);
         // Where they can't all be in time, shorter work goes first, so that as many as can be are;
         // a job waits in proportion to its work at the most, as later ones count from when they
         // came. What others wait for keeps the time by which those need it.
-        if (double stretch = tables.stretch(job->spec); stretch > 0 && job->needed_by > 1e17) {
+        if (double stretch = cluster.stretch(job->spec); stretch > 0 && job->needed_by > 1e17) {
             missed = 0;
-            due = job->came_at() + stretch * waiting_work(tables, *job);
+            due = job->came_at() + stretch * waiting_work(cluster, *job);
         }
         Rank rank{!job->guaranteed, -static_cast<int>(job->priority),
-                  !tables.within_guarantee(tables.teams[job->spec.team], job->spec.need),
-                  -job->spec.need.gpu, missed};
+                  !cluster.within_guarantee(cluster.teams[job->spec.team], job->spec.demand),
+                  -job->spec.demand.gpu, missed};
         rows.push_back({{rank, due, job->submitted, job->spec.id}, j});
     }
     std::sort(rows.begin(), rows.end(), [](auto& a, auto& b) { return a.key < b.key; });
@@ -75,16 +75,16 @@
     return out;
 }
 
-std::vector<Index> waiting_jobs(const Tables& tables, double now) {
+std::vector<Index> waiting_jobs(const ClusterState& cluster, double now) {
     std::vector<Index> out;
-    for (auto& rank : waiting_ranks(tables, now)) out.insert(out.end(), rank.begin(), rank.end());
+    for (auto& rank : waiting_ranks(cluster, now)) out.insert(out.end(), rank.begin(), rank.end());
     return out;
 }
 
 // The image is there, or is being fetched for another task.
-bool image_near(const Tables& tables, const Machine& m, Index image) {
+bool image_near(const ClusterState& cluster, const Machine& m, Index image) {
     return m.has_image(image) || std::any_of(m.tasks.begin(), m.tasks.end(), [&](auto& ref) {
-               return tables.jobs[ref.job]->spec.image == image;
+               return cluster.jobs[ref.job]->spec.image == image;
            });
 }
 
@@ -92,11 +92,12 @@
 
 // Where tasks may run: what jobs ask for, room aside.
 struct Terms {
-    Resources need;
+    Resources demand;
     std::vector<Index> types;
     Index zone;
     bool spot;
-    explicit Terms(const JobSpec& s) : need(s.need), types(s.types), zone(s.zone), spot(s.spot) {}
+    explicit Terms(const JobSpec& s)
+        : demand(s.demand), types(s.types), zone(s.zone), spot(s.spot) {}
     bool same_places(const JobSpec& s) const {
         return types == s.types && zone == s.zone && spot == s.spot;
     }
@@ -105,36 +106,36 @@
 // One pass over the waiting jobs. Room only shrinks during it.
 class Pass {
   public:
-    Pass(Tables& tables, const Usable& usable, const std::vector<std::vector<Index>>& ranks,
+    Pass(ClusterState& cluster, const Usable& usable, const std::vector<std::vector<Index>>& ranks,
          double now, const std::vector<Spare>& spare)
-        : tables_(tables), now_(now) {
+        : cluster_(cluster), now_(now) {
         Resources least;
         bool any = false;
         std::vector<Index> waiting;
         for (auto& rank : ranks)
             for (auto j : rank) {
                 waiting.push_back(j);
-                auto& need = tables.jobs[j]->spec.need;
-                lowest_ = std::min(lowest_, tables.jobs[j]->priority);
-                least =
-                    any ? Resources{std::min(least.cpu, need.cpu), std::min(least.gpu, need.gpu),
-                                    std::min(least.mem, need.mem)}
-                        : need;
+                auto& demand = cluster.jobs[j]->spec.demand;
+                lowest_ = std::min(lowest_, cluster.jobs[j]->priority);
+                least = any ? Resources{std::min(least.cpu, demand.cpu),
+                                        std::min(least.gpu, demand.gpu),
+                                        std::min(least.mem, demand.mem)}
+                            : demand;
                 any = true;
             }
-        for (Index i = 0; any && i < tables.machines.size(); ++i) {
-            auto* m = tables.machines[i].get();
+        for (Index i = 0; any && i < cluster.machines.size(); ++i) {
+            auto* m = cluster.machines[i].get();
             if (!m || !least.fits_in(m->room()) || !usable(*m)) continue;
             open_.push_back(i);
             if (m->reserved(now)) reserved_for_.push_back(m->reserved_for);
         }
-        queues_.emplace(tables, open_, waiting, now);
+        queues_.emplace(cluster, open_, waiting, now);
         for (auto& s : spare) {
             if (s.at_once <= 0) continue;
             Kept kept{s.like, -s.at_once};
             for (auto i : open_)
-                if (keeps(kept, *tables.machines[i]))
-                    kept.beyond += s.like->need.times_in(tables.machines[i]->size);
+                if (keeps(kept, *cluster.machines[i]))
+                    kept.beyond += s.like->demand.times_in(cluster.machines[i]->size);
             kept_.push_back(kept);
         }
     }
@@ -142,13 +143,13 @@
     // Machines with room for a task of the job, best fit first; null: there are none. `near`: where
     // its image is.
     FitQueue* candidates(Index index, bool near) {
-        auto& spec = tables_.jobs[index]->spec;
+        auto& spec = cluster_.jobs[index]->spec;
         bool own =
             std::find(reserved_for_.begin(), reserved_for_.end(), index) != reserved_for_.end();
         // A more pressing job that could go wherever this one can, and needs no more, found
         // nothing.
         if (!own && std::any_of(full_.begin(), full_.end(), [&](auto& t) {
-                return t.same_places(spec) && t.need.fits_in(spec.need);
+                return t.same_places(spec) && t.demand.fits_in(spec.demand);
             }))
             return nullptr;
         auto& queue = queues_->of(index, near);
@@ -159,14 +160,14 @@
 
     // Whether tasks of the job may take room on the machine that others keep for theirs.
     bool may_take(Index index, Index machine) const {
-        auto& job = *tables_.jobs[index];
+        auto& job = *cluster_.jobs[index];
         if (auto held = held_.find(machine); held != held_.end() && held->second > job.priority)
             return false;
-        auto& m = *tables_.machines[machine];
+        auto& m = *cluster_.machines[machine];
         for (auto& k : kept_)
             if (k.beyond <= 0 && job.priority < k.like->priority && keeps(k, m)) return false;
         if (!m.reserved(now_) || m.reserved_for == index) return true;
-        auto* owner = tables_.jobs[m.reserved_for].get();
+        auto* owner = cluster_.jobs[m.reserved_for].get();
         return !owner || owner->priority < job.priority;
     }
 
@@ -174,7 +175,7 @@
     // their image, as a gang waits for the last of its machines to fetch it, then by the lowest
     // index of such a machine.
     std::vector<Index> zones_of(Index index) {
-        auto& job = *tables_.jobs[index];
+        auto& job = *cluster_.jobs[index];
         std::map<Index, int64_t> near;
         // With one zone there is nothing to choose.
         if (job.spec.image_gb > 0 && queues_->of(index, false).zones().size() > 1) {
@@ -201,21 +202,21 @@
     // machines cleared.
     void hold(const Job& job) {
         if (job.priority == lowest_) return;  // nobody would pass by
-        auto& need = job.spec.need;
+        auto& demand = job.spec.demand;
         bool shares = false;
-        for (Index t = 0; t < tables_.types.size() && !shares; ++t)
-            shares =
-                need.times_in(tables_.types[t].type.size) >= 2 && tables_.type_fits(job.spec, t);
+        for (Index t = 0; t < cluster_.types.size() && !shares; ++t)
+            shares = demand.times_in(cluster_.types[t].type.size) >= 2 &&
+                     cluster_.type_fits(job.spec, t);
         if (!shares) return;
         std::vector<std::pair<int64_t, Index>> some;
         for (auto i : open_) {
-            auto& m = *tables_.machines[i];
-            if (need.fits_in(m.room()) || need.times_in(m.size) < 2) continue;
+            auto& m = *cluster_.machines[i];
+            if (demand.fits_in(m.room()) || demand.times_in(m.size) < 2) continue;
             if (auto held = held_.find(i); held != held_.end() && held->second >= job.priority)
                 continue;
-            if (!tables_.machine_allowed(job.spec, m) || tables_.spares_gpus(job.spec, m.type))
+            if (!cluster_.machine_allowed(job.spec, m) || cluster_.spares_gpus(job.spec, m.type))
                 continue;
-            some.emplace_back(need.cpu - m.room().cpu, i);
+            some.emplace_back(demand.cpu - m.room().cpu, i);
         }
         size_t most = std::min<size_t>(some.size(), job.pending);
         std::partial_sort(some.begin(), some.begin() + static_cast<long>(most), some.end());
@@ -227,7 +228,7 @@
     // better still. `only`: machines of this zone; kNone: of all.
     template <class Place>
     void fill(Index index, FitQueue& queue, Index only, ZoneRule& rule, Place place) {
-        auto& job = *tables_.jobs[index];
+        auto& job = *cluster_.jobs[index];
         std::vector<std::pair<FitQueue::Zone*, FitQueue::Entry>> out;  // of the queue, for now
         bool more = true;
         while (more) {
@@ -241,14 +242,14 @@
             }
             if (!best) break;
             auto entry = *queues_->pop(*best);
-            auto& m = *tables_.machines[entry.machine];
+            auto& m = *cluster_.machines[entry.machine];
             // Until others take room there, no task of this kind may: it comes back with the next
             // entry.
-            if (!tables_.leaves_gpus_usable(job.spec, m)) continue;
+            if (!cluster_.leaves_gpus_usable(job.spec, m)) continue;
             out.emplace_back(best, entry);
             if (!may_take(index, entry.machine)) continue;
-            while (job.spec.need.fits_in(m.room()) && rule.allows(m.zone) &&
-                   tables_.leaves_gpus_usable(job.spec, m)) {
+            while (job.spec.demand.fits_in(m.room()) && rule.allows(m.zone) &&
+                   cluster_.leaves_gpus_usable(job.spec, m)) {
                 more = place(entry.machine);
                 if (!more) break;
                 rule.add(m.zone);
@@ -260,23 +261,23 @@
     // The task is on the machine.
     void placed(Index machine) {
         queues_->taken(machine);
-        auto& m = *tables_.machines[machine];
+        auto& m = *cluster_.machines[machine];
         if (m.tasks.size() > 1 || m.reserved_for != kNone) return;
         for (auto& k : kept_)
-            if (suits(k, m)) k.beyond -= k.like->need.times_in(m.size);
+            if (suits(k, m)) k.beyond -= k.like->demand.times_in(m.size);
     }
 
     // What tasks like this one could take of the machines that are there or coming up, were all of
     // them empty.
     Resources capacity_for(const JobSpec& spec) {
         for (auto& [terms, capacity] : capacities_)
-            if (terms.need == spec.need && terms.same_places(spec)) return capacity;
+            if (terms.demand == spec.demand && terms.same_places(spec)) return capacity;
         int64_t tasks = 0;
-        for (auto& m : tables_.machines)
-            if (m && !m->doomed && !m->returning && tables_.machine_allowed(spec, *m) &&
-                !tables_.spares_gpus(spec, m->type))
-                tasks += spec.need.times_in(m->size);
-        capacities_.emplace_back(Terms(spec), spec.need * tasks);
+        for (auto& m : cluster_.machines)
+            if (m && !m->doomed && !m->returning && cluster_.machine_allowed(spec, *m) &&
+                !cluster_.spares_gpus(spec, m->type))
+                tasks += spec.demand.times_in(m->size);
+        capacities_.emplace_back(Terms(spec), spec.demand * tasks);
         return capacities_.back().second;
     }
 
@@ -288,12 +289,12 @@
         int64_t beyond;
     };
     bool suits(const Kept& kept, const Machine& m) const {
-        return tables_.machine_allowed(*kept.like, m) && !tables_.spares_gpus(*kept.like, m.type);
+        return cluster_.machine_allowed(*kept.like, m) && !cluster_.spares_gpus(*kept.like, m.type);
     }
     bool keeps(const Kept& kept, const Machine& m) const {
         return m.tasks.empty() && m.reserved_for == kNone && suits(kept, m);
     }
-    Tables& tables_;
+    ClusterState& cluster_;
     double now_;
     std::vector<Kept> kept_;
     std::vector<Index> open_, reserved_for_;
@@ -305,32 +306,32 @@
 };
 
 // All tasks of the gang or none. With one zone, the zones are tried in turn.
-bool place_gang(Tables& tables, Pass& pass, Index index, const Resources& held, double now,
+bool place_gang(ClusterState& cluster, Pass& pass, Index index, const Resources& held, double now,
                 std::vector<Placement>& out) {
-    auto& job = *tables.jobs[index];
-    if (!tables.within_limit(tables.teams[job.spec.team], held + job.spec.need * job.pending))
+    auto& job = *cluster.jobs[index];
+    if (!cluster.within_limit(cluster.teams[job.spec.team], held + job.spec.demand * job.pending))
         return false;
     if (!pass.candidates(index, false)) return false;
     auto zones = job.spec.one_zone ? pass.zones_of(index) : std::vector<Index>{kNone};
     auto* queue = pass.candidates(index, false);
     for (auto zone : zones) {
         if ((zone == kNone ? queue->room() : queue->room(zone)) < job.pending) continue;
-        ZoneRule rule(tables, job);
+        ZoneRule rule(cluster, job);
         std::vector<Index> chosen;
         pass.fill(index, *queue, zone, rule, [&](Index i) {
             if (chosen.size() == job.pending) return false;
             chosen.push_back(i);
-            tables.machines[i]->used += job.spec.need;  // for the time of this search
+            cluster.machines[i]->used += job.spec.demand;  // for the time of this search
             return true;
         });
-        for (auto i : chosen) tables.machines[i]->used -= job.spec.need;
+        for (auto i : chosen) cluster.machines[i]->used -= job.spec.demand;
         if (chosen.size() != job.pending) continue;
         ++job.gang_attempt;
         size_t next = 0;
         for (uint32_t t = 0; t < job.tasks.size(); ++t) {
             if (job.tasks[t].state != TaskState::Pending) continue;
             auto i = chosen[next++];
-            tables.place(index, t, i, job.gang_attempt, now);
+            cluster.place(index, t, i, job.gang_attempt, now);
             pass.placed(i);
             out.push_back({index, t, i, job.gang_attempt});
         }
@@ -339,23 +340,23 @@
     return false;
 }
 
-void place_tasks(Tables& tables, Pass& pass, Index index, const Resources& held, bool image_only,
-                 double now, size_t most, std::vector<Placement>& out) {
-    auto& job = *tables.jobs[index];
-    auto& team = tables.teams[job.spec.team];
-    if (!tables.within_limit(team, held + job.spec.need)) return;
+void place_tasks(ClusterState& cluster, Pass& pass, Index index, const Resources& held,
+                 bool image_only, double now, size_t most, std::vector<Placement>& out) {
+    auto& job = *cluster.jobs[index];
+    auto& team = cluster.teams[job.spec.team];
+    if (!cluster.within_limit(team, held + job.spec.demand)) return;
     auto* queue = pass.candidates(index, image_only);
     if (!queue) return;
-    ZoneRule rule(tables, job);
+    ZoneRule rule(cluster, job);
     uint32_t t = job.first_pending;
     pass.fill(index, *queue, kNone, rule, [&](Index i) {
         while (t < job.tasks.size() && job.tasks[t].state != TaskState::Pending) ++t;
         job.first_pending = t;
         if (t == job.tasks.size() || out.size() >= most ||
-            !tables.within_limit(team, held + job.spec.need))
+            !cluster.within_limit(team, held + job.spec.demand))
             return false;
         uint32_t attempt = job.tasks[t].attempt + 1;
-        tables.place(index, t, i, attempt, now);
+        cluster.place(index, t, i, attempt, now);
         pass.placed(i);
         out.push_back({index, t, i, attempt});
         return true;
@@ -364,28 +365,28 @@
 
 }  // namespace
 
-std::vector<Placement> place_waiting(Tables& tables, const Usable& usable, double now, size_t most,
-                                     const std::vector<Spare>& spare,
+std::vector<Placement> place_waiting(ClusterState& cluster, const Usable& usable, double now,
+                                     size_t most, const std::vector<Spare>& spare,
                                      const std::vector<Index>& first) {
     std::vector<Placement> out;
-    auto ranks = waiting_ranks(tables, now);
-    Pass pass(tables, usable, ranks, now, spare);
+    auto ranks = waiting_ranks(cluster, now);
+    Pass pass(cluster, usable, ranks, now, spare);
     // Of each team's limit, what its large jobs are waiting for: small tasks that come after them
     // would otherwise fill the limit again each time that one ends, and a large job would never get
     // its share. What could not be filled by large jobs alone is left to the others.
-    std::vector<std::pair<Priority, Resources>> held(tables.teams.size(),
+    std::vector<std::pair<Priority, Resources>> held(cluster.teams.size(),
                                                      {Priority::Production, {}});
-    std::vector<Resources> large(tables.teams.size());
-    for (auto& job : tables.jobs)
-        if (job && job->placed > 0 && tables.large(job->spec))
-            large[job->spec.team] += job->spec.need * job->placed;
+    std::vector<Resources> large(cluster.teams.size());
+    for (auto& job : cluster.jobs)
+        if (job && job->placed > 0 && cluster.large(job->spec))
+            large[job->spec.team] += job->spec.demand * job->placed;
     auto kept = [&](const Job& job) {
         auto& [above, share] = held[job.spec.team];
         return job.priority < above ? share : Resources{};
     };
     auto before_equals = first;
     auto command = [&](Index j) {
-        auto& job = *tables.jobs[j];
+        auto& job = *cluster.jobs[j];
         return std::make_pair(!job.guaranteed, -static_cast<int>(job.priority));
     };
     for (auto& rank : ranks) {
@@ -393,11 +394,11 @@
         auto commands = command(rank.front());
         std::erase_if(before_equals, [&](Index j) {
             if (command(j) > commands) return false;
-            auto& job = *tables.jobs[j];
+            auto& job = *cluster.jobs[j];
             if (job.spec.kind == JobKind::Gang)
-                place_gang(tables, pass, j, kept(job), now, out);
+                place_gang(cluster, pass, j, kept(job), now, out);
             else
-                place_tasks(tables, pass, j, kept(job), false, now, std::min(most, out.size() + 1),
+                place_tasks(cluster, pass, j, kept(job), false, now, std::min(most, out.size() + 1),
                             out);
             return true;
         });
@@ -405,26 +406,27 @@
         // machine would else fetch an image for most of its tasks.
         if (rank.size() > 1)
             for (auto j : rank) {
-                auto& job = *tables.jobs[j];
+                auto& job = *cluster.jobs[j];
                 if (job.spec.kind != JobKind::Gang && job.spec.image_gb > 0)
-                    place_tasks(tables, pass, j, kept(job), true, now, most, out);
+                    place_tasks(cluster, pass, j, kept(job), true, now, most, out);
             }
         for (auto j : rank) {
-            auto& job = *tables.jobs[j];
+            auto& job = *cluster.jobs[j];
             if (job.pending == 0) continue;
-            auto& team = tables.teams[job.spec.team];
+            auto& team = cluster.teams[job.spec.team];
             if (job.spec.kind == JobKind::Gang)
-                place_gang(tables, pass, j, kept(job), now, out);
+                place_gang(cluster, pass, j, kept(job), now, out);
             else
-                place_tasks(tables, pass, j, kept(job), false, now, most, out);
-            if (job.pending > 0 && tables.within_limit(team, kept(job) + job.spec.need))
+                place_tasks(cluster, pass, j, kept(job), false, now, most, out);
+            if (job.pending > 0 && cluster.within_limit(team, kept(job) + job.spec.demand))
                 pass.hold(job);
-            if (job.pending == 0 || (!team.limit.cpu && !team.limit.gpu) || !tables.large(job.spec))
+            if (job.pending == 0 || (!team.limit.cpu && !team.limit.gpu) ||
+                !cluster.large(job.spec))
                 continue;
             auto& [above, share] = held[job.spec.team];
-            auto more = job.spec.need * (job.spec.kind == JobKind::Gang ? job.pending : 1);
+            auto more = job.spec.demand * (job.spec.kind == JobKind::Gang ? job.pending : 1);
             auto filled = large[job.spec.team] + share + more;
-            if (!tables.below_limit(team, filled)) continue;
+            if (!cluster.below_limit(team, filled)) continue;
             // Nor is a share of any use beyond what the machines there can hold: a team's small
             // tasks once waited for minutes beside idle machines, for a limit that its large jobs
             // could not reach.
@@ -435,9 +437,9 @@
     }
     // What was kept for a job that has its places, here or elsewhere, is anybody's again. Held to
     // the end of its time, hundreds of GPUs once stood empty for jobs that ran already.
-    for (auto& m : tables.machines) {
+    for (auto& m : cluster.machines) {
         if (!m || m->reserved_for == kNone) continue;
-        auto* owner = tables.jobs[m->reserved_for].get();
+        auto* owner = cluster.jobs[m->reserved_for].get();
         if (!owner || !owner->active() || owner->pending == 0) m->reserved_for = kNone;
     }
     return out;
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -36,17 +36,18 @@
     return out;
 }
 
-bool may_stop(const Tables& tables, const Job& victim, const Job& job) {
+bool may_stop(const ClusterState& cluster, const Job& victim, const Job& job) {
     // A job may count as high as any that needs it. A stop must be right whether or not one sees it
     // so: the one that is stopped counts with what needs it, the one that asks with its own
     // priority alone.
     if (victim.priority < job.spec.priority) return true;
     // Work beyond its team's guarantee gives way to a team that is owed its own.
-    auto& owed = tables.teams[job.spec.team];
-    auto& taker = tables.teams[victim.spec.team];
-    return victim.spec.team != job.spec.team && tables.over_guarantee(taker, victim.spec.need) &&
-           tables.within_guarantee(
-               owed, job.spec.kind == JobKind::Array ? job.spec.need : job.spec.need * job.pending);
+    auto& owed = cluster.teams[job.spec.team];
+    auto& taker = cluster.teams[victim.spec.team];
+    return victim.spec.team != job.spec.team && cluster.over_guarantee(taker, victim.spec.demand) &&
+           cluster.within_guarantee(owed, job.spec.kind == JobKind::Array
+                                              ? job.spec.demand
+                                              : job.spec.demand * job.pending);
 }
 
 namespace {
@@ -58,7 +59,7 @@
     bool owed;       // its team is owed its guarantee, for this job
     int64_t wanted;  // tasks that found no machines; more of them find none either
     bool covers(const JobSpec& s, bool is_owed, int64_t wants) const {
-        return wants >= wanted && is_owed == owed && like.fits_as(s) && like.team == s.team &&
+        return wants >= wanted && is_owed == owed && like.same_shape_as(s) && like.team == s.team &&
                like.priority == s.priority && like.one_zone == s.one_zone &&
                like.spread == s.spread;
     }
@@ -85,36 +86,36 @@
 
 }  // namespace
 
-PreemptionRound plan_preemption(const Tables& tables, const Usable& usable, double now) {
+PreemptionRound plan_preemption(const ClusterState& cluster, const Usable& usable, double now) {
     PreemptionRound round;
-    std::vector<bool> taken(tables.machines.size(), false);
+    std::vector<bool> taken(cluster.machines.size(), false);
     std::map<Index, std::vector<Index>> reserved;  // machines that are being emptied, by job
-    for (Index i = 0; i < tables.machines.size(); ++i) {
-        auto* m = tables.machines[i].get();
+    for (Index i = 0; i < cluster.machines.size(); ++i) {
+        auto* m = cluster.machines[i].get();
         taken[i] = m && m->reserved(now);
         if (taken[i]) reserved[m->reserved_for].push_back(i);
     }
     std::map<std::pair<Index, uint32_t>, bool> stopped;
     // Of free room, what jobs before this one count on. Counted on by each of them, it once left
     // eight gangs of 32 with machines cleared for 19 each, and none of them started for a minute.
-    std::vector<Resources> promised(tables.machines.size());
+    std::vector<Resources> promised(cluster.machines.size());
     std::vector<Vain> vain;
-    for (auto j : waiting_jobs(tables, now)) {
-        auto& job = *tables.jobs[j];
-        if (!tables.large(job.spec)) continue;
-        auto& team = tables.teams[job.spec.team];
+    for (auto j : waiting_jobs(cluster, now)) {
+        auto& job = *cluster.jobs[j];
+        if (!cluster.large(job.spec)) continue;
+        auto& team = cluster.teams[job.spec.team];
         bool gang = job.spec.kind == JobKind::Gang;
         int64_t wanted = gang ? job.pending : 0;
-        if (gang && !tables.within_limit(team, job.spec.need * job.pending)) continue;
+        if (gang && !cluster.within_limit(team, job.spec.demand * job.pending)) continue;
         while (!gang && wanted < job.pending &&
-               tables.within_limit(team, job.spec.need * (wanted + 1)))
+               cluster.within_limit(team, job.spec.demand * (wanted + 1)))
             ++wanted;
         // Machines already being emptied for this job.
         if (auto it = reserved.find(j); it != reserved.end())
-            for (auto i : it->second) wanted -= job.spec.need.times_in(tables.machines[i]->size);
+            for (auto i : it->second) wanted -= job.spec.demand.times_in(cluster.machines[i]->size);
         if (wanted <= 0) continue;
         bool owed =
-            tables.within_guarantee(team, gang ? job.spec.need * job.pending : job.spec.need);
+            cluster.within_guarantee(team, gang ? job.spec.demand * job.pending : job.spec.demand);
         // Where some of its tasks are placed, its zones are its own.
         bool fresh_zones = job.placed == 0;
         if (fresh_zones && std::any_of(vain.begin(), vain.end(),
@@ -124,25 +125,25 @@
         std::vector<Index> zones{kNone};
         if (job.spec.one_zone) {
             zones.clear();
-            for (Index z = 0; z < tables.names.zones.size(); ++z) zones.push_back(z);
+            for (Index z = 0; z < cluster.names.zones.size(); ++z) zones.push_back(z);
         }
         std::optional<Choice> best;
         bool has_room = false;
         for (auto zone : zones) {
-            ZoneRule rule(tables, job);
+            ZoneRule rule(cluster, job);
             int64_t missing = wanted;
             Choice choice;
             auto& list = choice.list;
             std::map<Index, Index> dense;
             std::vector<uint32_t> spans;
-            for (Index i = 0; i < tables.machines.size(); ++i) {
-                auto* m = tables.machines[i].get();
-                if (!m || taken[i] || !usable(*m) || !tables.machine_allowed(job.spec, *m))
+            for (Index i = 0; i < cluster.machines.size(); ++i) {
+                auto* m = cluster.machines[i].get();
+                if (!m || taken[i] || !usable(*m) || !cluster.machine_allowed(job.spec, *m))
                     continue;
-                if (tables.spares_gpus(job.spec, m->type)) continue;
+                if (cluster.spares_gpus(job.spec, m->type)) continue;
                 if (zone != kNone && m->zone != zone) continue;
                 if (!rule.allows(m->zone)) continue;
-                auto free = job.spec.need.times_in(m->room() - promised[i]);
+                auto free = job.spec.demand.times_in(m->room() - promised[i]);
                 if (free > 0) {
                     missing -= free;
                     choice.free.push_back({i, free});
@@ -151,14 +152,14 @@
                 if (!(promised[i] == Resources{})) continue;
                 Clearable c;
                 c.candidate.machine = i;
-                c.fits = job.spec.need.times_in(m->size);
+                c.fits = job.spec.demand.times_in(m->size);
                 if (m->tasks.empty() ||
                     !std::all_of(m->tasks.begin(), m->tasks.end(), [&](auto& ref) {
-                        return may_stop(tables, *tables.jobs[ref.job], job);
+                        return may_stop(cluster, *cluster.jobs[ref.job], job);
                     }))
                     continue;
                 for (auto& ref : m->tasks) {
-                    auto& victim = *tables.jobs[ref.job];
+                    auto& victim = *cluster.jobs[ref.job];
                     if (victim.spec.kind != JobKind::Gang) {
                         ++c.candidate.singles;
                         continue;
@@ -185,7 +186,7 @@
             }
             // Among equal costs, machines that have the image.
             std::stable_partition(list.begin(), list.end(), [&](auto& c) {
-                return tables.machines[c.candidate.machine]->has_image(job.spec.image);
+                return cluster.machines[c.candidate.machine]->has_image(job.spec.image);
             });
             // N: the fewest whole machines that fit what is missing. Machines that hold the most
             // first.
@@ -219,12 +220,12 @@
         for (auto p : best->pick) counted += best->list[p].fits;
         for (auto& f : best->free) {
             if (counted >= wanted) break;
-            auto& m = *tables.machines[f.machine];
+            auto& m = *cluster.machines[f.machine];
             auto n = std::min(f.fits, wanted - counted);
             counted += n;
-            promised[f.machine] += job.spec.need * n;
+            promised[f.machine] += job.spec.demand * n;
             // A whole machine waits with those that are being emptied.
-            if (has_room || !m.tasks.empty() || job.spec.need.times_in(m.size) > 1) continue;
+            if (has_room || !m.tasks.empty() || job.spec.demand.times_in(m.size) > 1) continue;
             taken[f.machine] = true;
             clearing.kept.push_back(f.machine);
         }
@@ -233,8 +234,8 @@
             auto i = best->list[p].candidate.machine;
             clearing.machines.push_back(i);
             taken[i] = true;
-            for (auto& ref : tables.machines[i]->tasks) {
-                auto& victim = *tables.jobs[ref.job];
+            for (auto& ref : cluster.machines[i]->tasks) {
+                auto& victim = *cluster.jobs[ref.job];
                 if (victim.spec.kind == JobKind::Gang) {
                     for (uint32_t t = 0; t < victim.tasks.size(); ++t)
                         if (victim.tasks[t].state == TaskState::Placed &&
@@ -250,7 +251,8 @@
     return round;
 }
 
-std::string round_record(const PreemptionRound& round, const Tables& tables, uint64_t number) {
+std::string round_record(const PreemptionRound& round, const ClusterState& cluster,
+                         uint64_t number) {
     namespace json = boost::json;
     // Bounded, so that the record fits the smallest value the state service may allow.
     constexpr size_t kMost = 8;
@@ -259,9 +261,9 @@
         if (clearings.size() == kMost) break;
         json::array machines;
         for (auto m : c.machines)
-            if (machines.size() < kMost) machines.emplace_back(tables.machines[m]->name);
+            if (machines.size() < kMost) machines.emplace_back(cluster.machines[m]->name);
         clearings.push_back(
-            json::object{{"job", tables.jobs[c.job]->spec.id}, {"machines", std::move(machines)}});
+            json::object{{"job", cluster.jobs[c.job]->spec.id}, {"machines", std::move(machines)}});
     }
     return json::serialize(json::object{{"number", number},
                                         {"clearings", std::move(clearings)},
--- a/src/coordination/preemption.h
+++ b/src/coordination/preemption.h
@@ -34,9 +34,10 @@
 };
 
 // Whether `victim` may be stopped for `job` by the rules of preemption.
-bool may_stop(const Tables& tables, const Job& victim, const Job& job);
+bool may_stop(const ClusterState& cluster, const Job& victim, const Job& job);
 
-PreemptionRound plan_preemption(const Tables& tables, const Usable& usable, double now);
-std::string round_record(const PreemptionRound& round, const Tables& tables, uint64_t number);
+PreemptionRound plan_preemption(const ClusterState& cluster, const Usable& usable, double now);
+std::string round_record(const PreemptionRound& round, const ClusterState& cluster,
+                         uint64_t number);
 
 }  // namespace weirmill
--- a/src/coordination/sizing.cpp
+++ b/src/coordination/sizing.cpp
@@ -36,11 +36,11 @@
     bool rising = false;                             // not up yet
 
     // When a task will find room here; `taken`: the ends it waits for.
-    double start(const Resources& need, size_t& taken) const {
+    double start(const Resources& demand, size_t& taken) const {
         auto sum = room;
         double at = from;
         taken = 0;
-        while (!need.fits_in(sum)) {
+        while (!demand.fits_in(sum)) {
             if (taken == ends.size()) return 1e18;
             sum += ends[taken].second;
             at = std::max(at, ends[taken].first);
@@ -48,22 +48,22 @@
         }
         return at;
     }
-    void take(const Resources& need, double at, size_t taken, double lasts) {
+    void take(const Resources& demand, double at, size_t taken, double lasts) {
         for (size_t i = 0; i < taken; ++i) room += ends[i].second;
         ends.erase(ends.begin(), ends.begin() + static_cast<long>(taken));
-        room -= need;
+        room -= demand;
         from = std::max(from, taken ? at : from);
-        std::pair<double, Resources> end{at + lasts, need};
+        std::pair<double, Resources> end{at + lasts, demand};
         ends.insert(std::upper_bound(ends.begin(), ends.end(), end,
                                      [](auto& x, auto& y) { return x.first < y.first; }),
                     end);
     }
 };
 
-bool serves(const Tables& tables, const JobSpec& spec, const Coming& c) {
+bool serves(const ClusterState& cluster, const JobSpec& spec, const Coming& c) {
     if (c.spot && !spec.spot) return false;
     if (spec.zone != kNone && spec.zone != c.zone) return false;
-    return tables.type_fits(spec, c.type) && !tables.spares_gpus(spec, c.type);
+    return cluster.type_fits(spec, c.type) && !cluster.spares_gpus(spec, c.type);
 }
 
 // Of a task's run, in seconds. The longer it is overdue, the longer it will be: taken for as good
@@ -72,12 +72,12 @@
     return std::max(kOverdue * std::max(expected, ran), expected - ran);
 }
 
-std::vector<Coming> known_machines(const Tables& tables, const Usable& usable, double now) {
+std::vector<Coming> known_machines(const ClusterState& cluster, const Usable& usable, double now) {
     std::vector<Coming> out;
-    for (auto& m : tables.machines) {
+    for (auto& m : cluster.machines) {
         if (!m || m->type == kNone || m->doomed || m->returning) continue;
-        if (m->type >= tables.types.size() || !tables.types[m->type].offered) continue;
-        double boot = tables.types[m->type].type.boot_s;
+        if (m->type >= cluster.types.size() || !cluster.types[m->type].offered) continue;
+        double boot = cluster.types[m->type].type.boot_s;
         // One that a change of leader has just revealed is likely to report soon.
         bool booting =
             !m->up && (m->status == MachineStatus::Booting || now - m->added < kNewcomer_s);
@@ -85,23 +85,23 @@
         Coming c{m->type,
                  m->zone,
                  m->spot,
-                 booting ? std::max(0.2 * boot, m->rented + tables.boot_factor * boot - now) : 0,
+                 booting ? std::max(0.2 * boot, m->rented + cluster.boot_factor * boot - now) : 0,
                  m->room(),
                  {},
                  booting};
         for (auto& ref : m->tasks) {
-            auto& job = *tables.jobs[ref.job];
+            auto& job = *cluster.jobs[ref.job];
             if (job.spec.kind == JobKind::Service) continue;
             auto& task = job.tasks[ref.task];
-            double run = tables.expected_run_s(job.spec), left;
+            double run = cluster.expected_run_s(job.spec), left;
             if (task.stopping)
                 left = kStopping_s;
             else if (task.running_at > 0)
                 left = left_of(run, now - task.running_at);
             else
-                left =
-                    run + std::max(0.0, tables.fetch_s(job.spec, m->type) - (now - task.placed_at));
-            c.ends.emplace_back(left, job.spec.need);
+                left = run +
+                       std::max(0.0, cluster.fetch_s(job.spec, m->type) - (now - task.placed_at));
+            c.ends.emplace_back(left, job.spec.demand);
         }
         std::sort(c.ends.begin(), c.ends.end(), [](auto& x, auto& y) { return x.first < y.first; });
         out.push_back(std::move(c));
@@ -110,26 +110,26 @@
 }
 
 // The offer that is cheapest for a task of `tasks`; spot first where it may be used.
-Coming cheapest_offer(const Tables& tables, const JobSpec& spec, size_t tasks, Index only,
+Coming cheapest_offer(const ClusterState& cluster, const JobSpec& spec, size_t tasks, Index only,
                       const ZoneRule& rule, const std::vector<bool>& silent, double now) {
     double best_cost = 0;
     Coming offer{kNone, kNone, false, 0, {}, {}};
-    for (Index t = 0; t < tables.types.size(); ++t) {
-        if (!tables.type_fits(spec, t) || tables.spares_gpus(spec, t)) continue;
-        auto& type = tables.types[t].type;
-        auto fits = std::min<int64_t>(spec.need.times_in(type.size), static_cast<int64_t>(tasks));
+    for (Index t = 0; t < cluster.types.size(); ++t) {
+        if (!cluster.type_fits(spec, t) || cluster.spares_gpus(spec, t)) continue;
+        auto& type = cluster.types[t].type;
+        auto fits = std::min<int64_t>(spec.demand.times_in(type.size), static_cast<int64_t>(tasks));
         for (auto& zone_name : type.zones) {
-            auto z = tables.names.zones.find(zone_name);
+            auto z = cluster.names.zones.find(zone_name);
             if (z == kNone || (only != kNone && z != only) ||
                 (spec.zone != kNone && z != spec.zone))
                 continue;
             if (!rule.allows(z) || (z < silent.size() && silent[z])) continue;
             for (bool spot : {true, false}) {
-                if ((spot && !spec.spot) || tables.refused(t, z, spot, now)) continue;
+                if ((spot && !spec.spot) || cluster.refused(t, z, spot, now)) continue;
                 double cost = (spot ? type.spot_price : type.price) / static_cast<double>(fits);
                 if (offer.type == kNone || cost < best_cost - 1e-12) {
                     best_cost = cost;
-                    offer = {t, z, spot, tables.boot_factor * type.boot_s, type.size, {}, true};
+                    offer = {t, z, spot, cluster.boot_factor * type.boot_s, type.size, {}, true};
                 }
             }
         }
@@ -138,23 +138,24 @@
 }
 
 // How long the job could wait for room and still end as asked.
-double slack_of(const Tables& tables, const Job& job, double fetch, double now) {
+double slack_of(const ClusterState& cluster, const Job& job, double fetch, double now) {
     auto& spec = job.spec;
-    double run = tables.expected_run_s(spec);
+    double run = cluster.expected_run_s(spec);
     int missed;
-    double slack = tables.due(job, now + fetch + run, missed) - (now + fetch + run);
+    double slack = cluster.due(job, now + fetch + run, missed) - (now + fetch + run);
     if (missed > 0) slack = 0;
-    if (spec.job_class < tables.classes.size() && tables.classes[spec.job_class].start_within_s > 0)
+    if (spec.job_class < cluster.classes.size() &&
+        cluster.classes[spec.job_class].start_within_s > 0)
         slack = std::min(
-            slack, job.came_at() + tables.classes[spec.job_class].start_within_s - now - fetch);
+            slack, job.came_at() + cluster.classes[spec.job_class].start_within_s - now - fetch);
     return slack > 1e17 ? run : std::max(0.0, slack);
 }
 
 }  // namespace
 
-std::vector<bool> silent_zones(const Tables& tables, const Usable& usable) {
-    std::vector<int> balance(tables.names.zones.size(), 0);
-    for (auto& m : tables.machines) {
+std::vector<bool> silent_zones(const ClusterState& cluster, const Usable& usable) {
+    std::vector<int> balance(cluster.names.zones.size(), 0);
+    for (auto& m : cluster.machines) {
         if (!m || m->zone == kNone || m->doomed || m->returning) continue;
         if (m->up && usable(*m))
             --balance[m->zone];
@@ -169,15 +170,15 @@
     return out;
 }
 
-std::vector<Spare> spares(const Tables& tables, const SizingSettings& settings, double now) {
+std::vector<Spare> spares(const ClusterState& cluster, const SizingSettings& settings, double now) {
     std::vector<Spare> out;
-    for (auto& c : tables.classes) {
+    for (auto& c : cluster.classes) {
         if (c.start_within_s <= 0 || c.arrivals.empty() || c.last.team == kNone) continue;
         double boot = 1e18;
-        for (Index t = 0; t < tables.types.size(); ++t)
-            if (tables.type_fits(c.last, t))
-                boot = std::min(boot, tables.boot_factor * tables.types[t].type.boot_s +
-                                          tables.fetch_s(c.last, t));
+        for (Index t = 0; t < cluster.types.size(); ++t)
+            if (cluster.type_fits(c.last, t))
+                boot = std::min(boot, cluster.boot_factor * cluster.types[t].type.boot_s +
+                                          cluster.fetch_s(c.last, t));
         double fresh = boot + 2 * settings.report_s;
         if (boot > 1e17 || fresh <= c.start_within_s) continue;
         // As many as come, and a little more, while a new machine boots; and room for the largest.
@@ -196,12 +197,12 @@
         Spare spare{&c.last, std::max<int64_t>(largest, within(fresh)), 0};
         // Where machines are cleared soon enough, what comes until then finds empty ones that lower
         // work leaves. Never so many that a small fleet has none left for that work.
-        if (tables.large(c.last) && settings.clear_s + settings.report_s <= c.start_within_s) {
+        if (cluster.large(c.last) && settings.clear_s + settings.report_s <= c.start_within_s) {
             int64_t hold = 0;
-            for (auto& m : tables.machines)
-                if (m && m->up && tables.machine_allowed(c.last, *m) &&
-                    !tables.spares_gpus(c.last, m->type))
-                    hold += c.last.need.times_in(m->size);
+            for (auto& m : cluster.machines)
+                if (m && m->up && cluster.machine_allowed(c.last, *m) &&
+                    !cluster.spares_gpus(c.last, m->type))
+                    hold += c.last.demand.times_in(m->size);
             spare.at_once = std::min(within(settings.clear_s), hold / kMostKept);
         }
         out.push_back(spare);
@@ -296,7 +297,7 @@
 };
 
 struct Layout {
-    const Tables& tables;
+    const ClusterState& cluster;
     double now;
     std::vector<Coming> coming;
     std::vector<bool> silent;
@@ -323,10 +324,10 @@
         k.rooms[c.zone] -= k.holds[i];
         k.holds[i] = 0;
         if (!serves(k, c)) return;
-        k.holds[i] = k.like.need.times_in(c.room);
+        k.holds[i] = k.like.demand.times_in(c.room);
         k.rooms[c.zone] += k.holds[i];
         Opening o{0, i, 0, k.stamps[i]};
-        o.at = c.start(k.like.need, o.taken);
+        o.at = c.start(k.like.demand, o.taken);
         if (o.at > 1e17) return;
         bool rises = c.rising && o.taken == 0;
         if (anew) {
@@ -342,7 +343,7 @@
         k.openings = k.rising = {};
         k.stamps.assign(coming.size(), 0);
         k.holds.assign(coming.size(), 0);
-        k.rooms.assign(tables.names.zones.size(), 0);
+        k.rooms.assign(cluster.names.zones.size(), 0);
         for (size_t i = 0; i < coming.size(); ++i) put(k, i, true);
         std::sort(k.openings.base.begin(), k.openings.base.end());
         std::sort(k.rising.base.begin(), k.rising.base.end());
@@ -350,8 +351,8 @@
 
     // As all machines stand now.
     Kind& kind_of(const JobSpec& spec) {
-        auto it =
-            std::find_if(kinds.begin(), kinds.end(), [&](auto& k) { return k.like.fits_as(spec); });
+        auto it = std::find_if(kinds.begin(), kinds.end(),
+                               [&](auto& k) { return k.like.same_shape_as(spec); });
         bool known = it != kinds.end();
         if (!known) {
             if (kinds.size() < std::max<size_t>(most_kinds, 1)) {
@@ -362,8 +363,9 @@
                 *it = {};
             }
             it->like = spec;
-            for (Index t = 0; t < tables.types.size(); ++t)
-                it->fits_type.push_back(tables.type_fits(spec, t) && !tables.spares_gpus(spec, t));
+            for (Index t = 0; t < cluster.types.size(); ++t)
+                it->fits_type.push_back(cluster.type_fits(spec, t) &&
+                                        !cluster.spares_gpus(spec, t));
         }
         auto& k = *it;
         k.used = ++uses_of_kinds;
@@ -386,7 +388,8 @@
     // whatever more machines cost.
     double eager(const Coming& offer) const {
         if (offer.type == kNone || dearest <= 0) return kSooner;
-        return kSooner * std::max(kEager, std::sqrt(tables.types[offer.type].type.price / dearest));
+        return kSooner *
+               std::max(kEager, std::sqrt(cluster.types[offer.type].type.price / dearest));
     }
 
     // `tasks` of the job, in the zone `only` (kNone: any). `kind`: of the job, as all machines
@@ -397,7 +400,7 @@
         Plan plan;
         plan.late = false;
         plan.latest = 0;
-        double run = tables.expected_run_s(spec);
+        double run = cluster.expected_run_s(spec);
         // The machine with room the soonest goes first: from the list of the kind as far as this
         // plan has not used them, and from those that it has. `uses`: of the machine when this was
         // reckoned.
@@ -415,7 +418,7 @@
         };
         auto add = [&](const Coming& c, size_t i) {
             size_t taken;
-            double at = c.start(spec.need, taken);
+            double at = c.start(spec.demand, taken);
             if (at > 1e17) return;
             again.push_back({{at, i, taken}, uses[i]});
             if (c.rising && taken == 0) risen.push_back(again.back());
@@ -430,9 +433,9 @@
         Coming offer{kNone, kNone, false, 0, {}, {}};
         int64_t most = 0;  // tasks that the largest machine holds: with fewer left the offers'
                            // order may change
-        for (Index t = 0; t < tables.types.size(); ++t)
-            if (tables.type_fits(spec, t))
-                most = std::max(most, spec.need.times_in(tables.types[t].type.size));
+        for (Index t = 0; t < cluster.types.size(); ++t)
+            if (cluster.type_fits(spec, t))
+                most = std::max(most, spec.demand.times_in(cluster.types[t].type.size));
         bool ruled = spec.one_zone || spec.spread;
         for (size_t rest = tasks; rest > 0; --rest) {
             auto zone_of = [&](size_t i) {
@@ -455,13 +458,13 @@
             bool from_list = first && (again.empty() || *first < again.front().open);
             auto* soonest = from_list ? first : again.empty() ? nullptr : &again.front().open;
             if (rest == tasks || ruled || static_cast<int64_t>(rest) < most)
-                offer = cheapest_offer(tables, spec, rest, only, rule, silent, now);
+                offer = cheapest_offer(cluster, spec, rest, only, rule, silent, now);
             // Waiting for room that will be there no later than a new machine costs nothing; longer
             // waits are taken as far as the job can afford them.
             double filled = 1;
             if (offer.type != kNone)
                 filled = std::min(1.0, static_cast<double>(rest) /
-                                           static_cast<double>(spec.need.times_in(offer.room)));
+                                           static_cast<double>(spec.demand.times_in(offer.room)));
             double patience = (kPatience + kThrift * (1 - filled)) * slack;
             double best_at = soonest ? soonest->at : 1e18;
             bool wait = soonest && (offer.type == kNone ||
@@ -501,7 +504,7 @@
             plan.late = plan.late || (wait && next.at > std::max(kSooner * offer.from, patience));
             plan.latest = std::max(plan.latest, next.at);
             auto& c = machine(next.machine);
-            c.take(spec.need, next.at, next.taken, run + tables.fetch_s(spec, c.type));
+            c.take(spec.demand, next.at, next.taken, run + cluster.fetch_s(spec, c.type));
             ++uses[next.machine];
             rule.add(c.zone);
             add(c, next.machine);
@@ -524,7 +527,7 @@
     // The zones to try for a job bound to one, the one with the most room first.
     std::vector<Index> zones_for(const Kind& kind, const ZoneRule& rule) const {
         std::vector<std::pair<int64_t, Index>> rooms;
-        for (Index z = 0; z < tables.names.zones.size(); ++z)
+        for (Index z = 0; z < cluster.names.zones.size(); ++z)
             if (rule.allows(z)) rooms.emplace_back(z < kind.rooms.size() ? -kind.rooms[z] : 0, z);
         std::stable_sort(rooms.begin(), rooms.end(),
                          [](auto& a, auto& b) { return a.first < b.first; });
@@ -536,37 +539,37 @@
 
 }  // namespace
 
-std::vector<Rental> plan_rentals(const Tables& tables, const Usable& usable,
+std::vector<Rental> plan_rentals(const ClusterState& cluster, const Usable& usable,
                                  const SizingSettings& settings, double now) {
     double dearest = 0;
-    for (auto& t : tables.types)
+    for (auto& t : cluster.types)
         if (t.offered) dearest = std::max(dearest, t.type.price);
-    Layout layout{tables,
+    Layout layout{cluster,
                   now,
-                  known_machines(tables, usable, now),
-                  silent_zones(tables, usable),
+                  known_machines(cluster, usable, now),
+                  silent_zones(cluster, usable),
                   dearest,
                   settings.kept_kinds};
     Wanted wanted;
-    std::vector<Resources> team_extra(tables.teams.size());
-    for (auto j : waiting_jobs(tables, now)) {
-        auto& job = *tables.jobs[j];
+    std::vector<Resources> team_extra(cluster.teams.size());
+    for (auto j : waiting_jobs(cluster, now)) {
+        auto& job = *cluster.jobs[j];
         auto& spec = job.spec;
-        auto& team = tables.teams[spec.team];
+        auto& team = cluster.teams[spec.team];
         auto& extra = team_extra[spec.team];
         bool gang = spec.kind == JobKind::Gang;
         bool bound = spec.one_zone && (gang || job.placed > 0);
-        ZoneRule rule(tables, job);
+        ZoneRule rule(cluster, job);
         size_t left = 0;
         while (left < job.pending && left < kMostTasks &&
-               tables.within_limit(team, extra + spec.need * static_cast<int64_t>(left + 1)))
+               cluster.within_limit(team, extra + spec.demand * static_cast<int64_t>(left + 1)))
             ++left;
         if (gang && left < job.pending) continue;
-        extra += spec.need * static_cast<int64_t>(left);
+        extra += spec.demand * static_cast<int64_t>(left);
         double fetch = 0;
-        for (Index t = 0; t < tables.types.size(); ++t)
-            if (tables.type_fits(spec, t)) fetch = std::max(fetch, tables.fetch_s(spec, t));
-        double slack = slack_of(tables, job, fetch, now);
+        for (Index t = 0; t < cluster.types.size(); ++t)
+            if (cluster.type_fits(spec, t)) fetch = std::max(fetch, cluster.fetch_s(spec, t));
+        double slack = slack_of(cluster, job, fetch, now);
         Plan chosen;
         auto& kind = layout.kind_of(spec);
         for (auto only : bound ? layout.zones_for(kind, rule) : std::vector<Index>{kNone}) {
@@ -578,20 +581,20 @@
         for (auto& [key, n] : chosen.wanted) wanted[key] += n;
         layout.adopt(std::move(chosen));
     }
-    for (auto& spare : spares(tables, settings, now)) {
+    for (auto& spare : spares(cluster, settings, now)) {
         int64_t free = 0;
         for (auto& c : layout.coming)
-            if (serves(tables, *spare.like, c)) free += spare.like->need.times_in(c.room);
+            if (serves(cluster, *spare.like, c)) free += spare.like->demand.times_in(c.room);
         Job nobody;
         nobody.spec = *spare.like;
-        ZoneRule anywhere(tables, nobody);
+        ZoneRule anywhere(cluster, nobody);
         while (free < spare.tasks) {
             auto offer =
-                cheapest_offer(tables, *spare.like, static_cast<size_t>(spare.tasks - free), kNone,
+                cheapest_offer(cluster, *spare.like, static_cast<size_t>(spare.tasks - free), kNone,
                                anywhere, layout.silent, now);
             if (offer.type == kNone) break;
             ++wanted[{offer.type, offer.zone, offer.spot}];
-            free += std::max<int64_t>(1, spare.like->need.times_in(offer.room));
+            free += std::max<int64_t>(1, spare.like->demand.times_in(offer.room));
         }
     }
     std::vector<Rental> out;
@@ -602,59 +605,60 @@
 }
 
 namespace {
-bool suits(const Tables& tables, const JobSpec& spec, const Machine& m) {
-    return tables.machine_allowed(spec, m) && !tables.spares_gpus(spec, m.type);
+bool suits(const ClusterState& cluster, const JobSpec& spec, const Machine& m) {
+    return cluster.machine_allowed(spec, m) && !cluster.spares_gpus(spec, m.type);
 }
 
-bool wants(const Tables& tables, const Job& job, const Machine& m) {
-    return suits(tables, job.spec, m) &&
-           tables.within_limit(tables.teams[job.spec.team], job.spec.need);
+bool wants(const ClusterState& cluster, const Job& job, const Machine& m) {
+    return suits(cluster, job.spec, m) &&
+           cluster.within_limit(cluster.teams[job.spec.team], job.spec.demand);
 }
 }  // namespace
 
-Index plan_closing(const Tables& tables, const Usable& usable, double now) {
+Index plan_closing(const ClusterState& cluster, const Usable& usable, double now) {
     Index best = kNone;
     double best_gain = 0;
-    auto waiting = waiting_jobs(tables, now);
+    auto waiting = waiting_jobs(cluster, now);
     auto movable = [&](const TaskRef& ref) {
-        auto& job = *tables.jobs[ref.job];
+        auto& job = *cluster.jobs[ref.job];
         auto& task = job.tasks[ref.task];
-        return job.spec.kind == JobKind::Array && job.spec.checkpoint_s > 0 && !job.spec.one_zone &&
-               !job.spec.spread && job.active() && task.phase == TaskPhase::Running &&
-               !task.stopping && task.running_at > 0 && now - task.running_at >= kSettled_s;
+        return job.spec.kind == JobKind::Array && job.spec.checkpoint_interval_s > 0 &&
+               !job.spec.one_zone && !job.spec.spread && job.active() &&
+               task.phase == TaskPhase::Running && !task.stopping && task.running_at > 0 &&
+               now - task.running_at >= kSettled_s;
     };
-    for (Index i = 0; i < tables.machines.size(); ++i) {
-        auto* m = tables.machines[i].get();
+    for (Index i = 0; i < cluster.machines.size(); ++i) {
+        auto* m = cluster.machines[i].get();
         if (!m || m->tasks.empty() || !usable(*m) || m->reserved_for != kNone) continue;
         if (!std::all_of(m->tasks.begin(), m->tasks.end(), [&](auto& ref) { return movable(ref); }))
             continue;
         if (std::any_of(waiting.begin(), waiting.end(),
-                        [&](Index j) { return wants(tables, *tables.jobs[j], *m); }))
+                        [&](Index j) { return wants(cluster, *cluster.jobs[j], *m); }))
             continue;
-        auto& type = tables.types[m->type].type;
+        auto& type = cluster.types[m->type].type;
         // Room elsewhere, on machines that stay in use anyway.
         std::vector<std::pair<const Machine*, Resources>> others;
-        for (auto& o : tables.machines)
+        for (auto& o : cluster.machines)
             if (o && o.get() != m && usable(*o) && !o->tasks.empty() &&
                 o->tasks.size() >= m->tasks.size())
                 others.emplace_back(o.get(), o->room());
         double longest = 0, moving = 0;
         bool fits = true;
         for (auto& ref : m->tasks) {
-            auto& job = *tables.jobs[ref.job];
+            auto& job = *cluster.jobs[ref.job];
             auto& task = job.tasks[ref.task];
             auto& spec = job.spec;
             double ran = now - task.running_at;
             auto place = std::find_if(others.begin(), others.end(), [&](auto& o) {
-                return tables.machine_allowed(spec, *o.first) && spec.need.fits_in(o.second) &&
+                return cluster.machine_allowed(spec, *o.first) && spec.demand.fits_in(o.second) &&
                        o.first->has_image(spec.image);
             });
             fits = place != others.end();
             if (!fits) break;
-            place->second -= spec.need;
-            double run = tables.expected_run_s(spec);
+            place->second -= spec.demand;
+            double run = cluster.expected_run_s(spec);
             longest = std::max(longest, left_of(run, ran));
-            moving = std::max(moving, spec.save_s + kMove_s);
+            moving = std::max(moving, spec.checkpoint_duration_s + kMove_s);
         }
         if (!fits || longest < 2 * moving) continue;
         double gain = (longest - moving) * (m->spot ? type.spot_price : type.price);
@@ -663,30 +667,31 @@
     return best;
 }
 
-std::vector<Index> plan_returns(const Tables& tables, const SizingSettings& settings, double now) {
+std::vector<Index> plan_returns(const ClusterState& cluster, const SizingSettings& settings,
+                                double now) {
     std::vector<Index> out;
     // Gangs that wait, one of each that want the same machines.
     std::vector<const Job*> gangs;
-    for (auto j : waiting_jobs(tables, now)) {
-        auto& job = *tables.jobs[j];
+    for (auto j : waiting_jobs(cluster, now)) {
+        auto& job = *cluster.jobs[j];
         auto& spec = job.spec;
         if (spec.kind == JobKind::Gang &&
             std::none_of(gangs.begin(), gangs.end(), [&](auto* other) {
-                return other->spec.team == spec.team && other->spec.fits_as(spec);
+                return other->spec.team == spec.team && other->spec.same_shape_as(spec);
             }))
             gangs.push_back(&job);
     }
-    auto spare = spares(tables, settings, now);
+    auto spare = spares(cluster, settings, now);
     auto keeps = [&](const Machine& m) {
         for (auto& s : spare) {
-            if (s.tasks <= 0 || !suits(tables, *s.like, m)) continue;
-            s.tasks -= s.like->need.times_in(m.room());
+            if (s.tasks <= 0 || !suits(cluster, *s.like, m)) continue;
+            s.tasks -= s.like->demand.times_in(m.room());
             return true;
         }
         return false;
     };
-    for (Index i = 0; i < tables.machines.size(); ++i) {
-        auto* m = tables.machines[i].get();
+    for (Index i = 0; i < cluster.machines.size(); ++i) {
+        auto* m = cluster.machines[i].get();
         if (!m || m->returning) continue;
         if (m->doomed || m->status == MachineStatus::Failed) {
             out.push_back(i);
@@ -698,14 +703,14 @@
             continue;
         }
         if (m->reserved(now)) continue;
-        if (m->type >= tables.types.size() || !tables.types[m->type].offered) continue;
+        if (m->type >= cluster.types.size() || !cluster.types[m->type].offered) continue;
         // Only a gang has to wait for several machines at once: a single task that could be placed
         // here would have been. Hundreds of idle machines were once kept for jobs held back by
         // their team's limit.
         if (std::any_of(gangs.begin(), gangs.end(),
-                        [&](auto* job) { return wants(tables, *job, *m); }))
+                        [&](auto* job) { return wants(cluster, *job, *m); }))
             continue;
-        double keep = settings.idle_keep_boots * tables.types[m->type].type.boot_s;
+        double keep = settings.idle_keep_boots * cluster.types[m->type].type.boot_s;
         if (now - m->rented < kLeastCharge_s || now - std::max(m->empty_since, m->up_at) < keep)
             continue;
         if (!keeps(*m)) out.push_back(i);
--- a/src/coordination/sizing.h
+++ b/src/coordination/sizing.h
@@ -25,21 +25,22 @@
 };
 
 // What such classes of the last minutes ask for (Spare).
-std::vector<Spare> spares(const Tables& tables, const SizingSettings& settings, double now);
+std::vector<Spare> spares(const ClusterState& cluster, const SizingSettings& settings, double now);
 
 // By zone: most machines there that once reported are silent. The zone is cut off: its machines are
 // sound, and one rented there could not be used.
-std::vector<bool> silent_zones(const Tables& tables, const Usable& usable);
+std::vector<bool> silent_zones(const ClusterState& cluster, const Usable& usable);
 
 // What waiting work needs beyond the machines that are up or coming up.
-std::vector<Rental> plan_rentals(const Tables& tables, const Usable& usable,
+std::vector<Rental> plan_rentals(const ClusterState& cluster, const Usable& usable,
                                  const SizingSettings& settings, double now);
 
 // The dearest machine whose running tasks can all save and go on where there is room already, if
 // moving them costs less than the machine would until they end. kNone: there is none.
-Index plan_closing(const Tables& tables, const Usable& usable, double now);
+Index plan_closing(const ClusterState& cluster, const Usable& usable, double now);
 
 // Machines that serve nothing any more.
-std::vector<Index> plan_returns(const Tables& tables, const SizingSettings& settings, double now);
+std::vector<Index> plan_returns(const ClusterState& cluster, const SizingSettings& settings,
+                                double now);
 
 }  // namespace weirmill
