--- a/src/coordination/starved.cpp
+++ b/src/coordination/starved.cpp
@@ -11,23 +11,24 @@
 constexpr std::array<const char*, kHeldKinds> kNames = {
     "nothing", "back_off", "spared", "reserved", "quarantined", "unheard", "leaving"};
 
-HeldBy holds(const Tables& tables, const Machine& m, const Usable& usable, Index job, double now) {
+HeldBy holds(const ClusterState& cluster, const Machine& m, const Usable& usable, Index job,
+             double now) {
     if (m.notice_until >= 0 || m.closing || m.returning) return HeldBy::Leaving;
     if (m.quarantined_until > now) return HeldBy::Quarantined;
     if (!usable(m)) return HeldBy::Unheard;
     if (m.reserved(now) && m.reserved_for != job) return HeldBy::Reserved;
-    if (!tables.leaves_gpus_usable(tables.jobs[job]->spec, m)) return HeldBy::Spared;
-    return tables.jobs[job]->not_before > now ? HeldBy::BackOff : HeldBy::Nothing;
+    if (!cluster.leaves_gpus_usable(cluster.jobs[job]->spec, m)) return HeldBy::Spared;
+    return cluster.jobs[job]->not_before > now ? HeldBy::BackOff : HeldBy::Nothing;
 }
 
 // The machine that is held least of those that hold the whole job together; nothing: they don't.
-std::optional<Starved> starved(const Tables& tables, const std::vector<Index>& roomy,
+std::optional<Starved> starved(const ClusterState& cluster, const std::vector<Index>& roomy,
                                const Usable& usable, Index j, double now) {
-    auto& job = *tables.jobs[j];
+    auto& job = *cluster.jobs[j];
     auto& spec = job.spec;
     // Of an array one task is enough to begin; all others begin whole.
     int64_t wanted = spec.kind == JobKind::Array ? 1 : job.pending;
-    if (!tables.within_limit(tables.teams[spec.team], spec.need * wanted)) return {};
+    if (!cluster.within_limit(cluster.teams[spec.team], spec.demand * wanted)) return {};
     struct Room {
         Index machine, zone;
         HeldBy held;
@@ -35,10 +36,10 @@
     };
     std::vector<Room> rooms;
     for (auto i : roomy) {
-        auto& m = *tables.machines[i];
-        if (!spec.need.fits_in(m.room()) || !tables.machine_allowed(spec, m)) continue;
-        auto n = std::min<int64_t>(spec.need.times_in(m.room()), wanted);
-        rooms.push_back({i, m.zone, holds(tables, m, usable, j, now), n});
+        auto& m = *cluster.machines[i];
+        if (!spec.demand.fits_in(m.room()) || !cluster.machine_allowed(spec, m)) continue;
+        auto n = std::min<int64_t>(spec.demand.times_in(m.room()), wanted);
+        rooms.push_back({i, m.zone, holds(cluster, m, usable, j, now), n});
     }
     std::sort(rooms.begin(), rooms.end(), [](auto& a, auto& b) { return a.held < b.held; });
     int64_t all = 0;
@@ -57,34 +58,34 @@
 
 }  // namespace
 
-std::vector<Starved> starved_jobs(const Tables& tables, const Usable& usable, double now,
+std::vector<Starved> starved_jobs(const ClusterState& cluster, const Usable& usable, double now,
                                   double waits_s) {
     std::vector<Index> waiting;
     Resources least;
-    for (Index j = 0; j < tables.jobs.size(); ++j) {
-        auto* job = tables.jobs[j].get();
+    for (Index j = 0; j < cluster.jobs.size(); ++j) {
+        auto* job = cluster.jobs[j].get();
         if (!job || !job->active() || job->waits || job->placed > 0 || job->done > 0 ||
             job->pending == 0)
             continue;
         if (now - job->came_at() < waits_s) continue;
-        auto& need = job->spec.need;
+        auto& demand = job->spec.demand;
         least = waiting.empty()
-                    ? need
-                    : Resources{std::min(least.cpu, need.cpu), std::min(least.gpu, need.gpu),
-                                std::min(least.mem, need.mem)};
+                    ? demand
+                    : Resources{std::min(least.cpu, demand.cpu), std::min(least.gpu, demand.gpu),
+                                std::min(least.mem, demand.mem)};
         waiting.push_back(j);
     }
     // The machines that could hold any of them: where many wait, most are full, and need not be
     // looked at for each.
     std::vector<Index> roomy;
-    for (Index i = 0; i < tables.machines.size() && !waiting.empty(); ++i) {
-        auto* m = tables.machines[i].get();
+    for (Index i = 0; i < cluster.machines.size() && !waiting.empty(); ++i) {
+        auto* m = cluster.machines[i].get();
         if (m && m->up && !m->doomed && m->zone != kNone && least.fits_in(m->room()))
             roomy.push_back(i);
     }
     std::vector<Starved> out;
     for (auto j : waiting)
-        if (auto s = starved(tables, roomy, usable, j, now)) out.push_back(*s);
+        if (auto s = starved(cluster, roomy, usable, j, now)) out.push_back(*s);
     return out;
 }
 
--- a/src/coordination/starved.h
+++ b/src/coordination/starved.h
@@ -33,7 +33,7 @@
 
 // Of the jobs of which nothing has been placed for `waits_s` seconds since they could begin.
 // Machines that never were up or are given up have no room.
-std::vector<Starved> starved_jobs(const Tables& tables, const Usable& usable, double now,
+std::vector<Starved> starved_jobs(const ClusterState& cluster, const Usable& usable, double now,
                                   double waits_s);
 
 void starved_gauges(const std::vector<Starved>& starved, std::map<std::string, double>& out);
--- a/src/doors/door.cpp
+++ b/src/doors/door.cpp
@@ -50,7 +50,7 @@
       kv_(state),
       metrics_(metrics),
       resting_(std::move(resting)),
-      tables_(settings),
+      cluster_(settings),
       reads_(settings.state_rps * kReadShare, 2.0),
       writes_(settings.state_write_rps * kWriteShare, 2.0),
       apart_(io) {
@@ -59,7 +59,7 @@
 }
 
 bool Door::open() const {
-    return properties_.doors_enabled && collect_ && whole_ && tables_.types_known &&
+    return properties_.doors_enabled && collect_ && whole_ && cluster_.types_known &&
            steady_now() - heard_at_ < kQuiet_s;
 }
 
@@ -93,12 +93,12 @@
             auto types = co_await kv_.get(kTypesKey, kRead_s);
             try {
                 if (types)
-                    tables_.set_types(parse_machine_types(json::serialize(types.value.value)));
+                    cluster_.set_types(parse_machine_types(json::serialize(types.value.value)));
             } catch (const BadMessage& e) {
                 spdlog::error("door: malformed record {}: {}", kTypesKey, e.what());
             }
         }
-        co_await sleep_s(marked && collect_ && tables_.types_known ? kMarks_s : 1.0);
+        co_await sleep_s(marked && collect_ && cluster_.types_known ? kMarks_s : 1.0);
     }
 }
 
@@ -151,7 +151,7 @@
         bool begins = true, in_order = true;
         for (bool more = true; more && in_order;) {
             reads_.take(1);
-            auto page = co_await kv_.list(kSegments, after, kSegmentsAPage, kRead_s);
+            auto page = co_await kv_.list(kSegmentPrefix, after, kSegmentsAPage, kRead_s);
             if (!heard(page) || !page) co_return false;
             try {
                 in_order = view_.take(page.value, begins);
@@ -266,7 +266,7 @@
     JobSpec spec;
     std::optional<PeerReply> malformed;
     try {
-        spec = parse_submission(body, tables_.names);
+        spec = parse_submission(body, cluster_.names);
     } catch (const BadMessage& e) {
         malformed = PeerReply{400, json::serialize(json::object{{"error", e.what()}})};
     }
@@ -276,8 +276,8 @@
         co_return co_await refuse(std::move(id), std::move(*malformed));
     }
     PeerReply never{422, R"({"error":"can never run"})"};
-    if (tables_.never_runs(spec)) co_return co_await refuse(spec.id, std::move(never));
-    DoorRecord record{submission_json(spec, tables_.names), wall_now(), false};
+    if (cluster_.never_runs(spec)) co_return co_await refuse(spec.id, std::move(never));
+    DoorRecord record{submission_json(spec, cluster_.names), wall_now(), false};
     size_t read = 0;
     if (!spec.dependencies.empty() && !co_await fresh(true)) co_return come_back();
     for (auto& d : spec.dependencies) {
@@ -296,7 +296,7 @@
     // A longer one is told in pieces by the leader; this door has one value for it.
     if (door_record(record).size() + kRecordSpare > settings_.value_kb * 1024)
         co_return come_back();
-    if (view_.tasks() + spec.tasks > tables_.max_tasks) co_return come_back(10);
+    if (view_.tasks() + spec.tasks > cluster_.max_tasks) co_return come_back(10);
     if (!may_write(steady_now())) co_return come_back();
     auto moment = view_.moment();
     auto txn = door_accept(spec.id, record);
--- a/src/doors/door.h
+++ b/src/doors/door.h
@@ -56,7 +56,7 @@
     KvClient& kv_;
     Metrics& metrics_;
     std::function<bool()> resting_;
-    Tables tables_;  // names, teams, machine types and limits only
+    ClusterState cluster_;  // names, teams, machine types and limits only
     LogView view_;
     bool whole_ = false;    // the view
     bool collect_ = false;  // every controller collects
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -32,9 +32,10 @@
 
 }  // namespace
 
-LinkReport leader_links(const Tables& tables, const LinkTimes& times, double lease_s, double now) {
+LinkReport leader_links(const ClusterState& cluster, const LinkTimes& times, double lease_s,
+                        double now) {
     LinkReport r;
-    for (auto& m : tables.machines) {
+    for (auto& m : cluster.machines) {
         if (!m || m->last_report <= 0) continue;
         r.direct += m->direct_at > 0 && now - m->direct_at < times.heard_s;
         r.reach += now - m->last_report < times.heard_s;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -15,7 +15,8 @@
 namespace weirmill {
 
 // A leader's own links, from what its workers sent and by which way it came.
-LinkReport leader_links(const Tables& tables, const LinkTimes& times, double lease_s, double now);
+LinkReport leader_links(const ClusterState& cluster, const LinkTimes& times, double lease_s,
+                        double now);
 
 class Membership {
   public:
--- a/src/protocol/types.h
+++ b/src/protocol/types.h
@@ -81,20 +81,20 @@
     JobKind kind = JobKind::Array;
     Priority priority = Priority::Normal;
     uint32_t tasks = 1;
-    Resources need;
+    Resources demand;
     std::vector<Index> types;  // empty: any
     Index zone = kNone;        // kNone: any
     bool one_zone = false, spread = false, spot = false;
     Index image = kNone;
     double image_gb = 0;
-    double estimate_s = 0, checkpoint_s = 0, save_s = 0;
+    double estimate_s = 0, checkpoint_interval_s = 0, checkpoint_duration_s = 0;
     double deadline_s = -1;  // < 0: none
     // As the message named them; once the job is in the tables, its dependencies are kept by index.
     std::vector<std::string> dependencies;
     // The same machines may run its tasks, as many on each; zones that the rest of a job rules out
     // aside.
-    bool fits_as(const JobSpec& o) const {
-        return need == o.need && spot == o.spot && zone == o.zone && types == o.types;
+    bool same_shape_as(const JobSpec& o) const {
+        return demand == o.demand && spot == o.spot && zone == o.zone && types == o.types;
     }
 };
 
--- a/src/protocol/user_codec.cpp
+++ b/src/protocol/user_codec.cpp
@@ -88,9 +88,9 @@
     auto tasks = read::count(o, "lots");
     if (tasks < 1 || tasks > kMaxTasks) read::bad("lots");
     s.tasks = static_cast<uint32_t>(tasks);
-    s.need.cpu = milli_up(read::number(o, "cores"));
-    s.need.gpu = milli_up(read::number(o, "accelerators"));
-    s.need.mem = milli_up(read::number(o, "mem_gb"));
+    s.demand.cpu = milli_up(read::number(o, "cores"));
+    s.demand.gpu = milli_up(read::number(o, "accelerators"));
+    s.demand.mem = milli_up(read::number(o, "mem_gb"));
     std::vector<std::string> types;
     if (read::field(o, "rigs")) {
         auto& list = read::array(o, "rigs");
@@ -108,8 +108,8 @@
     auto image = read::text(o, "bundle");
     s.image_gb = read::number(o, "size_gb");
     s.estimate_s = read::number(o, "expected_s");
-    s.checkpoint_s = read::number(o, "tally_s");
-    s.save_s = read::number(o, "bank_s");
+    s.checkpoint_interval_s = read::number(o, "tally_s");
+    s.checkpoint_duration_s = read::number(o, "bank_s");
     s.deadline_s = read::field(o, "due_s") ? read::number(o, "due_s") : -1;
     if (read::field(o, "awaits")) {
         auto& list = read::array(o, "awaits");
@@ -141,9 +141,9 @@
     for (auto& p : kPriorities)
         if (p.priority == s.priority) o["urgency"] = p.wire;
     o["lots"] = s.tasks;
-    o["cores"] = amount(s.need.cpu);
-    o["accelerators"] = amount(s.need.gpu);
-    o["mem_gb"] = amount(s.need.mem);
+    o["cores"] = amount(s.demand.cpu);
+    o["accelerators"] = amount(s.demand.gpu);
+    o["mem_gb"] = amount(s.demand.mem);
     if (!s.types.empty()) {
         json::array types;
         for (auto t : s.types) types.emplace_back(names.types.name(t));
@@ -156,8 +156,8 @@
     o["bundle"] = names.images.name(s.image);
     o["size_gb"] = s.image_gb;
     o["expected_s"] = s.estimate_s;
-    o["tally_s"] = s.checkpoint_s;
-    o["bank_s"] = s.save_s;
+    o["tally_s"] = s.checkpoint_interval_s;
+    o["bank_s"] = s.checkpoint_duration_s;
     if (s.deadline_s >= 0) o["due_s"] = s.deadline_s;
     // Never an empty list: a record without dependencies stays as versions without pipelines wrote
     // it.
@@ -188,9 +188,9 @@
         if (p.priority == s.priority) text(",\"urgency\":", p.wire);
     out += ",\"lots\":";
     write::number(out, s.tasks);
-    number(",\"cores\":", amount(s.need.cpu));
-    number(",\"accelerators\":", amount(s.need.gpu));
-    number(",\"mem_gb\":", amount(s.need.mem));
+    number(",\"cores\":", amount(s.demand.cpu));
+    number(",\"accelerators\":", amount(s.demand.gpu));
+    number(",\"mem_gb\":", amount(s.demand.mem));
     for (size_t i = 0; i < s.types.size(); ++i)
         text(i == 0 ? ",\"rigs\":[" : ",", names.types.name(s.types[i]));
     if (!s.types.empty()) out += ']';
@@ -201,8 +201,8 @@
     text(",\"bundle\":", names.images.name(s.image));
     number(",\"size_gb\":", s.image_gb);
     number(",\"expected_s\":", s.estimate_s);
-    number(",\"tally_s\":", s.checkpoint_s);
-    number(",\"bank_s\":", s.save_s);
+    number(",\"tally_s\":", s.checkpoint_interval_s);
+    number(",\"bank_s\":", s.checkpoint_duration_s);
     if (s.deadline_s >= 0) number(",\"due_s\":", s.deadline_s);
     for (size_t i = 0; i < s.dependencies.size(); ++i)
         text(i == 0 ? ",\"awaits\":[" : ",", s.dependencies[i]);
--- a/src/traces/shape.cpp
+++ b/src/traces/shape.cpp
@@ -213,9 +213,9 @@
     };
     for (double v : {d.cores, d.gpus, d.mem_gb})
         if (!(v >= 0 && v < 1e6)) return no_fit();
-    spec.need = {milli_up(d.cores), milli_up(d.gpus), milli_up(d.mem_gb)};
+    spec.demand = {milli_up(d.cores), milli_up(d.gpus), milli_up(d.mem_gb)};
     if (std::none_of(types_.begin(), types_.end(),
-                     [&](auto& t) { return spec.need.fits_in(t.size); }))
+                     [&](auto& t) { return spec.demand.fits_in(t.size); }))
         return no_fit();
     spec.kind = d.gang ? JobKind::Gang : JobKind::Array;
     spec.priority = *wanted;
@@ -226,8 +226,8 @@
     spec.image = names_.images.intern("image-" + d.job_class);
     spec.image_gb = map_.image_gb;
     spec.estimate_s = d.run_s;
-    spec.checkpoint_s = map_.tally_s;
-    spec.save_s = map_.bank_s;
+    spec.checkpoint_interval_s = map_.tally_s;
+    spec.checkpoint_duration_s = map_.bank_s;
     spec.deadline_s = map_.due_factor > 0 ? map_.due_factor * d.run_s : -1;
     return {};
 }
--- a/src/traces/stats.cpp
+++ b/src/traces/stats.cpp
@@ -158,8 +158,9 @@
 
 void LoadStats::add(double at_s, const JobSpec& spec, const std::string& job_class) {
     arrivals_.add(at_s);
-    double tasks = spec.tasks, cores = static_cast<double>(spec.need.cpu) / 1000;
-    double gpus = static_cast<double>(spec.need.gpu) / 1000, hours = tasks * spec.estimate_s / 3600;
+    double tasks = spec.tasks, cores = static_cast<double>(spec.demand.cpu) / 1000;
+    double gpus = static_cast<double>(spec.demand.gpu) / 1000,
+           hours = tasks * spec.estimate_s / 3600;
     for (auto* c : {&all_, &classes_[job_class]}) {
         ++c->jobs;
         c->gangs += spec.kind == JobKind::Gang;
--- a/tests/begin_test.cpp
+++ b/tests/begin_test.cpp
@@ -21,13 +21,13 @@
     auto cancelled = w.job(w.spec("req-5", JobKind::Array, 1, 1));
     auto fresh = w.job(w.spec("req-6", JobKind::Array, 1, 1));
     for (auto j : {old, older, begun, waits, cancelled, fresh})
-        w.tables.jobs[j]->seen_at = w.now - 169;
-    w.tables.jobs[older]->seen_at = w.now - 200;
-    w.tables.jobs[fresh]->seen_at = w.now - 167;
-    w.tables.jobs[waits]->waits = true;
-    w.tables.jobs[cancelled]->cancelled = true;
-    EXPECT_EQ(late_to_begin(w.tables, 240, w.now), (std::vector<Index>{older, old}));
-    EXPECT_TRUE(late_to_begin(w.tables, 0, w.now).empty());
+        w.cluster.jobs[j]->seen_at = w.now - 169;
+    w.cluster.jobs[older]->seen_at = w.now - 200;
+    w.cluster.jobs[fresh]->seen_at = w.now - 167;
+    w.cluster.jobs[waits]->waits = true;
+    w.cluster.jobs[cancelled]->cancelled = true;
+    EXPECT_EQ(late_to_begin(w.cluster, 240, w.now), (std::vector<Index>{older, old}));
+    EXPECT_TRUE(late_to_begin(w.cluster, 0, w.now).empty());
 }
 
 TEST(Begin, ALateJobGoesBeforeItsEqualsAndNoFurther) {
@@ -48,10 +48,10 @@
         w.machine("m0");
         auto other = w.job(w.spec("req-1", JobKind::Array, 8, 1));
         auto late = w.job(w.spec("req-2", row.kind, row.tasks, 1, 0, row.late));
-        w.tables.jobs[late]->submitted = 2000;  // behind by the order among equals
-        place_waiting(w.tables, any_machine, w.now, 4096, {}, {late});
-        EXPECT_EQ(w.tables.jobs[late]->placed, row.placed) << row.why;
-        EXPECT_EQ(w.tables.jobs[other]->placed, 8 - row.placed) << row.why;
+        w.cluster.jobs[late]->submitted = 2000;  // behind by the order among equals
+        place_waiting(w.cluster, any_machine, w.now, 4096, {}, {late});
+        EXPECT_EQ(w.cluster.jobs[late]->placed, row.placed) << row.why;
+        EXPECT_EQ(w.cluster.jobs[other]->placed, 8 - row.placed) << row.why;
     }
 }
 
@@ -65,21 +65,21 @@
     spec.one_zone = true;
     auto wide = w.job(spec);
     w.running(w.spec("req-9", JobKind::Gang, 1, 7, 0, Priority::High), {on[4]});
-    EXPECT_EQ(gather_machines(w.tables, any_machine, wide, w.now),
+    EXPECT_EQ(gather_machines(w.cluster, any_machine, wide, w.now),
               (std::vector<Index>{on[0], on[1]}));
     w.running(w.spec("req-8", JobKind::Gang, 1, 7, 0, Priority::High), {on[0]});
-    auto kept = gather_machines(w.tables, any_machine, wide, w.now);
+    auto kept = gather_machines(w.cluster, any_machine, wide, w.now);
     EXPECT_EQ(kept, (std::vector<Index>{on[2], on[3]}));
     for (auto i : kept) {
-        w.tables.machines[i]->reserved_for = wide;
-        w.tables.machines[i]->reserved_until = w.now + 5;
+        w.cluster.machines[i]->reserved_for = wide;
+        w.cluster.machines[i]->reserved_until = w.now + 5;
     }
     auto small = w.job(w.spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
-    place_waiting(w.tables, any_machine, w.now);
-    EXPECT_EQ(w.tables.jobs[small]->placed, 0u);
-    w.tables.finish(w.tables.machines[on[4]]->tasks[0].job, 0, w.now);
-    place_waiting(w.tables, any_machine, w.now, 4096, {}, {wide});
-    EXPECT_EQ(w.tables.jobs[wide]->placed, 3u);
+    place_waiting(w.cluster, any_machine, w.now);
+    EXPECT_EQ(w.cluster.jobs[small]->placed, 0u);
+    w.cluster.finish(w.cluster.machines[on[4]]->tasks[0].job, 0, w.now);
+    place_waiting(w.cluster, any_machine, w.now, 4096, {}, {wide});
+    EXPECT_EQ(w.cluster.jobs[wide]->placed, 3u);
 }
 
 }  // namespace
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -22,18 +22,18 @@
 
 TEST(UserCodec, ReadsAndWritesTheSameJob) {
     test::World w;
-    auto first = parse_submission(json::serialize(sound_submission()), w.tables.names);
+    auto first = parse_submission(json::serialize(sound_submission()), w.cluster.names);
     EXPECT_EQ(first.id, "req-000412");
     EXPECT_EQ(first.kind, JobKind::Gang);
     EXPECT_EQ(first.priority, Priority::High);
-    EXPECT_EQ(first.need, (Resources{8000, 1000, 64000}));
+    EXPECT_EQ(first.demand, (Resources{8000, 1000, 64000}));
     EXPECT_TRUE(first.one_zone && first.spot && !first.spread);
     EXPECT_EQ(first.zone, kNone);
-    EXPECT_EQ(w.tables.names.teams.name(first.team), "red");
+    EXPECT_EQ(w.cluster.names.teams.name(first.team), "red");
     auto again =
-        parse_submission(json::serialize(submission_json(first, w.tables.names)), w.tables.names);
-    EXPECT_EQ(json::serialize(submission_json(again, w.tables.names)),
-              json::serialize(submission_json(first, w.tables.names)));
+        parse_submission(json::serialize(submission_json(first, w.cluster.names)), w.cluster.names);
+    EXPECT_EQ(json::serialize(submission_json(again, w.cluster.names)),
+              json::serialize(submission_json(first, w.cluster.names)));
 }
 
 struct BadSubmission {
@@ -60,14 +60,14 @@
         test::World w;
         auto o = sound_submission();
         row.value.is_null() ? (void)o.erase(row.field) : (void)(o[row.field] = row.value);
-        EXPECT_THROW(parse_submission(json::serialize(o), w.tables.names), BadMessage)
+        EXPECT_THROW(parse_submission(json::serialize(o), w.cluster.names), BadMessage)
             << row.field << " " << row.value;
     }
     test::World w;
     for (const char* text : {"", "{", "[]", "7", "null", "{\"name_id\":1e999}"})
-        EXPECT_THROW(parse_submission(std::string_view(text), w.tables.names), BadMessage) << text;
+        EXPECT_THROW(parse_submission(std::string_view(text), w.cluster.names), BadMessage) << text;
     std::string deep(5000, '[');
-    EXPECT_THROW(parse_submission(std::string_view(deep), w.tables.names), BadMessage);
+    EXPECT_THROW(parse_submission(std::string_view(deep), w.cluster.names), BadMessage);
 }
 
 TEST(UserCodec, ReadsWhatAJobWaitsForOnce) {
@@ -82,9 +82,9 @@
         test::World w;
         auto o = sound_submission();
         o["awaits"] = row.awaits;
-        auto spec = parse_submission(json::serialize(o), w.tables.names);
+        auto spec = parse_submission(json::serialize(o), w.cluster.names);
         EXPECT_EQ(spec.dependencies, row.read) << row.awaits;
-        EXPECT_EQ(submission_json(spec, w.tables.names).contains("awaits"), !row.read.empty());
+        EXPECT_EQ(submission_json(spec, w.cluster.names).contains("awaits"), !row.read.empty());
     }
 }
 
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -53,7 +53,7 @@
     auto m0 = w.machine("m0"), m1 = w.machine("m1");
     auto many = w.running(w.spec("req-1", JobKind::Array, 3, 2, 0, Priority::Low), {m0, m0, m1});
     auto big = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
-    auto round = plan_preemption(w.tables, any_machine, w.now);
+    auto round = plan_preemption(w.cluster, any_machine, w.now);
     ASSERT_EQ(round.clearings.size(), 1u);
     EXPECT_EQ(round.clearings[0].job, big);
     EXPECT_EQ(round.clearings[0].machines, std::vector<Index>{m1});
@@ -66,7 +66,7 @@
     w.running(w.spec("req-1", JobKind::Array, 1, 4, 0, Priority::Low), {m0});
     auto gang = w.running(w.spec("req-2", JobKind::Gang, 2, 4, 0, Priority::Low), {m1, m2});
     w.job(w.spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High));
-    auto round = plan_preemption(w.tables, any_machine, w.now);
+    auto round = plan_preemption(w.cluster, any_machine, w.now);
     ASSERT_EQ(round.clearings.size(), 1u);
     EXPECT_EQ(round.clearings[0].machines, (std::vector<Index>{m1, m2}));
     EXPECT_EQ(round.stops, (std::vector<TaskRef>{{gang, 0}, {gang, 1}}));
@@ -96,7 +96,7 @@
         w.running(w.spec("req-1", JobKind::Array, 1, 8, 0, row.victim, row.victim_team), {m});
         w.job(
             w.spec("req-2", JobKind::Array, 1, row.waiting_cpus, 0, row.waiting, row.waiting_team));
-        EXPECT_EQ(plan_preemption(w.tables, any_machine, w.now).clearings.size(), row.clearings)
+        EXPECT_EQ(plan_preemption(w.cluster, any_machine, w.now).clearings.size(), row.clearings)
             << row.why;
     }
 }
@@ -106,9 +106,9 @@
     auto m0 = w.machine("m0"), m1 = w.machine("m1");
     w.running(w.spec("req-1", JobKind::Array, 2, 4, 0, Priority::Low), {m0, m1});
     auto big = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
-    w.tables.machines[m0]->reserved_for = big;
-    w.tables.machines[m0]->reserved_until = w.now + 10;
-    EXPECT_TRUE(plan_preemption(w.tables, any_machine, w.now).clearings.empty());
+    w.cluster.machines[m0]->reserved_for = big;
+    w.cluster.machines[m0]->reserved_until = w.now + 10;
+    EXPECT_TRUE(plan_preemption(w.cluster, any_machine, w.now).clearings.empty());
 }
 
 TEST(Preemption, JobsOfARoundDoNotCountOnTheSameFreeRoom) {
@@ -124,8 +124,8 @@
     }
     auto first = w.job(w.spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
     auto second = w.job(w.spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High));
-    w.tables.jobs[first]->submitted = 1;
-    auto round = plan_preemption(w.tables, any_machine, w.now);
+    w.cluster.jobs[first]->submitted = 1;
+    auto round = plan_preemption(w.cluster, any_machine, w.now);
     ASSERT_EQ(round.clearings.size(), 2u);
     EXPECT_EQ(round.clearings[0].job, first);
     EXPECT_EQ(round.clearings[0].machines, std::vector<Index>{busy[0]});
@@ -140,12 +140,12 @@
     auto m0 = w.machine("m0"), m1 = w.machine("m1");
     auto gang = w.job(w.spec("req-1", JobKind::Gang, 1, 7, 0, Priority::High));
     for (auto i : {m0, m1}) {
-        w.tables.machines[i]->reserved_for = gang;
-        w.tables.machines[i]->reserved_until = w.now + 50;
+        w.cluster.machines[i]->reserved_for = gang;
+        w.cluster.machines[i]->reserved_until = w.now + 50;
     }
-    place_waiting(w.tables, any_machine, w.now);
+    place_waiting(w.cluster, any_machine, w.now);
     auto next = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
-    EXPECT_EQ(place_waiting(w.tables, any_machine, w.now),
+    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now),
               (std::vector<Placement>{{next, 0, m1, 1}}));
 }
 
@@ -174,27 +174,27 @@
         spec.one_zone = true;
         spec.image_gb = 6;
         for (auto& name : row.image_on)
-            w.tables.machines[w.tables.find_machine(name)]->images = {spec.image};
+            w.cluster.machines[w.cluster.find_machine(name)]->images = {spec.image};
         w.job(spec);
         std::vector<std::string> on;
-        for (auto& p : place_waiting(w.tables, any_machine, w.now))
-            on.push_back(w.tables.machines[p.machine]->name);
+        for (auto& p : place_waiting(w.cluster, any_machine, w.now))
+            on.push_back(w.cluster.machines[p.machine]->name);
         EXPECT_EQ(on, row.expected) << row.why;
     }
 }
 
-TEST(Tables, ImagesOfAMachineAreThoseThatItsCacheHolds) {
+TEST(ClusterState, ImagesOfAMachineAreThoseThatItsCacheHolds) {
     World w;
     auto m = w.machine("m0");  // of 50 GB
     std::vector<JobSpec> specs;
     for (int i = 0; i < 4; ++i) {
         specs.push_back(w.spec("req-" + std::to_string(i), JobKind::Array, 1, 1));
-        specs.back().image = w.tables.names.images.intern("i" + std::to_string(i));
+        specs.back().image = w.cluster.names.images.intern("i" + std::to_string(i));
         specs.back().image_gb = 20;
         w.job(specs.back());
     }
-    auto& machine = *w.tables.machines[m];
-    for (int i : {0, 1, 0, 2}) w.tables.saw_image(machine, specs[i]);
+    auto& machine = *w.cluster.machines[m];
+    for (int i : {0, 1, 0, 2}) w.cluster.saw_image(machine, specs[i]);
     EXPECT_EQ(machine.images, (std::vector<Index>{specs[0].image, specs[2].image}));
 }
 
@@ -230,15 +230,15 @@
         auto spec = w.spec("req-1", JobKind::Gang, 3, 7);
         spec.image_gb = row.gb;
         auto j = w.running(spec, on);
-        auto& job = *w.tables.jobs[j];
+        auto& job = *w.cluster.jobs[j];
         for (uint32_t t = 0; t < 3; ++t)
-            if (row.has[t]) w.tables.machines[on[t]]->images = {spec.image};
+            if (row.has[t]) w.cluster.machines[on[t]]->images = {spec.image};
         if (row.launched) {
             job.tasks[1].start_seq = 7;
             job.tasks[1].placed_at = static_cast<float>(w.now - row.ago);
         }
         for (uint32_t t = 0; t < 3; ++t)
-            EXPECT_EQ(may_launch(w.tables, job, t, 30, 2, w.now), row.launches[t])
+            EXPECT_EQ(may_launch(w.cluster, job, t, 30, 2, w.now), row.launches[t])
                 << row.why << ", task " << t;
     }
 }
@@ -253,12 +253,12 @@
     auto gang = w.spec("req-8", JobKind::Gang, 1, 7, 0, Priority::High);
     std::vector<Spare> spare{{&gang, 2, 2}};
     w.job(w.spec("req-1", JobKind::Array, 20, 4, 0, Priority::Low));
-    auto placed = place_waiting(w.tables, any_machine, w.now, 100, spare);
+    auto placed = place_waiting(w.cluster, any_machine, w.now, 100, spare);
     EXPECT_EQ(placed.size(),
               3u);  // one beside the other, two on the one empty machine that is not kept
     auto first = w.job(w.spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
-    place_waiting(w.tables, any_machine, w.now, 100, spare);
-    EXPECT_EQ(w.tables.jobs[first]->placed, 2u);
+    place_waiting(w.cluster, any_machine, w.now, 100, spare);
+    EXPECT_EQ(w.cluster.jobs[first]->placed, 2u);
 }
 
 TEST(Sizing, MachinesStayEmptyForGangsThatComeBeforeOthersAreCleared) {
@@ -281,8 +281,8 @@
     };
     for (auto& row : rows) {
         World w;
-        w.tables.classes.resize(w.tables.names.classes.intern("class") + 1);
-        w.tables.classes.back().start_within_s = row.start_within_s;
+        w.cluster.classes.resize(w.cluster.names.classes.intern("class") + 1);
+        w.cluster.classes.back().start_within_s = row.start_within_s;
         for (int i = 0; i < row.machines; ++i) w.machine("m" + std::to_string(i));
         for (int i = 0; i < 6; ++i)
             w.job(w.spec("req-" + std::to_string(i), row.kind, 2, row.cpus, 0, Priority::High));
@@ -290,12 +290,12 @@
         settings.report_s = 2;
         settings.clear_s = row.clear_s;
         std::vector<std::pair<int64_t, int64_t>> got;
-        for (auto& s : spares(w.tables, settings, w.now)) got.emplace_back(s.tasks, s.at_once);
+        for (auto& s : spares(w.cluster, settings, w.now)) got.emplace_back(s.tasks, s.at_once);
         EXPECT_EQ(got, row.kept) << row.why;
     }
 }
 
-TEST(Tables, AGuaranteeWithoutAFigureForCpusCoversThoseBesideGpus) {
+TEST(ClusterState, AGuaranteeWithoutAFigureForCpusCoversThoseBesideGpus) {
     struct Row {
         const char* why;
         TeamSettings team;
@@ -315,16 +315,16 @@
     for (auto& row : rows) {
         World w;
         w.settings.teams = {row.team};
-        Tables tables(w.settings);
-        tables.set_types({w.tables.types[0].type, w.tables.types[1].type});
-        std::swap(w.tables, tables);
+        ClusterState cluster(w.settings);
+        cluster.set_types({w.cluster.types[0].type, w.cluster.types[1].type});
+        std::swap(w.cluster, cluster);
         auto spec = w.spec("req-1", JobKind::Array, 2, row.cpus, row.gpus, Priority::Normal, "t");
         auto j = w.running(spec, {w.machine("m0", "gpu"), w.machine("m1", "gpu")});
-        auto& team = w.tables.teams[0];
-        EXPECT_EQ(w.tables.jobs[j]->guaranteed, row.guaranteed) << row.why;
-        EXPECT_EQ(w.tables.over_guarantee(team, spec.need), row.over) << row.why;
-        team.used -= spec.need;
-        EXPECT_EQ(w.tables.within_guarantee(team, spec.need), row.owed) << row.why;
+        auto& team = w.cluster.teams[0];
+        EXPECT_EQ(w.cluster.jobs[j]->guaranteed, row.guaranteed) << row.why;
+        EXPECT_EQ(w.cluster.over_guarantee(team, spec.demand), row.over) << row.why;
+        team.used -= spec.demand;
+        EXPECT_EQ(w.cluster.within_guarantee(team, spec.demand), row.owed) << row.why;
     }
 }
 
@@ -335,7 +335,7 @@
     w.running(w.spec("req-1", JobKind::Array, 1, 5), {fuller});
     auto small = w.job(w.spec("req-2", JobKind::Array, 2, 3));
     auto needs_gpu = w.job(w.spec("req-3", JobKind::Array, 1, 1, 1, Priority::Low));
-    auto placed = place_waiting(w.tables, any_machine, w.now);
+    auto placed = place_waiting(w.cluster, any_machine, w.now);
     EXPECT_EQ(placed, (std::vector<Placement>{
                           {small, 0, fuller, 1}, {small, 1, empty, 1}, {needs_gpu, 0, gpu, 1}}));
 }
@@ -345,8 +345,8 @@
     w.machine("m0");
     auto m1 = w.machine("m1");
     auto j = w.job(w.spec("req-1", JobKind::Array, 1, 3));
-    w.tables.machines[m1]->images = {w.tables.jobs[j]->spec.image};
-    EXPECT_EQ(place_waiting(w.tables, any_machine, w.now)[0].machine, m1);
+    w.cluster.machines[m1]->images = {w.cluster.jobs[j]->spec.image};
+    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now)[0].machine, m1);
 }
 
 // A cluster and its jobs drawn from a seed. `alike`: the tasks of many jobs are of the same few
@@ -355,12 +355,12 @@
     std::mt19937 random(seed);
     auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
     World w;
-    auto& names = w.tables.names;
+    auto& names = w.cluster.names;
     std::vector<Index> machines;
     for (uint32_t i = 0, n = 5 + below(60); i < n; ++i) {
         machines.push_back(w.machine("m" + std::to_string(i), below(3) ? "std" : "gpu",
                                      below(2) ? "a" : "b", below(3) == 0));
-        auto& m = *w.tables.machines[machines.back()];
+        auto& m = *w.cluster.machines[machines.back()];
         for (uint32_t k = below(3); k > 0; --k)
             m.images.push_back(names.images.intern("i" + std::to_string(below(4))));
         m.up = below(10) > 0;
@@ -372,7 +372,7 @@
         auto s = w.spec("req-" + std::to_string(n), kind, 1 + below(12),
                         0.5 * (1 + below(alike ? 2 : 9)), below(3) ? 0 : 1,
                         static_cast<Priority>(below(4)), below(4) ? "blue" : "red");
-        s.need.mem = 1000 * (1 + below(alike ? 1 : 12));
+        s.demand.mem = 1000 * (1 + below(alike ? 1 : 12));
         s.image = names.images.intern("i" + std::to_string(below(alike ? 2 : 4)));
         s.image_gb = below(2);
         s.spot = alike || below(2);
@@ -381,24 +381,24 @@
         if (below(6) == 0) s.zone = names.zones.find("b");
         if (below(6) == 0) s.types = {names.types.find("gpu")};
         auto j = w.job(s);
-        auto& job = *w.tables.jobs[j];
+        auto& job = *w.cluster.jobs[j];
         if (below(4) == 0) job.failed_on = {machines[below(machines.size())]};
         if (kind == JobKind::Array && !s.spread && below(2)) {
             auto i = machines[below(machines.size())];
-            if (w.tables.machine_allowed(job.spec, *w.tables.machines[i]) &&
-                job.spec.need.fits_in(w.tables.machines[i]->room()) &&
-                w.tables.within_limit(w.tables.teams[job.spec.team], job.spec.need))
-                w.tables.place(j, 0, i, 1, w.now);
+            if (w.cluster.machine_allowed(job.spec, *w.cluster.machines[i]) &&
+                job.spec.demand.fits_in(w.cluster.machines[i]->room()) &&
+                w.cluster.within_limit(w.cluster.teams[job.spec.team], job.spec.demand))
+                w.cluster.place(j, 0, i, 1, w.now);
         }
         waiting.push_back(j);
     }
     for (int k = 0; k < 3; ++k) {
-        auto& m = *w.tables.machines[machines[below(machines.size())]];
+        auto& m = *w.cluster.machines[machines[below(machines.size())]];
         m.reserved_for = waiting[below(waiting.size())];
         m.reserved_until = w.now + 5;
     }
     // No share of a limit is held back here: that is tested by itself.
-    for (auto& t : w.tables.teams) t.limit.cpu = below(2) ? t.limit.cpu : 0;
+    for (auto& t : w.cluster.teams) t.limit.cpu = below(2) ? t.limit.cpu : 0;
     return w;
 }
 
@@ -406,9 +406,9 @@
     size_t placed = 0;
     for (unsigned seed = 1; seed <= 600; ++seed) {
         auto fast = drawn(seed, seed % 2), plain = drawn(seed, seed % 2);
-        for (auto* w : {&fast, &plain}) w->tables.teams[0].limit = {};
-        auto got = place_waiting(fast.tables, any_machine, fast.now);
-        test::PlainPlacement reference{plain.tables, any_machine, plain.now, {}};
+        for (auto* w : {&fast, &plain}) w->cluster.teams[0].limit = {};
+        auto got = place_waiting(fast.cluster, any_machine, fast.now);
+        test::PlainPlacement reference{plain.cluster, any_machine, plain.now, {}};
         EXPECT_TRUE(got == reference.run()) << "seed " << seed;
         placed += got.size();
     }
@@ -421,19 +421,19 @@
     auto small = w.job(w.spec("req-1", JobKind::Array, 4, 2, 0, Priority::Low, "red"));
     auto beyond = w.job(w.spec("req-2", JobKind::Array, 8, 2, 0, Priority::Low, "red"));
     auto high = w.job(w.spec("req-3", JobKind::Array, 1, 1, 0, Priority::High, "blue"));
-    EXPECT_TRUE(w.tables.jobs[small]->guaranteed);
-    EXPECT_FALSE(w.tables.jobs[beyond]->guaranteed);
-    EXPECT_EQ(waiting_jobs(w.tables, w.now), (std::vector<Index>{small, high, beyond}));
+    EXPECT_TRUE(w.cluster.jobs[small]->guaranteed);
+    EXPECT_FALSE(w.cluster.jobs[beyond]->guaranteed);
+    EXPECT_EQ(waiting_jobs(w.cluster, w.now), (std::vector<Index>{small, high, beyond}));
     // Of two jobs of a class that should start within 30 s, one is late already: it no longer holds
     // up the other.
     World late;
-    late.tables.classes.resize(late.tables.names.classes.intern("class") + 1);
-    late.tables.classes.back().start_within_s = 30;
-    late.tables.classes.back().done_within_s = {250};
+    late.cluster.classes.resize(late.cluster.names.classes.intern("class") + 1);
+    late.cluster.classes.back().start_within_s = 30;
+    late.cluster.classes.back().done_within_s = {250};
     auto old = late.job(late.spec("req-1", JobKind::Array, 1, 1));
     late.now += 40;
     auto fresh = late.job(late.spec("req-2", JobKind::Array, 1, 1));
-    EXPECT_EQ(waiting_jobs(late.tables, late.now), (std::vector<Index>{fresh, old}));
+    EXPECT_EQ(waiting_jobs(late.cluster, late.now), (std::vector<Index>{fresh, old}));
 }
 
 TEST(Placement, GivesAMachineToAnEqualJobWhoseImageItHas) {
@@ -441,12 +441,12 @@
     auto m = w.machine("m0");
     auto other = w.spec("req-1", JobKind::Array, 1, 5),
          near = w.spec("req-2", JobKind::Array, 1, 5);
-    other.image = w.tables.names.images.intern("other");
+    other.image = w.cluster.names.images.intern("other");
     other.image_gb = near.image_gb = 4;
     w.job(other);
     auto j = w.job(near);
-    w.tables.machines[m]->images = {near.image};
-    EXPECT_EQ(place_waiting(w.tables, any_machine, w.now), (std::vector<Placement>{{j, 0, m, 1}}));
+    w.cluster.machines[m]->images = {near.image};
+    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now), (std::vector<Placement>{{j, 0, m, 1}}));
 }
 
 TEST(Placement, ASmallTaskOfHigherPriorityIsNotStarvedBySmallerOnes) {
@@ -475,12 +475,12 @@
         }
         auto big = w.job(w.spec("req-1", JobKind::Array, 2, row.cpus, 0, row.priority));
         auto small = w.job(w.spec("req-2", JobKind::Array, 3, 1));
-        w.tables.jobs[small]->submitted = 1;
-        place_waiting(w.tables, any_machine, w.now);
+        w.cluster.jobs[small]->submitted = 1;
+        place_waiting(w.cluster, any_machine, w.now);
         if (row.priority == Priority::High && row.cpus == 2) {
-            EXPECT_EQ(w.tables.jobs[big]->placed, 1u);
+            EXPECT_EQ(w.cluster.jobs[big]->placed, 1u);
         }
-        EXPECT_EQ(w.tables.jobs[small]->placed, row.placed) << row.why;
+        EXPECT_EQ(w.cluster.jobs[small]->placed, row.placed) << row.why;
     }
 }
 
@@ -503,8 +503,8 @@
         w.running(w.spec("req-2", JobKind::Array, 1, 2, 0, Priority::High, "blue"), {m[2]});
         w.job(w.spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High, "red"));
         auto small = w.job(w.spec("req-4", JobKind::Array, 20, 1, 0, Priority::Low, "red"));
-        place_waiting(w.tables, any_machine, w.now);
-        EXPECT_EQ(w.tables.jobs[small]->placed, row.small_placed) << row.why;
+        place_waiting(w.cluster, any_machine, w.now);
+        EXPECT_EQ(w.cluster.jobs[small]->placed, row.small_placed) << row.why;
     }
 }
 
@@ -513,16 +513,16 @@
     // reach.
     World w;
     for (int i = 0; i < 6; ++i) {
-        auto& m = *w.tables.machines[w.machine("m" + std::to_string(i), "std", i < 3 ? "a" : "b")];
+        auto& m = *w.cluster.machines[w.machine("m" + std::to_string(i), "std", i < 3 ? "a" : "b")];
         m.status = MachineStatus::Running;
         m.up = i >= 3;
     }
     auto s = w.spec("req-1", JobKind::Array, 40, 8);
     s.estimate_s = 100;
     w.job(s);
-    auto rentals = plan_rentals(w.tables, any_machine, {0.3, 1}, w.now);
+    auto rentals = plan_rentals(w.cluster, any_machine, {0.3, 1}, w.now);
     ASSERT_FALSE(rentals.empty());
-    for (auto& r : rentals) EXPECT_EQ(w.tables.names.zones.name(r.zone), "b");
+    for (auto& r : rentals) EXPECT_EQ(w.cluster.names.zones.name(r.zone), "b");
 }
 
 TEST(Sizing, AnIdleMachineIsKeptForGangsOnly) {
@@ -536,7 +536,7 @@
         World w;
         w.machine("m0");
         w.job(w.spec("req-1", row.kind, 2, 7));
-        EXPECT_EQ(plan_returns(w.tables, {0.3, 1}, w.now + 200).size(), row.returned);
+        EXPECT_EQ(plan_returns(w.cluster, {0.3, 1}, w.now + 200).size(), row.returned);
     }
 }
 
@@ -555,11 +555,11 @@
         World w;
         w.machine("m0", row.type, row.zone, row.spot);
         auto s = w.spec("req-1", JobKind::Array, 1, 1);
-        s.types = {w.tables.names.types.find("std")};
-        s.zone = w.tables.names.zones.find("a");
+        s.types = {w.cluster.names.types.find("std")};
+        s.zone = w.cluster.names.zones.find("a");
         s.spot = false;
         w.job(s);
-        EXPECT_EQ(place_waiting(w.tables, any_machine, w.now).size(), row.placed) << row.why;
+        EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), row.placed) << row.why;
     }
 }
 
@@ -570,11 +570,11 @@
     auto s = w.spec("req-1", JobKind::Gang, 2, 7);
     s.one_zone = true;
     auto j = w.job(s);
-    EXPECT_EQ(place_waiting(w.tables, any_machine, w.now),
+    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now),
               (std::vector<Placement>{{j, 0, b0, 1}, {j, 1, b1, 1}}));
     s.id = "req-2";
     w.job(s);
-    EXPECT_TRUE(place_waiting(w.tables, any_machine, w.now).empty());
+    EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
 }
 
 TEST(Placement, AGangWaitsForTheLastTaskOfItsOldAttempt) {
@@ -583,11 +583,11 @@
     auto m0 = w.machine("m0"), m1 = w.machine("m1");
     w.machine("m2");
     auto j = w.running(w.spec("req-1", JobKind::Gang, 2, 4), {m0, m1});
-    w.tables.jobs[j]->gang_attempt = 1;
-    w.tables.vacate(j, 0, w.now);
-    EXPECT_TRUE(place_waiting(w.tables, any_machine, w.now).empty());
-    w.tables.vacate(j, 1, w.now);
-    auto placed = place_waiting(w.tables, any_machine, w.now);
+    w.cluster.jobs[j]->gang_attempt = 1;
+    w.cluster.unassign(j, 0, w.now);
+    EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
+    w.cluster.unassign(j, 1, w.now);
+    auto placed = place_waiting(w.cluster, any_machine, w.now);
     ASSERT_EQ(placed.size(), 2u);
     EXPECT_EQ(placed[0].attempt, 2u);
 }
@@ -598,10 +598,10 @@
     auto s = w.spec("req-1", JobKind::Array, 5, 1);
     s.spread = true;
     auto j = w.job(s);
-    EXPECT_EQ(place_waiting(w.tables, any_machine, w.now).size(), 3u);
+    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 3u);
     w.machine("b0", "std", "b");
-    EXPECT_EQ(place_waiting(w.tables, any_machine, w.now).size(), 2u);
-    EXPECT_EQ(w.tables.jobs[j]->placed, 5u);
+    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 2u);
+    EXPECT_EQ(w.cluster.jobs[j]->placed, 5u);
 }
 
 TEST(Placement, AnUnknownZoneHoldsBackWhatIsBoundToOne) {
@@ -611,20 +611,20 @@
     auto s = w.spec("req-1", JobKind::Array, 2, 1);
     s.one_zone = true;
     auto j = w.job(s);
-    w.tables.restore_placed(j, 0, w.tables.add_machine("unheard", w.now), 1, 1);
-    EXPECT_TRUE(place_waiting(w.tables, any_machine, w.now).empty());
+    w.cluster.restore_placed(j, 0, w.cluster.add_machine("unheard", w.now), 1, 1);
+    EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
 }
 
 TEST(Quota, CountsEveryTaskThatMayBeThere) {
     World w;
     for (int i = 0; i < 6; ++i) w.machine("m" + std::to_string(i));
     auto j = w.job(w.spec("req-1", JobKind::Array, 6, 8, 0, Priority::Normal, "red"));
-    EXPECT_EQ(place_waiting(w.tables, any_machine, w.now).size(), 4u);  // 32 CPUs at most
-    w.tables.jobs[j]->tasks[0].stopping = true;                         // told to stop is not gone
-    EXPECT_TRUE(place_waiting(w.tables, any_machine, w.now).empty());
-    w.tables.finish(j, 0, w.now);
-    EXPECT_EQ(place_waiting(w.tables, any_machine, w.now).size(), 1u);
-    EXPECT_EQ(w.tables.teams[0].used, (Resources{32000, 0, 4000}));
+    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 4u);  // 32 CPUs at most
+    w.cluster.jobs[j]->tasks[0].stopping = true;                         // told to stop is not gone
+    EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
+    w.cluster.finish(j, 0, w.now);
+    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 1u);
+    EXPECT_EQ(w.cluster.teams[0].used, (Resources{32000, 0, 4000}));
 }
 
 TEST(Quota, ALargeJobsShareIsNotFilledByLaterTasksOfItsTeam) {
@@ -633,12 +633,12 @@
     World w;
     for (int i = 0; i < 6; ++i) w.machine("m" + std::to_string(i));
     auto small = w.job(w.spec("req-1", JobKind::Array, 40, 1, 0, Priority::Low, "red"));
-    EXPECT_EQ(place_waiting(w.tables, any_machine, w.now).size(), 32u);
+    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 32u);
     auto large = w.job(w.spec("req-2", JobKind::Array, 1, 7, 0, Priority::High, "red"));
-    for (uint32_t t = 0; t < 6; ++t) w.tables.finish(small, t, w.now);
-    EXPECT_TRUE(place_waiting(w.tables, any_machine, w.now).empty());
-    w.tables.finish(small, 6, w.now);
-    EXPECT_EQ(place_waiting(w.tables, any_machine, w.now)[0].job, large);
+    for (uint32_t t = 0; t < 6; ++t) w.cluster.finish(small, t, w.now);
+    EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
+    w.cluster.finish(small, 6, w.now);
+    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now)[0].job, large);
 }
 
 TEST(Placement, CpuTasksLeaveWhatTheFreeGpusNeed) {
@@ -647,11 +647,11 @@
     w.machine("gpu", "gpu");  // 8 CPUs, 4 GPUs
     auto cpu_job = w.job(w.spec("req-2", JobKind::Array, 8, 1, 0, Priority::High));
     auto gpu_job = w.job(w.spec("req-1", JobKind::Array, 2, 1.5, 1, Priority::Low));
-    place_waiting(w.tables, any_machine, w.now);
-    EXPECT_EQ(w.tables.jobs[cpu_job]->placed, 0u);  // they would keep it from going back
-    EXPECT_EQ(w.tables.jobs[gpu_job]->placed, 2u);
-    place_waiting(w.tables, any_machine, w.now);
-    EXPECT_EQ(w.tables.jobs[cpu_job]->placed, 2u);  // 3 CPUs stay for the two free GPUs
+    place_waiting(w.cluster, any_machine, w.now);
+    EXPECT_EQ(w.cluster.jobs[cpu_job]->placed, 0u);  // they would keep it from going back
+    EXPECT_EQ(w.cluster.jobs[gpu_job]->placed, 2u);
+    place_waiting(w.cluster, any_machine, w.now);
+    EXPECT_EQ(w.cluster.jobs[cpu_job]->placed, 2u);  // 3 CPUs stay for the two free GPUs
 }
 
 TEST(Order, GuaranteeThenPriorityThenDeadline) {
@@ -662,27 +662,27 @@
     auto due = w.job(due_spec);
     auto owed = w.job(w.spec("req-3", JobKind::Array, 1, 1, 0, Priority::Low, "red"));
     auto high = w.job(w.spec("req-4", JobKind::Array, 1, 1, 0, Priority::High));
-    EXPECT_EQ(waiting_jobs(w.tables, w.now), (std::vector<Index>{owed, high, due, late}));
+    EXPECT_EQ(waiting_jobs(w.cluster, w.now), (std::vector<Index>{owed, high, due, late}));
 }
 
 TEST(Sizing, RentsForWhatNeitherFitsNorIsComing) {
     World w;
-    auto std_type = w.tables.names.types.find("std");
-    auto zone_a = w.tables.names.zones.find("a"), zone_b = w.tables.names.zones.find("b");
+    auto std_type = w.cluster.names.types.find("std");
+    auto zone_a = w.cluster.names.zones.find("a"), zone_b = w.cluster.names.zones.find("b");
     auto s = w.spec("req-1", JobKind::Array, 17, 1);
     s.estimate_s = 300;
     s.deadline_s = 330;  // too long, and too urgent, to be run one after the other
     w.job(s);
-    EXPECT_EQ(plan_rentals(w.tables, any_machine, {}, w.now),
+    EXPECT_EQ(plan_rentals(w.cluster, any_machine, {}, w.now),
               (std::vector<Rental>{{std_type, zone_a, true, 3}}));
     // A machine that is coming up already counts, whether the list shows it or not.
-    auto& m = *w.tables.machines[w.machine("m0", "std", "a", true)];
+    auto& m = *w.cluster.machines[w.machine("m0", "std", "a", true)];
     m.up = false;
-    EXPECT_EQ(plan_rentals(w.tables, any_machine, {}, w.now),
+    EXPECT_EQ(plan_rentals(w.cluster, any_machine, {}, w.now),
               (std::vector<Rental>{{std_type, zone_a, true, 2}}));
     // Refused there: the next cheapest offer.
-    w.tables.refusals.push_back({w.now + 10, {std_type, zone_a, true}});
-    EXPECT_EQ(plan_rentals(w.tables, any_machine, {}, w.now),
+    w.cluster.refusals.push_back({w.now + 10, {std_type, zone_a, true}});
+    EXPECT_EQ(plan_rentals(w.cluster, any_machine, {}, w.now),
               (std::vector<Rental>{{std_type, zone_b, true, 2}}));
 }
 
@@ -690,8 +690,8 @@
     // With one machine in zone a and no more to be had there, jobs queued for it while zone b was
     // empty.
     World w;
-    auto std_type = w.tables.names.types.find("std");
-    auto zone_a = w.tables.names.zones.find("a"), zone_b = w.tables.names.zones.find("b");
+    auto std_type = w.cluster.names.types.find("std");
+    auto zone_a = w.cluster.names.zones.find("a"), zone_b = w.cluster.names.zones.find("b");
     auto m = w.machine("m0");
     auto s = w.spec("req-1", JobKind::Gang, 1, 7);
     s.one_zone = true;
@@ -701,8 +701,8 @@
     w.running(s, {m});
     s.id = "req-2";
     w.job(s);
-    w.tables.refusals.push_back({w.now + 10, {std_type, zone_a, false}});
-    EXPECT_EQ(plan_rentals(w.tables, any_machine, {}, w.now),
+    w.cluster.refusals.push_back({w.now + 10, {std_type, zone_a, false}});
+    EXPECT_EQ(plan_rentals(w.cluster, any_machine, {}, w.now),
               (std::vector<Rental>{{std_type, zone_b, false, 1}}));
 }
 
@@ -712,12 +712,12 @@
     auto s = w.spec("req-1", JobKind::Array, 1, 8);
     s.deadline_s = 1;
     w.job(s);
-    ASSERT_EQ(plan_rentals(w.tables, any_machine, {}, w.now).size(), 1u);
-    auto& m = *w.tables.machines[w.machine("m0", "std", "a", true)];
+    ASSERT_EQ(plan_rentals(w.cluster, any_machine, {}, w.now).size(), 1u);
+    auto& m = *w.cluster.machines[w.machine("m0", "std", "a", true)];
     m.up = false;
     m.rented = w.now;
     for (double later : {0.0, 0.5, 10.0, 29.0, 40.0})
-        EXPECT_TRUE(plan_rentals(w.tables, any_machine, {}, w.now + later).empty()) << later;
+        EXPECT_TRUE(plan_rentals(w.cluster, any_machine, {}, w.now + later).empty()) << later;
 }
 
 TEST(Sizing, WaitsForRoomThatComesSoonerThanANewMachine) {
@@ -744,24 +744,24 @@
     };
     for (auto& row : rows) {
         World w;
-        auto types = std::vector<MachineType>{w.tables.types[0].type, w.tables.types[1].type};
+        auto types = std::vector<MachineType>{w.cluster.types[0].type, w.cluster.types[1].type};
         types[1].price = row.price;
-        w.tables.set_types(types);
+        w.cluster.set_types(types);
         auto m = w.machine("m0");
         auto s = w.spec("req-1", JobKind::Array, 1, 8);
         s.estimate_s = row.left_s;
         auto j = w.running(s, {m});
-        w.tables.jobs[j]->tasks[0].running_at = static_cast<float>(w.now);
+        w.cluster.jobs[j]->tasks[0].running_at = static_cast<float>(w.now);
         w.now += row.ran_s;
         s.id = "req-2";
         s.deadline_s = row.deadline_s;
         w.job(s);
-        EXPECT_EQ(plan_rentals(w.tables, any_machine, {}, w.now).size(), row.rentals) << row.why;
+        EXPECT_EQ(plan_rentals(w.cluster, any_machine, {}, w.now).size(), row.rentals) << row.why;
         // What is coming up already is not rented again.
-        auto coming = w.tables.add_machine("m1", w.now);
-        w.tables.describe_machine(*w.tables.machines[coming], "std", "a", false);
+        auto coming = w.cluster.add_machine("m1", w.now);
+        w.cluster.describe_machine(*w.cluster.machines[coming], "std", "a", false);
         EXPECT_TRUE(plan_rentals(
-                        w.tables, [&](auto& x) { return x.up; }, {}, w.now)
+                        w.cluster, [&](auto& x) { return x.up; }, {}, w.now)
                         .empty())
             << row.why;
     }
@@ -770,22 +770,22 @@
 TEST(Sizing, KeepsRoomForJobsThatShouldStartSoonerThanANewMachine) {
     World w;
     auto s = w.spec("req-1", JobKind::Gang, 2, 7);
-    w.tables.classes.resize(s.job_class + 1);
-    w.tables.classes[s.job_class].start_within_s = 15;
+    w.cluster.classes.resize(s.job_class + 1);
+    w.cluster.classes[s.job_class].start_within_s = 15;
     auto m0 = w.machine("m0"), m1 = w.machine("m1");
     w.running(s, {m0, m1});
     // Both machines are taken: room for another job of two is rented before it comes.
     int rented = 0;
-    for (auto& r : plan_rentals(w.tables, any_machine, {}, w.now)) rented += r.count;
+    for (auto& r : plan_rentals(w.cluster, any_machine, {}, w.now)) rented += r.count;
     EXPECT_EQ(rented, 2);
     // Idle ones are kept for it, until no such job has come for a while.
     w.machine("m2");
     w.machine("m3");
     w.now += 100;
-    EXPECT_TRUE(plan_rentals(w.tables, any_machine, {}, w.now).empty());
-    EXPECT_TRUE(plan_returns(w.tables, {0.3, 1}, w.now).empty());
+    EXPECT_TRUE(plan_rentals(w.cluster, any_machine, {}, w.now).empty());
+    EXPECT_TRUE(plan_returns(w.cluster, {0.3, 1}, w.now).empty());
     w.now += 100;
-    EXPECT_EQ(plan_returns(w.tables, {0.3, 1}, w.now).size(), 2u);
+    EXPECT_EQ(plan_returns(w.cluster, {0.3, 1}, w.now).size(), 2u);
 }
 
 TEST(Sizing, ReturnsIdleGivenUpAndFailedMachines) {
@@ -793,10 +793,10 @@
     auto idle = w.machine("idle"), busy = w.machine("busy"), doomed = w.machine("doomed"),
          fresh = w.machine("fresh");
     w.running(w.spec("req-1", JobKind::Array, 1, 1), {busy});
-    w.tables.machines[doomed]->doomed = true;
+    w.cluster.machines[doomed]->doomed = true;
     w.now += 61;
-    w.tables.machines[fresh]->up_at = w.now;
-    EXPECT_EQ(plan_returns(w.tables, {1.0, 1}, w.now), (std::vector<Index>{idle, doomed}));
+    w.cluster.machines[fresh]->up_at = w.now;
+    EXPECT_EQ(plan_returns(w.cluster, {1.0, 1}, w.now), (std::vector<Index>{idle, doomed}));
 }
 
 TEST(Preemption, AJobThatFindsNoMachinesSparesOnlyThoseOfItsKindThatWantAsMuch) {
@@ -826,7 +826,7 @@
         w.job(w.spec("req-10", JobKind::Gang, 4, 8));
         auto second =
             w.job(w.spec("req-11", JobKind::Gang, row.tasks, row.cpus, 0, row.priority, row.team));
-        auto round = plan_preemption(w.tables, test::any_machine, w.now);
+        auto round = plan_preemption(w.cluster, test::any_machine, w.now);
         size_t cleared = 0;
         for (auto& c : round.clearings)
             if (c.job == second) cleared = c.machines.size();
@@ -844,8 +844,8 @@
         World w;
         for (uint32_t i = 0, n = 10 + below(80); i < n; ++i) {
             auto& m =
-                *w.tables.machines[w.machine("vm-" + std::to_string(i), below(3) ? "std" : "gpu",
-                                             below(2) ? "a" : "b", below(3) == 0)];
+                *w.cluster.machines[w.machine("vm-" + std::to_string(i), below(3) ? "std" : "gpu",
+                                              below(2) ? "a" : "b", below(3) == 0)];
             m.up = below(4) > 0;
             m.status = m.up ? MachineStatus::Running : MachineStatus::Booting;
             m.rented = w.now - below(30);
@@ -861,13 +861,13 @@
             s.spread = !s.one_zone && below(4) == 0;
             s.estimate_s = 10 + below(90);
             s.deadline_s = below(2) ? -1 : below(200);
-            if (below(5) == 0) s.zone = w.tables.names.zones.find("b");
+            if (below(5) == 0) s.zone = w.cluster.names.zones.find("b");
             w.job(std::move(s));
-            if (j == jobs / 2) place_waiting(w.tables, test::any_machine, w.now, 1000);
+            if (j == jobs / 2) place_waiting(w.cluster, test::any_machine, w.now, 1000);
         }
-        auto kept = plan_rentals(w.tables, test::any_machine, {0.3, 2, 8}, w.now);
+        auto kept = plan_rentals(w.cluster, test::any_machine, {0.3, 2, 8}, w.now);
         for (size_t lists : {0, 1, 2})
-            EXPECT_EQ(plan_rentals(w.tables, test::any_machine, {0.3, 2, lists}, w.now), kept)
+            EXPECT_EQ(plan_rentals(w.cluster, test::any_machine, {0.3, 2, lists}, w.now), kept)
                 << "seed " << seed << ", lists " << lists;
         rentals += kept.size();
     }
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -14,13 +14,13 @@
 using test::Store;
 using test::World;
 
-constexpr LedgerLimits kSmall{12, 4};
+constexpr StateLogLimits kSmall{12, 4};
 
 KvPage page_of(const Store& store, const std::string& after, size_t most) {
     KvPage page;
     page.revision = store.revision;
     for (auto& [key, value] : store.keys) {
-        if (!key.starts_with(kSegments) || key <= after) continue;
+        if (!key.starts_with(kSegmentPrefix) || key <= after) continue;
         if (page.items.size() == most) {
             page.more = true;
             break;
@@ -58,16 +58,16 @@
           Row{7,
               {{"leader", 41}, {"log", 0}, {segment_key(1), 0}, {"f/req-1", 0}, {"d/req-1", 7}}}}) {
         World w;
-        Ledger ledger(w.tables, 41, kSmall);
-        auto j = w.tables.add_job(w.spec("req-1", JobKind::Array, 2, 1), 1000, w.now);
-        ledger.new_job(j, row.door);
-        auto b = ledger.next(12);
+        StateLog state_log(w.cluster, 41, kSmall);
+        auto j = w.cluster.add_job(w.spec("req-1", JobKind::Array, 2, 1), 1000, w.now);
+        state_log.new_job(j, row.door);
+        auto b = state_log.next(12);
         std::map<std::string, uint64_t> seen;
         for (auto& c : b.txn.conditions) seen[c.key] = c.version;
         EXPECT_EQ(seen, row.conditions);
-        ledger.committed(b, 50);
-        ledger.forget("d/req-1", 7);
-        b = ledger.next(12);
+        state_log.committed(b, 50);
+        state_log.forget("d/req-1", 7);
+        b = state_log.next(12);
         seen.clear();
         for (auto& c : b.txn.conditions) seen[c.key] = c.version;
         EXPECT_EQ(seen,
@@ -75,35 +75,35 @@
         ASSERT_EQ(b.txn.changes.size(), 1u);
         EXPECT_TRUE(b.txn.changes[0].value.empty());
         // Half of a transaction is left to users, but one record goes with each.
-        ledger.rejected(b);
-        for (int i = 2; i <= 20; ++i) ledger.forget("d/req-" + std::to_string(i), 7);
-        EXPECT_EQ(ledger.next(3).txn.changes.size(), 1u);
-        EXPECT_EQ(ledger.next(12).txn.changes.size(), 6u);
+        state_log.rejected(b);
+        for (int i = 2; i <= 20; ++i) state_log.forget("d/req-" + std::to_string(i), 7);
+        EXPECT_EQ(state_log.next(3).txn.changes.size(), 1u);
+        EXPECT_EQ(state_log.next(12).txn.changes.size(), 6u);
     }
 }
 
 TEST(DoorRecords, ManyJobsFromDoorsStayWithinTheLimitsOfATransaction) {
     World w;
-    Ledger ledger(w.tables, 41, kSmall);
+    StateLog state_log(w.cluster, 41, kSmall);
     Store store;
     for (int i = 0; i < 300; ++i) {
         auto id = "req-" + std::to_string(i);
         store.keys[door_key(id)] = {"{}", 5};
-        ledger.new_job(w.tables.add_job(w.spec(id, JobKind::Array, 1, 0.01), 1000, w.now), 5);
-        ledger.forget(door_key(id), 5);
+        state_log.new_job(w.cluster.add_job(w.spec(id, JobKind::Array, 1, 0.01), 1000, w.now), 5);
+        state_log.forget(door_key(id), 5);
     }
-    test::flush(ledger, w.tables, store, kSmall, w.now);
+    test::flush(state_log, w.cluster, store, kSmall, w.now);
     EXPECT_TRUE(store.keys.lower_bound(kDoorKeys) == store.keys.lower_bound("d0"))
         << "records are left";
     World fresh;
-    Ledger loaded(fresh.tables, 42, kSmall);
+    StateLog loaded(fresh.cluster, 42, kSmall);
     store.load(loaded, fresh.now);
-    EXPECT_EQ(fresh.tables.job_index.size(), 300u);
+    EXPECT_EQ(fresh.cluster.job_index.size(), 300u);
 }
 
 TEST(DoorRecords, AreReadAsTheyWereWrittenAndRefusedWhenTheyMakeNoSense) {
     World w;
-    DoorRecord r{submission_json(w.spec("req-1", JobKind::Gang, 3, 2), w.tables.names), 1234.5,
+    DoorRecord r{submission_json(w.spec("req-1", JobKind::Gang, 3, 2), w.cluster.names), 1234.5,
                  true};
     auto again = parse_door_record(json::parse(door_record(r)));
     EXPECT_EQ(again.job, r.job);
@@ -206,7 +206,7 @@
         auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
         World w;
         Store store;
-        Ledger ledger(w.tables, 41, kSmall);
+        StateLog state_log(w.cluster, 41, kSmall);
         LogView often, seldom;  // one that reads all the time, one that misses whole segments
         std::vector<Index> machines;
         for (int i = 0; i < 4; ++i) machines.push_back(w.machine("vm-00000" + std::to_string(i)));
@@ -214,21 +214,21 @@
         uint64_t moment = 0;
         std::set<std::string> ended;
         for (int step = 0; step < 1200; ++step) {
-            if (below(8) == 0 && w.tables.job_index.size() < 10)
-                ledger.new_job(w.tables.add_job(
+            if (below(8) == 0 && w.cluster.job_index.size() < 10)
+                state_log.new_job(w.cluster.add_job(
                     w.spec("req-" + std::to_string(++jobs), JobKind::Array, 1 + below(50), 0.01),
                     1000, w.now));
-            test::live_on(w.tables, ledger, machines, below, 300, w.now);
-            auto b = ledger.next(2 + static_cast<int>(below(11)));
+            test::live_on(w.cluster, state_log, machines, below, 300, w.now);
+            auto b = state_log.next(2 + static_cast<int>(below(11)));
             if (b.empty()) continue;
             auto revision = store.apply(b.txn);
             ASSERT_NE(revision, 0u);
             drops += b.first != 0 && b.txn.changes.back().key == kLogKey;
-            ledger.committed(b, revision);
+            state_log.committed(b, revision);
             for (auto& e : b.entries) {
                 if (e.kind != EntryKind::Finish) continue;
-                ended.insert(w.tables.jobs[e.job]->spec.id);
-                w.tables.remove_job(e.job, w.now);
+                ended.insert(w.cluster.jobs[e.job]->spec.id);
+                w.cluster.remove_job(e.job, w.now);
             }
             if (below(3) == 0) {
                 follow(often, store);
@@ -239,17 +239,17 @@
                 moment = often.moment();
             }
             if (below(400) != 0) continue;
-            test::flush(ledger, w.tables, store, kSmall, w.now);
+            test::flush(state_log, w.cluster, store, kSmall, w.now);
             follow(often, store);
             follow(seldom, store);
             ended.clear();
             moment = often.moment();
             ++compared;
             for (auto* view : {&often, &seldom}) {
-                EXPECT_EQ(view->jobs(), w.tables.job_index.size()) << "seed " << seed;
-                for (auto& [id, index] : w.tables.job_index) {
+                EXPECT_EQ(view->jobs(), w.cluster.job_index.size()) << "seed " << seed;
+                for (auto& [id, index] : w.cluster.job_index) {
                     auto* seen = view->find(id);
-                    auto& job = *w.tables.jobs[index];
+                    auto& job = *w.cluster.jobs[index];
                     ASSERT_NE(seen, nullptr) << id;
                     EXPECT_EQ(seen->done, job.done) << id << " seed " << seed;
                     EXPECT_EQ(seen->placed, job.placed) << id << " seed " << seed;
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -32,19 +32,19 @@
 // One type `std` of 8 CPUs, one `gpu` of 8 CPUs and 4 GPUs, in zones a and b.
 struct World {
     Settings settings = small_settings();
-    Tables tables{settings};
+    ClusterState cluster{settings};
     double now = 100;
 
     World() {
         MachineType std_type{"std", {8000, 0, 64000}, 50, 1, 1.0, 0.4, 30, {"a", "b"}};
         MachineType gpu_type{"gpu", {8000, 4000, 64000}, 50, 1, 10.0, 4.0, 30, {"a", "b"}};
-        tables.set_types({std_type, gpu_type});
+        cluster.set_types({std_type, gpu_type});
     }
     Index machine(const std::string& name, const std::string& type = "std",
                   const std::string& zone = "a", bool spot = false) {
-        auto i = tables.add_machine(name, now);
-        auto& m = *tables.machines[i];
-        tables.describe_machine(m, type, zone, spot);
+        auto i = cluster.add_machine(name, now);
+        auto& m = *cluster.machines[i];
+        cluster.describe_machine(m, type, zone, spot);
         m.up = true;
         m.session = 1;
         m.up_at = m.last_report = now;
@@ -56,23 +56,23 @@
         s.id = id;
         s.kind = kind;
         s.tasks = tasks;
-        s.need = {milli_up(cpus), milli_up(gpus), 1000};
+        s.demand = {milli_up(cpus), milli_up(gpus), 1000};
         s.priority = priority;
-        s.team = tables.names.teams.find(team);
-        s.job_class = tables.names.classes.intern("class");
-        s.image = tables.names.images.intern("image");
+        s.team = cluster.names.teams.find(team);
+        s.job_class = cluster.names.classes.intern("class");
+        s.image = cluster.names.images.intern("image");
         s.spot = true;
         return s;
     }
     Index job(JobSpec s) {
-        auto i = tables.add_job(std::move(s), 1000, now);
-        tables.jobs[i]->version = 1;
+        auto i = cluster.add_job(std::move(s), 1000, now);
+        cluster.jobs[i]->version = 1;
         return i;
     }
     // A job with one task on each of these machines.
     Index running(JobSpec s, const std::vector<Index>& on) {
         auto j = job(std::move(s));
-        for (uint32_t t = 0; t < on.size(); ++t) tables.place(j, t, on[t], 1, now);
+        for (uint32_t t = 0; t < on.size(); ++t) cluster.place(j, t, on[t], 1, now);
         return j;
     }
 };
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -18,146 +18,146 @@
 using test::Store;
 using test::World;
 
-uint64_t condition(const LedgerBatch& b, const std::string& key) {
+uint64_t condition(const StateLogBatch& b, const std::string& key) {
     for (auto& c : b.txn.conditions)
         if (c.key == key) return c.version;
     return ~0ull;
 }
 
-constexpr LedgerLimits kSmall{12, 4};
+constexpr StateLogLimits kSmall{12, 4};
 
-TEST(Ledger, EveryTransactionDependsOnTheLeadershipTheHeadAndItsKeys) {
+TEST(StateLog, EveryTransactionDependsOnTheLeadershipTheHeadAndItsKeys) {
     World w;
-    Ledger ledger(w.tables, 41, kSmall);
-    auto j = w.tables.add_job(w.spec("req-1", JobKind::Array, 2, 1), 1000, w.now);
-    ledger.new_job(j);
-    auto b = ledger.next(12);
+    StateLog state_log(w.cluster, 41, kSmall);
+    auto j = w.cluster.add_job(w.spec("req-1", JobKind::Array, 2, 1), 1000, w.now);
+    state_log.new_job(j);
+    auto b = state_log.next(12);
     EXPECT_EQ(condition(b, kLeaderKey), 41u);
     EXPECT_EQ(condition(b, kLogKey), 0u);
     EXPECT_EQ(condition(b, segment_key(1)), 0u);
     EXPECT_EQ(condition(b, "f/req-1"), 0u);  // a job that has ended is not taken anew
-    ledger.committed(b, 50);
-    w.tables.place(j, 0, w.machine("m0"), 1, w.now);
-    EXPECT_FALSE(w.tables.recorded(*w.tables.jobs[j], 0));
-    b = ledger.next(12);
+    state_log.committed(b, 50);
+    w.cluster.place(j, 0, w.machine("m0"), 1, w.now);
+    EXPECT_FALSE(w.cluster.recorded(*w.cluster.jobs[j], 0));
+    b = state_log.next(12);
     EXPECT_EQ(condition(b, segment_key(1)), 50u);
     EXPECT_EQ(b.txn.changes.size(), 1u);
-    ledger.committed(b, 51);
-    EXPECT_TRUE(w.tables.recorded(*w.tables.jobs[j], 0));
-    EXPECT_FALSE(ledger.waiting());
+    state_log.committed(b, 51);
+    EXPECT_TRUE(w.cluster.recorded(*w.cluster.jobs[j], 0));
+    EXPECT_FALSE(state_log.waiting());
 }
 
-TEST(Ledger, AChangeDuringATransactionIsNotTakenForRecorded) {
+TEST(StateLog, AChangeDuringATransactionIsNotTakenForRecorded) {
     World w;
-    Ledger ledger(w.tables, 41, kSmall);
+    StateLog state_log(w.cluster, 41, kSmall);
     auto j = w.job(w.spec("req-1", JobKind::Array, 2, 1));
     auto m = w.machine("m0");
-    w.tables.place(j, 0, m, 1, w.now);
-    auto b = ledger.next(12);
-    w.tables.place(j, 1, m, 1, w.now);
-    w.tables.vacate(j, 0, w.now);
-    ledger.committed(b, 51);
-    EXPECT_FALSE(w.tables.recorded(*w.tables.jobs[j], 0));
-    EXPECT_FALSE(w.tables.recorded(*w.tables.jobs[j], 1));
-    EXPECT_TRUE(ledger.waiting());
+    w.cluster.place(j, 0, m, 1, w.now);
+    auto b = state_log.next(12);
+    w.cluster.place(j, 1, m, 1, w.now);
+    w.cluster.unassign(j, 0, w.now);
+    state_log.committed(b, 51);
+    EXPECT_FALSE(w.cluster.recorded(*w.cluster.jobs[j], 0));
+    EXPECT_FALSE(w.cluster.recorded(*w.cluster.jobs[j], 1));
+    EXPECT_TRUE(state_log.waiting());
 }
 
-TEST(Ledger, RejectedRecordsWaitAgain) {
+TEST(StateLog, RejectedRecordsWaitAgain) {
     World w;
-    Ledger ledger(w.tables, 41, kSmall);
+    StateLog state_log(w.cluster, 41, kSmall);
     auto j = w.job(w.spec("req-1", JobKind::Array, 3, 1));
     auto m = w.machine("m0");
-    for (uint32_t t = 0; t < 3; ++t) w.tables.place(j, t, m, 1, w.now);
-    auto b = ledger.next(12);
-    ledger.rejected(b);
-    EXPECT_EQ(txn_json(ledger.next(12).txn), txn_json(b.txn));
+    for (uint32_t t = 0; t < 3; ++t) w.cluster.place(j, t, m, 1, w.now);
+    auto b = state_log.next(12);
+    state_log.rejected(b);
+    EXPECT_EQ(txn_json(state_log.next(12).txn), txn_json(b.txn));
 }
 
-TEST(Ledger, OneChangeCarriesTheEventsOfManyJobs) {
+TEST(StateLog, OneChangeCarriesTheEventsOfManyJobs) {
     // A key for each job once bounded the service: the state service takes a few changes a second.
     World w;
-    Ledger ledger(w.tables, 41, kSmall);
+    StateLog state_log(w.cluster, 41, kSmall);
     auto m = w.machine("m0");
     for (int i = 1; i <= 20; ++i) {
         auto j = w.job(w.spec("req-" + std::to_string(i), JobKind::Array, 4, 0.01));
-        w.tables.place(j, 0, m, 1, w.now);
+        w.cluster.place(j, 0, m, 1, w.now);
     }
-    EXPECT_EQ(ledger.next(12).txn.changes.size(), 1u);
-    EXPECT_FALSE(ledger.waiting());
+    EXPECT_EQ(state_log.next(12).txn.changes.size(), 1u);
+    EXPECT_FALSE(state_log.waiting());
 }
 
-TEST(Ledger, TheEndOfAJobIsItsFinalStateAndOneMoreEvent) {
+TEST(StateLog, TheEndOfAJobIsItsFinalStateAndOneMoreEvent) {
     World w;
     Store store;
-    Ledger ledger(w.tables, 41, kSmall);
-    auto j = w.tables.add_job(w.spec("req-1", JobKind::Array, 1, 1), 1000, w.now);
-    ledger.new_job(j);
-    flush(ledger, w.tables, store, kSmall, w.now);
-    w.tables.place(j, 0, w.machine("m0"), 1, w.now);
-    w.tables.finish(j, 0, w.now);
-    w.tables.jobs[j]->ending = true;
-    ledger.finish(j);
-    auto b = ledger.next(12);
+    StateLog state_log(w.cluster, 41, kSmall);
+    auto j = w.cluster.add_job(w.spec("req-1", JobKind::Array, 1, 1), 1000, w.now);
+    state_log.new_job(j);
+    flush(state_log, w.cluster, store, kSmall, w.now);
+    w.cluster.place(j, 0, w.machine("m0"), 1, w.now);
+    w.cluster.finish(j, 0, w.now);
+    w.cluster.jobs[j]->ending = true;
+    state_log.finish(j);
+    auto b = state_log.next(12);
     ASSERT_EQ(b.txn.changes.size(), 2u);
     EXPECT_EQ(b.txn.changes[0].key, segment_key(1));
     EXPECT_EQ(b.txn.changes[1].key, "f/req-1");
     EXPECT_EQ(condition(b, "f/req-1"), 0u);
     EXPECT_EQ(parse_final(boost::json::parse(b.txn.changes[1].value)).state, JobState::Done);
-    ledger.committed(b, store.apply(b.txn));
+    state_log.committed(b, store.apply(b.txn));
     World fresh;
-    Ledger loaded(fresh.tables, 42, kSmall);
+    StateLog loaded(fresh.cluster, 42, kSmall);
     store.load(loaded, fresh.now);
-    EXPECT_EQ(fresh.tables.find_job("req-1"), nullptr);
-    EXPECT_TRUE(fresh.tables.machine_index.empty());
+    EXPECT_EQ(fresh.cluster.find_job("req-1"), nullptr);
+    EXPECT_TRUE(fresh.cluster.machine_index.empty());
 }
 
-TEST(Ledger, AFreshLeaderFindsWhatWasRecordedWhateverBecameOfTheAnswers) {
+TEST(StateLog, AFreshLeaderFindsWhatWasRecordedWhateverBecameOfTheAnswers) {
     // Random histories: rejected transactions, and copies of old ones that arrive late or again.
     for (unsigned seed = 1; seed <= 20; ++seed) {
         std::mt19937 random(seed);
         auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
         World w;
         Store store;
-        Ledger ledger(w.tables, 41, kSmall);
+        StateLog state_log(w.cluster, 41, kSmall);
         std::vector<Index> machines;
         for (int i = 0; i < 6; ++i) machines.push_back(w.machine("vm-00000" + std::to_string(i)));
         std::vector<CasTransaction> sent;
         int jobs = 0;
         size_t most_segments = 0;
         for (int step = 0; step < 1500; ++step) {
-            if (below(12) == 0 && w.tables.job_index.size() < 12) {
+            if (below(12) == 0 && w.cluster.job_index.size() < 12) {
                 auto spec =
                     w.spec("req-" + std::to_string(++jobs), JobKind::Array, 1 + below(60), 0.01);
-                ledger.new_job(w.tables.add_job(std::move(spec), 1000, w.now));
+                state_log.new_job(w.cluster.add_job(std::move(spec), 1000, w.now));
             }
-            test::live_on(w.tables, ledger, machines, below, 400, w.now);
+            test::live_on(w.cluster, state_log, machines, below, 400, w.now);
             if (!sent.empty() && below(3) == 0) {
                 EXPECT_EQ(store.apply(sent[below(sent.size())]), 0u)
                     << "a late copy was applied, seed " << seed;
             }
-            auto b = ledger.next(2 + static_cast<int>(below(11)));
+            auto b = state_log.next(2 + static_cast<int>(below(11)));
             if (b.empty()) continue;
             expect_limits(b, kSmall);
             if (below(10) == 0) {
-                ledger.rejected(b);
+                state_log.rejected(b);
                 for (auto& e : b.entries)
-                    if (e.kind == EntryKind::NewJob) w.tables.remove_job(e.job, w.now);
+                    if (e.kind == EntryKind::NewJob) w.cluster.remove_job(e.job, w.now);
                 continue;
             }
             auto revision = store.apply(b.txn);
             ASSERT_NE(revision, 0u);
             sent.push_back(b.txn);
-            ledger.committed(b, revision);
+            state_log.committed(b, revision);
             for (auto& e : b.entries)
-                if (e.kind == EntryKind::Finish) w.tables.remove_job(e.job, w.now);
+                if (e.kind == EntryKind::Finish) w.cluster.remove_job(e.job, w.now);
             most_segments = std::max(most_segments, store.segments());
         }
-        flush(ledger, w.tables, store, kSmall, w.now);
+        flush(state_log, w.cluster, store, kSmall, w.now);
         World fresh;
-        Ledger loaded(fresh.tables, 42, kSmall);
+        StateLog loaded(fresh.cluster, 42, kSmall);
         store.load(loaded, fresh.now);
-        EXPECT_EQ(picture(fresh.tables), picture(w.tables)) << "seed " << seed;
-        EXPECT_EQ(fresh.tables.teams[1].used, w.tables.teams[1].used) << "seed " << seed;
+        EXPECT_EQ(picture(fresh.cluster), picture(w.cluster)) << "seed " << seed;
+        EXPECT_EQ(fresh.cluster.teams[1].used, w.cluster.teams[1].used) << "seed " << seed;
         EXPECT_GT(jobs, 20);
         EXPECT_LT(most_segments, 40u);
         EXPECT_TRUE(store.keys.count(kLogKey)) << "no segment was dropped";
@@ -168,8 +168,8 @@
 // it: once the segments with its first record were dropped, a new leader, or a door that read the
 // log from its start, took the entry for one of an ended job, and called a job running again whose
 // user had been told that it is cancelled.
-TEST(Ledger, ACancellationThatWasRecordedIsReadByEverybodyFromThenOn) {
-    constexpr LedgerLimits limits{12, 1};
+TEST(StateLog, ACancellationThatWasRecordedIsReadByEverybodyFromThenOn) {
+    constexpr StateLogLimits limits{12, 1};
     for (size_t types : {0, 20}) {  // long lists of types: such a record takes several entries
         size_t told = 0, kept = 0;
         for (unsigned seed = 1; seed <= 40; ++seed) {
@@ -177,58 +177,58 @@
             auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
             World w;
             Store store;
-            Ledger ledger(w.tables, 41, limits);
-            ledger.allow_pieces();
+            StateLog state_log(w.cluster, 41, limits);
+            state_log.allow_pieces();
             auto machine = w.machine("vm-000001");
             std::map<std::string, Index> cancelled;  // recorded, and so it may have been told
             int jobs = 0;
             for (int step = 0; step < 500; ++step) {
-                if (w.tables.job_index.size() < 6) {
+                if (w.cluster.job_index.size() < 6) {
                     auto spec = w.spec("req-" + std::to_string(++jobs), JobKind::Array, 3, 0.01);
                     for (size_t n = 0; n < types; ++n)
                         spec.types.push_back(
-                            w.tables.names.types.intern(std::string(90, 't') + std::to_string(n)));
-                    ledger.new_job(w.tables.add_job(std::move(spec), 1000, w.now));
+                            w.cluster.names.types.intern(std::string(90, 't') + std::to_string(n)));
+                    state_log.new_job(w.cluster.add_job(std::move(spec), 1000, w.now));
                 }
                 // Tasks come and go for longer than the log keeps a segment; those of a cancelled
                 // job for a while.
-                for (Index j = 0; j < w.tables.jobs.size(); ++j) {
-                    auto* job = w.tables.jobs[j].get();
+                for (Index j = 0; j < w.cluster.jobs.size(); ++j) {
+                    auto* job = w.cluster.jobs[j].get();
                     if (!job || job->version == 0 || job->ending) continue;
                     auto t = below(3);
                     if (job->tasks[t].state == TaskState::Placed &&
                         below(job->cancelled ? 10 : 2) == 0)
-                        w.tables.vacate(j, t, w.now);
+                        w.cluster.unassign(j, t, w.now);
                     else if (job->tasks[t].state == TaskState::Pending && !job->cancelled)
-                        w.tables.place(j, t, machine, job->tasks[t].attempt + 1, w.now);
+                        w.cluster.place(j, t, machine, job->tasks[t].attempt + 1, w.now);
                     if (!job->cancelled && below(80) == 0) {
                         job->cancelled = true;
-                        ledger.cancel(j);
+                        state_log.cancel(j);
                     }
                     if (job->cancel_recorded && job->placed == 0) {
                         job->ending = true;
-                        ledger.finish(j);
+                        state_log.finish(j);
                     }
                 }
-                auto b = ledger.next(2 + static_cast<int>(below(11)));
+                auto b = state_log.next(2 + static_cast<int>(below(11)));
                 if (b.empty()) continue;
                 auto revision = store.apply(b.txn);
                 ASSERT_NE(revision, 0u);
-                ledger.committed(b, revision);
+                state_log.committed(b, revision);
                 for (auto& e : b.entries) {
-                    auto id = e.job == kNone ? "" : w.tables.jobs[e.job]->spec.id;
+                    auto id = e.job == kNone ? "" : w.cluster.jobs[e.job]->spec.id;
                     if (e.kind == EntryKind::Cancel) cancelled.emplace(id, e.job), ++told;
                     if (e.kind == EntryKind::Finish)
-                        cancelled.erase(id), w.tables.remove_job(e.job, w.now);
+                        cancelled.erase(id), w.cluster.remove_job(e.job, w.now);
                 }
                 if (cancelled.empty()) continue;
                 World fresh;
-                Ledger loaded(fresh.tables, 42, limits);
+                StateLog loaded(fresh.cluster, 42, limits);
                 store.load(loaded, fresh.now);
                 LogView view;
                 ASSERT_TRUE(view.take(store.log(), true));
                 for (auto& [id, j] : cancelled) {
-                    auto* job = fresh.tables.find_job(id);
+                    auto* job = fresh.cluster.find_job(id);
                     ASSERT_TRUE(job && job->cancel_recorded)
                         << types << " types, " << id << " at a new leader, seed " << seed;
                     ASSERT_TRUE(view.cancelled(id))
@@ -242,7 +242,7 @@
     }
 }
 
-TEST(Ledger, RefusesRecordsThatMakeNoSense) {
+TEST(StateLog, RefusesRecordsThatMakeNoSense) {
     for (const char* value :
          {"{}", R"([1])", R"([["t"]])", R"([["x","req-1"]])", R"([["t",1]])",
           R"([["t","req-1",7]])", R"([["t","req-1",[9,1,1,"m"]]])", R"([["t","req-1",[0,7,"d"]]])",
@@ -251,56 +251,57 @@
           R"([["p","req-2",0,"{"],["j",{"id":"req-2","pieces":1,"at":1}]])",
           R"([["j",{"pieces":2,"at":1}]])", R"([["e","req-1","late"]])"}) {
         World w;
-        Ledger ledger(w.tables, 41, kSmall);
+        StateLog state_log(w.cluster, 41, kSmall);
         w.job(w.spec("req-1", JobKind::Array, 2, 1));
-        EXPECT_THROW(ledger.load_segment({segment_key(5), boost::json::parse(value), 5, 0}, w.now),
-                     BadMessage)
+        EXPECT_THROW(
+            state_log.load_segment({segment_key(5), boost::json::parse(value), 5, 0}, w.now),
+            BadMessage)
             << value;
     }
     for (const char* key : {"w/", "w/x", "w/-1"}) {
         World w;
-        Ledger ledger(w.tables, 41, kSmall);
-        EXPECT_THROW(ledger.load_segment({key, boost::json::array{}, 5, 0}, w.now), BadMessage)
+        StateLog state_log(w.cluster, 41, kSmall);
+        EXPECT_THROW(state_log.load_segment({key, boost::json::array{}, 5, 0}, w.now), BadMessage)
             << key;
     }
 }
 
-TEST(Ledger, TheLargestJobFitsTheSmallestLimits) {
+TEST(StateLog, TheLargestJobFitsTheSmallestLimits) {
     World w;
     Store store;
-    Ledger ledger(w.tables, 41, kSmall);
-    auto j = w.tables.add_job(w.spec("req-1", JobKind::Array, 100000, 0.001), 1000, w.now);
-    ledger.new_job(j);
-    flush(ledger, w.tables, store, kSmall, w.now);
+    StateLog state_log(w.cluster, 41, kSmall);
+    auto j = w.cluster.add_job(w.spec("req-1", JobKind::Array, 100000, 0.001), 1000, w.now);
+    state_log.new_job(j);
+    flush(state_log, w.cluster, store, kSmall, w.now);
     auto m = w.machine("vm-000001");
-    for (uint32_t t = 0; t < 100000; ++t) w.tables.place(j, t, m, 1000000, w.now);
-    flush(ledger, w.tables, store, kSmall, w.now);
-    EXPECT_TRUE(w.tables.recorded(*w.tables.jobs[j], 99999));
+    for (uint32_t t = 0; t < 100000; ++t) w.cluster.place(j, t, m, 1000000, w.now);
+    flush(state_log, w.cluster, store, kSmall, w.now);
+    EXPECT_TRUE(w.cluster.recorded(*w.cluster.jobs[j], 99999));
     World fresh;
-    Ledger loaded(fresh.tables, 42, kSmall);
+    StateLog loaded(fresh.cluster, 42, kSmall);
     store.load(loaded, fresh.now);
-    ASSERT_NE(fresh.tables.find_job("req-1"), nullptr);
-    EXPECT_EQ(fresh.tables.find_job("req-1")->placed, 100000u);
+    ASSERT_NE(fresh.cluster.find_job("req-1"), nullptr);
+    EXPECT_EQ(fresh.cluster.find_job("req-1")->placed, 100000u);
 }
 
-TEST(Ledger, OfANoteTheNewestValueIsRecorded) {
+TEST(StateLog, OfANoteTheNewestValueIsRecorded) {
     // The machine types are such a note: without them a new leader could not decide while the cloud
     // is down.
     World w;
-    Ledger ledger(w.tables, 41, kSmall);
-    ledger.load_note(kTypesKey, 9);
-    ledger.note(kTypesKey, R"({"n":1})");
-    auto b = ledger.next(12);
+    StateLog state_log(w.cluster, 41, kSmall);
+    state_log.load_note(kTypesKey, 9);
+    state_log.note(kTypesKey, R"({"n":1})");
+    auto b = state_log.next(12);
     EXPECT_EQ(condition(b, kTypesKey), 9u);
-    ledger.note(kTypesKey, R"({"n":2})");
-    ledger.rejected(b);
-    b = ledger.next(12);
+    state_log.note(kTypesKey, R"({"n":2})");
+    state_log.rejected(b);
+    b = state_log.next(12);
     ASSERT_EQ(b.txn.changes.size(), 1u);
     EXPECT_EQ(b.txn.changes[0].value, R"({"n":2})");
-    ledger.committed(b, 50);
-    EXPECT_FALSE(ledger.waiting());
-    ledger.note(kTypesKey, R"({"n":3})");
-    EXPECT_EQ(condition(ledger.next(12), kTypesKey), 50u);
+    state_log.committed(b, 50);
+    EXPECT_FALSE(state_log.waiting());
+    state_log.note(kTypesKey, R"({"n":3})");
+    EXPECT_EQ(condition(state_log.next(12), kTypesKey), 50u);
 }
 
 TEST(RateLimiter, FallsWhereItProvesTooHighAndComesBack) {
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -17,12 +17,12 @@
 // Classes: `short` is to be done within 60 s, its jobs are those of World::spec but for what is
 // named.
 struct Cluster : World {
-    Index job_class = tables.names.classes.intern("short");
+    Index job_class = cluster.names.classes.intern("short");
     Forecast seen;
     int next = 0;
     explicit Cluster(int machines) {
-        tables.classes.resize(tables.names.classes.size());
-        tables.classes[job_class].done_within_s = {30, 60};
+        cluster.classes.resize(cluster.names.classes.size());
+        cluster.classes[job_class].done_within_s = {30, 60};
         for (int i = 0; i < machines; ++i) machine("vm-" + std::to_string(i));
     }
     Index wait(uint32_t tasks, double run_s, const std::string& team = "blue",
@@ -34,15 +34,15 @@
         return job(s);
     }
     QueueForecast look(const std::string& team = "blue") {
-        seen.observe(tables, now);
+        seen.observe(cluster, now);
         auto& all = seen.queues();
-        auto it = all.find({tables.names.teams.find(team), job_class});
+        auto it = all.find({cluster.names.teams.find(team), job_class});
         return it == all.end() ? QueueForecast{} : it->second;
     }
-    bool pressed(Index job) { return tables.stretch(tables.jobs[job]->spec) > 0; }
+    bool pressed(Index job) { return cluster.stretch(cluster.jobs[job]->spec) > 0; }
     std::vector<std::string> order() {
         std::vector<std::string> ids;
-        for (auto j : waiting_jobs(tables, now)) ids.push_back(tables.jobs[j]->spec.id);
+        for (auto j : waiting_jobs(cluster, now)) ids.push_back(cluster.jobs[j]->spec.id);
         return ids;
     }
     // Some time goes by in which `cpus` units of what waits are served, in the order of today.
@@ -50,17 +50,17 @@
         int ended = 0;
         now += seconds;
         double work = seconds * cpus;
-        for (auto j : waiting_jobs(tables, now)) {
-            auto& job = *tables.jobs[j];
-            double each = std::max(1.0, tables.expected_run_s(job.spec));
+        for (auto j : waiting_jobs(cluster, now)) {
+            auto& job = *cluster.jobs[j];
+            double each = std::max(1.0, cluster.expected_run_s(job.spec));
             while (job.pending > 0 && work >= each) {
                 work -= each;
                 uint32_t t = 0;
                 while (job.tasks[t].state != TaskState::Pending) ++t;
-                tables.finish(j, t, now);
+                cluster.finish(j, t, now);
             }
             if (job.pending > 0) break;
-            tables.remove_job(j, now);
+            cluster.remove_job(j, now);
             ++ended;
         }
         return ended;
@@ -102,7 +102,7 @@
     auto j = c.wait(1, 30);
     std::vector<Index> more;
     auto waits = [&](double seconds) {  // until the queue drains
-        for (auto i : more) c.tables.remove_job(i, c.now);
+        for (auto i : more) c.cluster.remove_job(i, c.now);
         more.clear();
         for (int n = 1; n * 30 < seconds * 32; ++n) more.push_back(c.wait(1, 30));
         c.look();
@@ -150,26 +150,26 @@
     auto large = c.wait(16, 10);
     auto small = c.wait(8, 10), other = c.wait(8, 10);
     c.look();
-    EXPECT_EQ(c.tables.jobs[large]->given_up, 1u);
-    EXPECT_EQ(c.tables.jobs[small]->given_up + c.tables.jobs[other]->given_up, 0u);
-    EXPECT_EQ(waiting_jobs(c.tables, c.now), (std::vector<Index>{small, other, large}));
+    EXPECT_EQ(c.cluster.jobs[large]->given_up, 1u);
+    EXPECT_EQ(c.cluster.jobs[small]->given_up + c.cluster.jobs[other]->given_up, 0u);
+    EXPECT_EQ(waiting_jobs(c.cluster, c.now), (std::vector<Index>{small, other, large}));
     int missed;
-    EXPECT_DOUBLE_EQ(c.tables.due(*c.tables.jobs[large], c.now, missed), c.now + 60);
+    EXPECT_DOUBLE_EQ(c.cluster.due(*c.cluster.jobs[large], c.now, missed), c.now + 60);
     EXPECT_EQ(missed, 1);
     for (int i = 0; i < 3; ++i) c.machine("more-" + std::to_string(i));
     c.look();
-    EXPECT_EQ(c.tables.jobs[large]->given_up, 0u);
+    EXPECT_EQ(c.cluster.jobs[large]->given_up, 0u);
 }
 
 TEST(Overload, WhatAQueueHadInUseIsRememberedForAWhile) {
     Cluster c(1);  // 8 CPUs
     auto j = c.wait(8, 30);
     c.look();
-    for (uint32_t t = 0; t < 8; ++t) c.tables.place(j, t, 0, 1, c.now);
+    for (uint32_t t = 0; t < 8; ++t) c.cluster.place(j, t, 0, 1, c.now);
     c.now += 100;
     EXPECT_DOUBLE_EQ(c.look().units, 8);
-    for (uint32_t t = 0; t < 8; ++t) c.tables.vacate(j, t, c.now);
-    c.tables.machines[0]->doomed = true;  // nothing is there any more
+    for (uint32_t t = 0; t < 8; ++t) c.cluster.unassign(j, t, c.now);
+    c.cluster.machines[0]->doomed = true;  // nothing is there any more
     c.now += 1;
     double soon = c.look().units;
     EXPECT_GT(soon, 6);
@@ -182,22 +182,22 @@
 TEST(Overload, UnderPressureShorterWorkGoesFirstAndOlderWorkIsNotPassedForEver) {
     Cluster c(1);
     auto big = c.wait(40, 30), small = c.wait(1, 10), middle = c.wait(10, 30);
-    auto id = [&](Index j) { return c.tables.jobs[j]->spec.id; };
+    auto id = [&](Index j) { return c.cluster.jobs[j]->spec.id; };
     c.look();
     ASSERT_TRUE(c.pressed(big));
     EXPECT_EQ(c.order(), (std::vector{id(small), id(middle), id(big)}));
     // What a pipeline needs by some time keeps its due time, whatever its size.
-    c.tables.jobs[big]->needed_by = c.now + 100;
+    c.cluster.jobs[big]->needed_by = c.now + 100;
     EXPECT_EQ(c.order(), (std::vector{id(small), id(big), id(middle)}));
-    c.tables.jobs[big]->needed_by = 1e18;
+    c.cluster.jobs[big]->needed_by = 1e18;
     // Partly served, it has less left.
-    for (uint32_t t = 0; t < 39; ++t) c.tables.finish(big, t, c.now);
+    for (uint32_t t = 0; t < 39; ++t) c.cluster.finish(big, t, c.now);
     EXPECT_EQ(c.order(), (std::vector{id(small), id(big), id(middle)}));
     // One of small work that comes a long while later finds the middle one in front.
-    double stretch = c.tables.stretch(c.tables.jobs[middle]->spec);
+    double stretch = c.cluster.stretch(c.cluster.jobs[middle]->spec);
     c.now += stretch * 300 + 10;
     auto late = c.wait(1, 10);
-    c.tables.classes[c.job_class].stretch[c.tables.jobs[late]->spec.team] = stretch;
+    c.cluster.classes[c.job_class].stretch[c.cluster.jobs[late]->spec.team] = stretch;
     auto order = c.order();
     EXPECT_LT(std::find(order.begin(), order.end(), id(middle)),
               std::find(order.begin(), order.end(), id(late)));
@@ -247,13 +247,13 @@
             }
             auto ids = c.order();
             auto high = c.wait(50, 100);
-            c.tables.jobs[high]->priority = Priority::High;
+            c.cluster.jobs[high]->priority = Priority::High;
             auto owed = c.wait(50, 100);
-            c.tables.jobs[owed]->guaranteed = true;
+            c.cluster.jobs[owed]->guaranteed = true;
             auto order = c.order();
             ASSERT_GE(order.size(), 2u);
-            EXPECT_EQ(order[0], c.tables.jobs[owed]->spec.id);
-            EXPECT_EQ(order[1], c.tables.jobs[high]->spec.id);
+            EXPECT_EQ(order[0], c.cluster.jobs[owed]->spec.id);
+            EXPECT_EQ(order[1], c.cluster.jobs[high]->spec.id);
         }
         better += ended[1] > ended[0];
         worse += ended[1] < ended[0];
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -21,11 +21,11 @@
     Index add(const std::vector<size_t>& on, JobSpec spec) {
         std::vector<Index> links;
         for (auto i : on) {
-            spec.dependencies.push_back(w.tables.jobs[jobs[i]]->spec.id);
+            spec.dependencies.push_back(w.cluster.jobs[jobs[i]]->spec.id);
             links.push_back(jobs[i]);
         }
         auto j = w.job(std::move(spec));
-        if (!links.empty()) w.tables.set_dependencies(j, links, w.now);
+        if (!links.empty()) w.cluster.set_dependencies(j, links, w.now);
         jobs.push_back(j);
         return j;
     }
@@ -35,14 +35,14 @@
         spec.estimate_s = 10;
         return add(on, spec);
     }
-    Job& job(size_t i) { return *w.tables.jobs[jobs[i]]; }
+    Job& job(size_t i) { return *w.cluster.jobs[jobs[i]]; }
     void end(size_t i, double at) {
         job(i).ended = at;
-        w.tables.remove_job(jobs[i], w.now);
+        w.cluster.remove_job(jobs[i], w.now);
     }
 };
 
-TEST(Dependencies, AJobIsReadyOnceAllThatItNeedsAreDone) {
+TEST(DependencyGraph, AJobIsReadyOnceAllThatItNeedsAreDone) {
     struct Row {
         const char* why;
         std::vector<std::vector<size_t>> graph;
@@ -65,22 +65,22 @@
         for (auto& on : row.graph) p.add(on);
         for (auto i : row.ends) p.end(i, 2000 + static_cast<double>(i));
         std::set<size_t> ready;
-        auto waiting = waiting_jobs(w.tables, w.now);
+        auto waiting = waiting_jobs(w.cluster, w.now);
         for (size_t i = 0; i < p.jobs.size(); ++i)
-            if (w.tables.jobs[p.jobs[i]] && std::count(waiting.begin(), waiting.end(), p.jobs[i]))
+            if (w.cluster.jobs[p.jobs[i]] && std::count(waiting.begin(), waiting.end(), p.jobs[i]))
                 ready.insert(i);
         EXPECT_EQ(ready, row.ready) << row.why;
-        EXPECT_EQ(w.tables.dependencies().waiting(),
+        EXPECT_EQ(w.cluster.dependencies().waiting(),
                   row.graph.size() - row.ends.size() - row.ready.size())
             << row.why;
     }
 }
 
-TEST(Dependencies, TimesCountFromTheEndOfTheLastOneAndTheDeadlineFromTheSubmission) {
+TEST(DependencyGraph, TimesCountFromTheEndOfTheLastOneAndTheDeadlineFromTheSubmission) {
     World w;
-    auto c = w.tables.names.classes.intern("class");
-    w.tables.classes.resize(c + 1);
-    w.tables.classes[c].done_within_s = {100};
+    auto c = w.cluster.names.classes.intern("class");
+    w.cluster.classes.resize(c + 1);
+    w.cluster.classes[c].done_within_s = {100};
     Pipeline p{w, {}};
     p.add({});
     p.add({});
@@ -95,25 +95,25 @@
     auto& job = p.job(2);
     EXPECT_EQ(job.ready, 1080);
     int missed;
-    EXPECT_EQ(w.tables.due(job, w.now, missed), start + 80 + 100);
-    EXPECT_EQ(w.tables.due(job, start + 400, missed), start + 500);
+    EXPECT_EQ(w.cluster.due(job, w.now, missed), start + 80 + 100);
+    EXPECT_EQ(w.cluster.due(job, start + 400, missed), start + 500);
 }
 
-TEST(Dependencies, AWaitingJobHoldsNothingOfItsTeamsGuarantee) {
+TEST(DependencyGraph, AWaitingJobHoldsNothingOfItsTeamsGuarantee) {
     World w;  // red is owed 16 CPUs
     Pipeline p{w, {}};
     p.add({}, w.spec("req-1", JobKind::Array, 1, 8, 0, Priority::Low, "red"));
     p.add({0}, w.spec("req-2", JobKind::Array, 2, 8, 0, Priority::Low, "red"));
     auto late = w.spec("req-3", JobKind::Array, 1, 8, 0, Priority::Low, "red");
     auto third = p.add({}, late);
-    EXPECT_TRUE(w.tables.jobs[third]->guaranteed);
+    EXPECT_TRUE(w.cluster.jobs[third]->guaranteed);
     p.end(0, 1001);
     EXPECT_FALSE(p.job(1).guaranteed);  // it comes now, beside the third
 }
 
-TEST(Dependencies, WhatLaterStagesAskSpreadsToThoseBeforeAndGoesWithThem) {
+TEST(DependencyGraph, WhatLaterStagesAskSpreadsToThoseBeforeAndGoesWithThem) {
     World w;
-    w.tables.classes.resize(w.tables.names.classes.intern("class") + 1);
+    w.cluster.classes.resize(w.cluster.names.classes.intern("class") + 1);
     Pipeline p{w, {}};
     p.add({});
     p.add({0});
@@ -127,14 +127,14 @@
     EXPECT_DOUBLE_EQ(p.job(1).needed_by, w.now + 100 - stage);
     EXPECT_DOUBLE_EQ(p.job(0).needed_by, w.now + 100 - 2 * stage);
     EXPECT_EQ(p.job(0).spec.priority, Priority::Low);
-    auto cancelled = w.tables.cancel_dependants(p.jobs[2]);
+    auto cancelled = w.cluster.cancel_dependants(p.jobs[2]);
     EXPECT_EQ(cancelled, std::vector<Index>{p.jobs[3]});
     EXPECT_EQ(p.job(1).priority, Priority::Low);
     EXPECT_EQ(p.job(0).priority, Priority::Low);
     EXPECT_GT(p.job(0).needed_by, 1e17);
 }
 
-TEST(Dependencies, TowersOfDiamondsAndLongChainsTakeNoLongerThanTheirLinks) {
+TEST(DependencyGraph, TowersOfDiamondsAndLongChainsTakeNoLongerThanTheirLinks) {
     // Walked path by path, 30 diamonds would take 2^30 steps.
     World w;
     Pipeline p{w, {}};
@@ -148,12 +148,12 @@
     auto top = p.jobs.size() - 1;
     p.add({top}, Priority::High);
     EXPECT_EQ(p.job(0).priority, Priority::High);
-    EXPECT_EQ(w.tables.dependencies().all_dependants(p.jobs[0]).size(), p.jobs.size() - 1);
+    EXPECT_EQ(w.cluster.dependencies().all_dependants(p.jobs[0]).size(), p.jobs.size() - 1);
     World v;
     Pipeline chain{v, {}};
     chain.add({});
     for (size_t i = 0; i < 3000; ++i) chain.add({i});
-    EXPECT_EQ(v.tables.cancel_dependants(chain.jobs[0]).size(), 3000u);
+    EXPECT_EQ(v.cluster.cancel_dependants(chain.jobs[0]).size(), 3000u);
 }
 
 TEST(Preemption, AStopIsRightWhetherOrNotWhatNeedsAJobCounts) {
@@ -178,75 +178,75 @@
         p.add({0}, row.needed);
         p.add({}, row.victim);
         p.add({2}, row.victim_needed);
-        EXPECT_EQ(may_stop(w.tables, p.job(2), p.job(0)), row.may) << row.why;
+        EXPECT_EQ(may_stop(w.cluster, p.job(2), p.job(0)), row.may) << row.why;
     }
 }
 
 // What the leader does with the tables and the ledger, without the rest of it.
 struct Bookkeeper {
     World w;
-    LedgerLimits limits;
-    Ledger ledger;
+    StateLogLimits limits;
+    StateLog state_log;
     std::set<Index> ending;
-    Bookkeeper(uint64_t token, LedgerLimits limits)
-        : limits(limits), ledger(w.tables, token, limits) {}
+    Bookkeeper(uint64_t token, StateLogLimits limits)
+        : limits(limits), state_log(w.cluster, token, limits) {}
 
     Index submit(const std::string& id, const std::vector<std::string>& on, uint32_t tasks = 1) {
         auto spec = w.spec(id, JobKind::Array, tasks, 0.01);
         std::vector<Index> links;
         bool cancelled = false;
         for (auto& d : on) {
-            auto* job = w.tables.find_job(d);
+            auto* job = w.cluster.find_job(d);
             if (!job) continue;  // ended as done
             cancelled = cancelled || job->cancel_recorded;
-            links.push_back(w.tables.job_index.at(d));
+            links.push_back(w.cluster.job_index.at(d));
         }
         if (!cancelled && !links.empty()) spec.dependencies = on;
-        auto j = w.tables.add_job(std::move(spec), 1000, w.now);
+        auto j = w.cluster.add_job(std::move(spec), 1000, w.now);
         if (cancelled)
-            w.tables.jobs[j]->cancelled = w.tables.jobs[j]->cancel_recorded = true;
-        else if (w.tables.jobs[j]->waits)
-            w.tables.set_dependencies(j, links, w.now);
-        ledger.new_job(j);
+            w.cluster.jobs[j]->cancelled = w.cluster.jobs[j]->cancel_recorded = true;
+        else if (w.cluster.jobs[j]->waits)
+            w.cluster.set_dependencies(j, links, w.now);
+        state_log.new_job(j);
         return j;
     }
     void cancel(Index j) {
-        w.tables.jobs[j]->cancelled = true;
-        ledger.cancel(j);
+        w.cluster.jobs[j]->cancelled = true;
+        state_log.cancel(j);
     }
     // Ends of jobs that may end.
     void check() {
-        for (Index j = 0; j < w.tables.jobs.size(); ++j) {
-            auto* job = w.tables.jobs[j].get();
+        for (Index j = 0; j < w.cluster.jobs.size(); ++j) {
+            auto* job = w.cluster.jobs[j].get();
             if (!job || job->version == 0 || job->ending || job->placed > 0) continue;
-            if (job->cancelled ? !w.tables.cancellation_logged(j) : job->done < job->tasks.size())
+            if (job->cancelled ? !w.cluster.cancellation_logged(j) : job->done < job->tasks.size())
                 continue;
             job->ending = true;
             job->ended = std::round(w.now * 8) / 8;
-            ledger.finish(j);
+            state_log.finish(j);
         }
     }
-    void committed(const LedgerBatch& b, uint64_t revision) {
-        ledger.committed(b, revision);
+    void committed(const StateLogBatch& b, uint64_t revision) {
+        state_log.committed(b, revision);
         for (auto& e : b.entries) {
             if (e.kind == EntryKind::Cancel)
-                for (auto d : w.tables.cancel_dependants(e.job))
-                    if (w.tables.jobs[d]->version != 0) ledger.cancel(d);
-            if (e.kind == EntryKind::Finish) w.tables.remove_job(e.job, w.now);
+                for (auto d : w.cluster.cancel_dependants(e.job))
+                    if (w.cluster.jobs[d]->version != 0) state_log.cancel(d);
+            if (e.kind == EntryKind::Finish) w.cluster.remove_job(e.job, w.now);
         }
         check();
     }
-    void rejected(const LedgerBatch& b) {
+    void rejected(const StateLogBatch& b) {
         for (auto& e : b.entries)
-            if (e.kind == EntryKind::NewJob) w.tables.remove_job(e.job, w.now);
-        ledger.rejected(b);
+            if (e.kind == EntryKind::NewJob) w.cluster.remove_job(e.job, w.now);
+        state_log.rejected(b);
     }
     // Nothing more to be recorded.
     int settle(Store& store) {
         int n = 0;
         check();
-        for (; ledger.waiting() && n < 5000; ++n) {
-            auto b = ledger.next(limits.txn_ops);
+        for (; state_log.waiting() && n < 5000; ++n) {
+            auto b = state_log.next(limits.txn_ops);
             if (b.empty()) break;
             test::expect_limits(b, limits);
             auto revision = store.apply(b.txn);
@@ -257,7 +257,7 @@
     }
 };
 
-constexpr LedgerLimits kTight{4, 2};
+constexpr StateLogLimits kTight{4, 2};
 
 TEST(PipelineRecords, AFreshLeaderFindsWhatWaitsAndWhatIsCancelledWhateverBecameOfTheAnswers) {
     // Random histories. After every one applied transaction a fresh leader reads the log: who waits
@@ -268,20 +268,20 @@
         std::mt19937 random(seed);
         auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
         Store store;
-        Bookkeeper k(41, seed % 2 ? kTight : LedgerLimits{12, 4});
-        auto& tables = k.w.tables;
+        Bookkeeper k(41, seed % 2 ? kTight : StateLogLimits{12, 4});
+        auto& cluster = k.w.cluster;
         std::vector<Index> machines;
         for (int i = 0; i < 4; ++i) machines.push_back(k.w.machine("vm-00000" + std::to_string(i)));
         std::vector<CasTransaction> sent;
         int jobs = 0;
         for (int step = 0; step < 700; ++step) {
             k.w.now += 0.25;
-            if (below(4) == 0 && tables.job_index.size() < 25) {
+            if (below(4) == 0 && cluster.job_index.size() < 25) {
                 std::vector<std::string> on;
                 for (int i = 0; i < 3 && jobs > 0; ++i) {
                     auto id =
                         "req-" + std::to_string(jobs - static_cast<int>(below(std::min(jobs, 6))));
-                    auto* job = tables.find_job(id);
+                    auto* job = cluster.find_job(id);
                     auto final = store.keys.find(final_key(id));
                     bool gone_well = final != store.keys.end() &&
                                      final->second.first.find("true") == std::string::npos;
@@ -291,17 +291,17 @@
                 }
                 k.submit("req-" + std::to_string(++jobs), on, 1 + below(8));
             }
-            for (Index j = 0; j < tables.jobs.size(); ++j) {
-                auto* job = tables.jobs[j].get();
+            for (Index j = 0; j < cluster.jobs.size(); ++j) {
+                auto* job = cluster.jobs[j].get();
                 if (!job || job->version == 0 || job->ending) continue;
                 auto t = below(job->tasks.size());
                 auto& task = job->tasks[t];
                 if (task.state == TaskState::Pending && !job->cancelled && !job->waits)
-                    tables.place(j, t, machines[below(4)], task.attempt + 1, k.w.now);
+                    cluster.place(j, t, machines[below(4)], task.attempt + 1, k.w.now);
                 else if (task.state == TaskState::Placed && below(3) > 0)
-                    tables.finish(j, t, k.w.now);
+                    cluster.finish(j, t, k.w.now);
                 else if (task.state == TaskState::Placed)
-                    tables.vacate(j, t, k.w.now);
+                    cluster.unassign(j, t, k.w.now);
                 if (below(150) == 0 && !job->cancelled) k.cancel(j);
             }
             k.check();
@@ -309,8 +309,8 @@
                 EXPECT_EQ(store.apply(sent[below(sent.size())]), 0u)
                     << "a late copy, seed " << seed;
             }
-            auto b =
-                k.ledger.next(1 + static_cast<int>(below(static_cast<size_t>(k.limits.txn_ops))));
+            auto b = k.state_log.next(
+                1 + static_cast<int>(below(static_cast<size_t>(k.limits.txn_ops))));
             if (b.empty()) continue;
             test::expect_limits(b, k.limits);
             if (below(8) == 0) {
@@ -322,12 +322,12 @@
             sent.push_back(b.txn);
             k.committed(b, revision);
             Bookkeeper fresh(42, k.limits);
-            store.load(fresh.ledger, fresh.w.now);
+            store.load(fresh.state_log, fresh.w.now);
             // Placements not recorded yet are the old leader's alone: only what pipelines are made
             // of counts.
-            for (auto& [id, index] : tables.job_index) {
-                auto& job = *tables.jobs[index];
-                auto* found = fresh.w.tables.find_job(id);
+            for (auto& [id, index] : cluster.job_index) {
+                auto& job = *cluster.jobs[index];
+                auto* found = fresh.w.cluster.find_job(id);
                 ASSERT_EQ(found != nullptr, job.version != 0)
                     << id << " seed " << seed << " step " << step;
                 if (!found) continue;
@@ -337,15 +337,15 @@
                 EXPECT_EQ(found->ready, job.ready) << id << " seed " << seed;
                 readied += job.ready > 0;
             }
-            for (auto& [id, index] : fresh.w.tables.job_index)
-                EXPECT_TRUE(tables.find_job(id)) << id << " came back, seed " << seed;
+            for (auto& [id, index] : fresh.w.cluster.job_index)
+                EXPECT_TRUE(cluster.find_job(id)) << id << " came back, seed " << seed;
         }
         k.settle(store);
         for (auto& [key, value] : store.keys)
             cascades += key.starts_with("f/") && value.first.find("true") != std::string::npos;
         Bookkeeper fresh(42, k.limits);
-        store.load(fresh.ledger, fresh.w.now);
-        EXPECT_EQ(test::picture(fresh.w.tables), test::picture(tables)) << "seed " << seed;
+        store.load(fresh.state_log, fresh.w.now);
+        EXPECT_EQ(test::picture(fresh.w.cluster), test::picture(cluster)) << "seed " << seed;
         EXPECT_TRUE(store.keys.count(kLogKey)) << "no segment was dropped";
     }
     EXPECT_GT(cascades, 50);
@@ -364,17 +364,17 @@
             k.submit("req-" + std::to_string(i), {"req-" + std::to_string(i - 1)});
         }
         k.settle(store);
-        k.cancel(k.w.tables.job_index.at("req-0"));
+        k.cancel(k.w.cluster.job_index.at("req-0"));
         for (size_t i = 0; i < crash_after; ++i) {
-            auto b = k.ledger.next(kTight.txn_ops);
+            auto b = k.state_log.next(kTight.txn_ops);
             ASSERT_FALSE(b.empty());
             k.committed(b, store.apply(b.txn));
         }
         Bookkeeper next(42, kTight);
-        store.load(next.ledger, next.w.now);
+        store.load(next.state_log, next.w.now);
         size_t cancelled = 0;
         for (int i = 0; i <= 400; ++i) {
-            auto* job = next.w.tables.find_job("req-" + std::to_string(i));
+            auto* job = next.w.cluster.find_job("req-" + std::to_string(i));
             if (job)
                 cancelled += job->cancel_recorded;
             else
@@ -386,7 +386,7 @@
         // And it can finish what the first began.
         store.keys[kLeaderKey].second = 42;
         next.settle(store);
-        EXPECT_TRUE(next.w.tables.job_index.empty()) << crash_after;
+        EXPECT_TRUE(next.w.cluster.job_index.empty()) << crash_after;
     }
 }
 
@@ -414,28 +414,28 @@
             if (row.cancel) {
                 k.cancel(first);
             } else {
-                k.w.tables.finish(first, 0, k.w.now);
+                k.w.cluster.finish(first, 0, k.w.now);
                 k.check();
             }
             for (int i = 0; i < row.first; ++i) {
-                auto b = k.ledger.next(kTight.txn_ops);
-                k.ledger.committed(b, store.apply(b.txn));
+                auto b = k.state_log.next(kTight.txn_ops);
+                k.state_log.committed(b, store.apply(b.txn));
                 for (auto& e : b.entries) {
                     if (e.kind == EntryKind::Cancel) {
-                        EXPECT_TRUE(k.w.tables.cancel_dependants(e.job).empty());
+                        EXPECT_TRUE(k.w.cluster.cancel_dependants(e.job).empty());
                     }
-                    if (e.kind == EntryKind::Finish) k.w.tables.remove_job(e.job, k.w.now);
+                    if (e.kind == EntryKind::Finish) k.w.cluster.remove_job(e.job, k.w.now);
                 }
             }
             k.submit("req-2", {"req-1"});
-            auto b = k.ledger.next(kTight.txn_ops);
+            auto b = k.state_log.next(kTight.txn_ops);
             k.committed(b, store.apply(b.txn));
             if (!fail_over) k.settle(store);
             Bookkeeper next(42, kTight);
-            store.load(next.ledger, next.w.now);
+            store.load(next.state_log, next.w.now);
             store.keys[kLeaderKey].second = 42;
             next.settle(store);
-            auto* job = next.w.tables.find_job("req-2");
+            auto* job = next.w.cluster.find_job("req-2");
             bool cancelled = job ? job->cancel_recorded : store.keys.count("f/req-2") > 0;
             bool ready = job && !job->cancelled && !job->waits;
             EXPECT_EQ(std::string(cancelled ? "cancelled"
@@ -459,27 +459,27 @@
         k.submit("req-1", on);
         k.submit("req-2", {on[0]});
         // The one behind it is recorded with the first transaction.
-        auto b = k.ledger.next(kTight.txn_ops);
+        auto b = k.state_log.next(kTight.txn_ops);
         EXPECT_TRUE(std::any_of(b.entries.begin(), b.entries.end(), [&](auto& e) {
-            return e.kind == EntryKind::NewJob && k.w.tables.jobs[e.job]->spec.id == "req-2";
+            return e.kind == EntryKind::NewJob && k.w.cluster.jobs[e.job]->spec.id == "req-2";
         }));
         k.committed(b, store.apply(b.txn));
-        for (int i = 0; k.w.tables.find_job("req-1")->version == 0; ++i) {
+        for (int i = 0; k.w.cluster.find_job("req-1")->version == 0; ++i) {
             ASSERT_LT(i, 200);
-            b = k.ledger.next(kTight.txn_ops);
+            b = k.state_log.next(kTight.txn_ops);
             test::expect_limits(b, kTight);
             if (rejects && i % 5 == 1) {
-                k.ledger.rejected(b);
+                k.state_log.rejected(b);
                 for (auto& e : b.entries)
-                    if (e.kind == EntryKind::NewJob) k.ledger.new_job(e.job);
+                    if (e.kind == EntryKind::NewJob) k.state_log.new_job(e.job);
                 continue;
             }
             k.committed(b, store.apply(b.txn));
         }
         // Told anew as well, while the jobs around it end.
         for (int i = 0; i < 1400; ++i) {
-            auto j = k.w.tables.job_index.at(on[static_cast<size_t>(i)]);
-            k.w.tables.finish(j, 0, k.w.now);
+            auto j = k.w.cluster.job_index.at(on[static_cast<size_t>(i)]);
+            k.w.cluster.finish(j, 0, k.w.now);
             k.check();
             k.w.now += 0.125;
             if (i % 50 == 0) k.settle(store);
@@ -487,14 +487,14 @@
         k.settle(store);
         EXPECT_TRUE(store.keys.count(kLogKey));
         Bookkeeper next(42, kTight);
-        store.load(next.ledger, next.w.now);
-        auto* job = next.w.tables.find_job("req-1");
+        store.load(next.state_log, next.w.now);
+        auto* job = next.w.cluster.find_job("req-1");
         ASSERT_TRUE(job);
         EXPECT_TRUE(job->waits);
-        EXPECT_EQ(next.w.tables.dependencies().of(next.w.tables.job_index.at("req-1")).size(),
+        EXPECT_EQ(next.w.cluster.dependencies().of(next.w.cluster.job_index.at("req-1")).size(),
                   100u);
-        EXPECT_EQ(job->ready, k.w.tables.find_job("req-1")->ready);
-        EXPECT_TRUE(next.w.tables.find_job("req-2")->waits == false);
+        EXPECT_EQ(job->ready, k.w.cluster.find_job("req-1")->ready);
+        EXPECT_TRUE(next.w.cluster.find_job("req-2")->waits == false);
     }
 }
 
--- a/tests/placement_reference.h
+++ b/tests/placement_reference.h
@@ -11,78 +11,79 @@
 namespace weirmill::test {
 
 struct PlainPlacement {
-    Tables& tables;
+    ClusterState& cluster;
     Usable usable;
     double now;
     std::vector<Placement> out;
 
     auto fit(const Job& job, Index i) const {
-        auto& m = *tables.machines[i];
-        auto left = m.room() - job.spec.need;
+        auto& m = *cluster.machines[i];
+        auto left = m.room() - job.spec.demand;
         bool together = job.spec.kind == JobKind::Gang && job.spec.tasks > 1;
-        return std::make_tuple(job.spec.need.gpu == 0 && m.size.gpu > 0, job.failed_on.count(i) > 0,
-                               m.tasks.empty(), job.spec.need.gpu > 0 ? left.gpu : left.cpu,
-                               together && m.spot, !m.has_image(job.spec.image),
-                               !together && !m.spot, left.cpu, left.mem,
-                               tables.report_due_s(m, now));
+        return std::make_tuple(job.spec.demand.gpu == 0 && m.size.gpu > 0,
+                               job.failed_on.count(i) > 0, m.tasks.empty(),
+                               job.spec.demand.gpu > 0 ? left.gpu : left.cpu, together && m.spot,
+                               !m.has_image(job.spec.image), !together && !m.spot, left.cpu,
+                               left.mem, cluster.report_due_s(m, now));
     }
     std::vector<Index> open{};
     std::map<Index, Priority> held{};
     bool candidate(Index j, Index i) const {
-        auto& job = *tables.jobs[j];
-        auto* m = tables.machines[i].get();
-        if (!m || !usable(*m) || !tables.machine_allowed(job.spec, *m) ||
-            !job.spec.need.fits_in(m->room()))
+        auto& job = *cluster.jobs[j];
+        auto* m = cluster.machines[i].get();
+        if (!m || !usable(*m) || !cluster.machine_allowed(job.spec, *m) ||
+            !job.spec.demand.fits_in(m->room()))
             return false;
         if (held.count(i) && held.at(i) > job.priority) return false;
         if (m->reserved_for == kNone || m->reserved_for == j || m->reserved_until <= now)
             return true;
-        auto* owner = tables.jobs[m->reserved_for].get();
+        auto* owner = cluster.jobs[m->reserved_for].get();
         return !owner || owner->priority < job.priority;
     }
     Index best(Index j, const ZoneRule& rule, Index zone, bool image_only = false) const {
-        auto& job = *tables.jobs[j];
+        auto& job = *cluster.jobs[j];
         Index best = kNone;
-        for (Index i = 0; i < tables.machines.size(); ++i) {
+        for (Index i = 0; i < cluster.machines.size(); ++i) {
             if (!candidate(j, i)) continue;
-            auto& m = *tables.machines[i];
+            auto& m = *cluster.machines[i];
             if (!rule.allows(m.zone) || (zone != kNone && m.zone != zone) ||
-                !tables.leaves_gpus_usable(job.spec, m) ||
-                (image_only && !image_near(tables, m, job.spec.image)))
+                !cluster.leaves_gpus_usable(job.spec, m) ||
+                (image_only && !image_near(cluster, m, job.spec.image)))
                 continue;
             if (best == kNone || fit(job, i) < fit(job, best)) best = i;
         }
         return best;
     }
     void array(Index j, bool image_only) {
-        auto& job = *tables.jobs[j];
-        ZoneRule rule(tables, job);
+        auto& job = *cluster.jobs[j];
+        ZoneRule rule(cluster, job);
         for (uint32_t t = 0; t < job.tasks.size(); ++t) {
             if (job.tasks[t].state != TaskState::Pending) continue;
-            if (!tables.within_limit(tables.teams[job.spec.team], job.spec.need)) return;
+            if (!cluster.within_limit(cluster.teams[job.spec.team], job.spec.demand)) return;
             auto i = best(j, rule, kNone, image_only);
             if (i == kNone) return;
-            tables.place(j, t, i, job.tasks[t].attempt + 1, now);
-            rule.add(tables.machines[i]->zone);
+            cluster.place(j, t, i, job.tasks[t].attempt + 1, now);
+            rule.add(cluster.machines[i]->zone);
             out.push_back({j, t, i, job.tasks[t].attempt});
         }
     }
     void gang(Index j) {
-        auto& job = *tables.jobs[j];
-        if (!tables.within_limit(tables.teams[job.spec.team], job.spec.need * job.pending)) return;
+        auto& job = *cluster.jobs[j];
+        if (!cluster.within_limit(cluster.teams[job.spec.team], job.spec.demand * job.pending))
+            return;
         std::vector<Index> zones{kNone};
         if (job.spec.one_zone) {
             zones.clear();
-            for (Index i = 0; i < tables.machines.size(); ++i) {
+            for (Index i = 0; i < cluster.machines.size(); ++i) {
                 if (candidate(j, i) &&
-                    std::find(zones.begin(), zones.end(), tables.machines[i]->zone) == zones.end())
-                    zones.push_back(tables.machines[i]->zone);
+                    std::find(zones.begin(), zones.end(), cluster.machines[i]->zone) == zones.end())
+                    zones.push_back(cluster.machines[i]->zone);
             }
             std::map<Index, int64_t> near;
             for (auto i : open) {
-                auto& m = *tables.machines[i];
-                if (tables.machine_allowed(job.spec, m) && image_near(tables, m, job.spec.image))
-                    near[m.zone] += job.spec.need.times_in(m.room());
+                auto& m = *cluster.machines[i];
+                if (cluster.machine_allowed(job.spec, m) && image_near(cluster, m, job.spec.image))
+                    near[m.zone] += job.spec.demand.times_in(m.room());
             }
             for (auto& [z, n] : near)
                 n = job.spec.image_gb > 0 ? std::min<int64_t>(n, job.pending) : 0;
@@ -90,20 +91,20 @@
                              [&](Index a, Index b) { return near[a] > near[b]; });
         }
         for (auto zone : zones) {
-            ZoneRule rule(tables, job);
+            ZoneRule rule(cluster, job);
             std::vector<Index> chosen;
             for (uint32_t n = 0; n < job.pending; ++n) {
                 auto i = best(j, rule, zone);
                 if (i == kNone) break;
                 chosen.push_back(i);
-                rule.add(tables.machines[i]->zone);
-                tables.machines[i]->used += job.spec.need;
+                rule.add(cluster.machines[i]->zone);
+                cluster.machines[i]->used += job.spec.demand;
             }
-            for (auto i : chosen) tables.machines[i]->used -= job.spec.need;
+            for (auto i : chosen) cluster.machines[i]->used -= job.spec.demand;
             if (chosen.size() != job.pending) continue;
             ++job.gang_attempt;
             for (uint32_t t = 0; t < job.tasks.size(); ++t) {
-                tables.place(j, t, chosen[t], job.gang_attempt, now);
+                cluster.place(j, t, chosen[t], job.gang_attempt, now);
                 out.push_back({j, t, chosen[t], job.gang_attempt});
             }
             return;
@@ -112,43 +113,43 @@
     // Of the machines that anybody could have used, those that lack the least, one for each task
     // that waits.
     void hold(Index j) {
-        auto& job = *tables.jobs[j];
-        auto& need = job.spec.need;
-        if (job.pending == 0 || !tables.within_limit(tables.teams[job.spec.team], need)) return;
+        auto& job = *cluster.jobs[j];
+        auto& demand = job.spec.demand;
+        if (job.pending == 0 || !cluster.within_limit(cluster.teams[job.spec.team], demand)) return;
         std::set<std::pair<int64_t, Index>> some;
         for (auto i : open) {
-            auto& m = *tables.machines[i];
-            if (!need.fits_in(m.room()) && need.times_in(m.size) >= 2 &&
+            auto& m = *cluster.machines[i];
+            if (!demand.fits_in(m.room()) && demand.times_in(m.size) >= 2 &&
                 (!held.count(i) || held.at(i) < job.priority) &&
-                tables.machine_allowed(job.spec, m) && !tables.spares_gpus(job.spec, m.type))
-                some.emplace(need.cpu - m.room().cpu, i);
+                cluster.machine_allowed(job.spec, m) && !cluster.spares_gpus(job.spec, m.type))
+                some.emplace(demand.cpu - m.room().cpu, i);
         }
         uint32_t n = 0;
         for (auto& [lack, i] : some)
             if (n++ < job.pending) held[i] = job.priority;
     }
     const std::vector<Placement>& run() {
-        auto ranks = waiting_ranks(tables, now);
-        for (Index i = 0; i < tables.machines.size(); ++i) {
-            auto* m = tables.machines[i].get();
+        auto ranks = waiting_ranks(cluster, now);
+        for (Index i = 0; i < cluster.machines.size(); ++i) {
+            auto* m = cluster.machines[i].get();
             if (!m || !usable(*m)) continue;
             Resources least{1 << 30, 1 << 30, 1 << 30};
             for (auto& rank : ranks)
                 for (auto j : rank) {
-                    auto& need = tables.jobs[j]->spec.need;
-                    least = {std::min(least.cpu, need.cpu), std::min(least.gpu, need.gpu),
-                             std::min(least.mem, need.mem)};
+                    auto& demand = cluster.jobs[j]->spec.demand;
+                    least = {std::min(least.cpu, demand.cpu), std::min(least.gpu, demand.gpu),
+                             std::min(least.mem, demand.mem)};
                 }
             if (least.fits_in(m->room())) open.push_back(i);
         }
         for (auto& rank : ranks) {
             if (rank.size() > 1)
                 for (auto j : rank)
-                    if (tables.jobs[j]->spec.kind != JobKind::Gang &&
-                        tables.jobs[j]->spec.image_gb > 0)
+                    if (cluster.jobs[j]->spec.kind != JobKind::Gang &&
+                        cluster.jobs[j]->spec.image_gb > 0)
                         array(j, true);
             for (auto j : rank) {
-                tables.jobs[j]->spec.kind == JobKind::Gang ? gang(j) : array(j, false);
+                cluster.jobs[j]->spec.kind == JobKind::Gang ? gang(j) : array(j, false);
                 hold(j);
             }
         }
--- a/tests/play_test.cpp
+++ b/tests/play_test.cpp
@@ -243,7 +243,7 @@
     LoadStats stats;
     JobSpec s;
     s.tasks = 4;
-    s.need = {2000, 500, 1000};
+    s.demand = {2000, 500, 1000};
     s.estimate_s = 1800;
     stats.add(10, s, "night <b>");
     s.kind = JobKind::Gang;
--- a/tests/service.h
+++ b/tests/service.h
@@ -297,7 +297,7 @@
     bool recorded(const std::string& text) {
         auto keys = state->keys();
         return std::any_of(keys.begin(), keys.end(), [&](auto& k) {
-            return k.first.starts_with(kSegments) &&
+            return k.first.starts_with(kSegmentPrefix) &&
                    json::serialize(k.second).find(text) != std::string::npos;
         });
     }
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -193,11 +193,11 @@
     EXPECT_TRUE(s.done("req-2"));
     // What the next leader would read: no job is left, and none was brought back.
     test::World fresh;
-    Ledger ledger(fresh.tables, 1, {12, 4});
+    StateLog state_log(fresh.cluster, 1, {12, 4});
     for (auto& [key, value] : s.state->keys())
-        if (key.starts_with(kSegments)) ledger.load_segment({key, value, 1, 0}, fresh.now);
-    ledger.loaded(fresh.now);
-    EXPECT_TRUE(fresh.tables.job_index.empty());
+        if (key.starts_with(kSegmentPrefix)) state_log.load_segment({key, value, 1, 0}, fresh.now);
+    state_log.loaded(fresh.now);
+    EXPECT_TRUE(fresh.cluster.job_index.empty());
     EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
 }
 
--- a/tests/starved_test.cpp
+++ b/tests/starved_test.cpp
@@ -19,7 +19,7 @@
         double cpus = 4;
     };
     auto all = [](World& w, auto&& change) {
-        for (auto& m : w.tables.machines) change(*m);
+        for (auto& m : w.cluster.machines) change(*m);
     };
     const Row rows[] = {
         {"room stands free", [](World&, Job&) {}, HeldBy::Nothing},
@@ -29,7 +29,7 @@
         {"it is cancelled", [](World&, Job& j) { j.cancelled = true; }, std::nullopt},
         {"it failed", [](World& w, Job& j) { j.not_before = w.now + 5; }, HeldBy::BackOff},
         {"its team is at its limit",
-         [](World& w, Job& j) { w.tables.teams[j.spec.team].used = {32000, 0, 0}; }, std::nullopt},
+         [](World& w, Job& j) { w.cluster.teams[j.spec.team].used = {32000, 0, 0}; }, std::nullopt},
         {"reserved for another",
          [&](World& w, Job&) {
              all(w, [&](Machine& m) { m.reserved_for = 7, m.reserved_until = w.now + 9; });
@@ -52,23 +52,23 @@
          HeldBy::Unheard},
         {"closing", [&](World& w, Job&) { all(w, [&](Machine& m) { m.closing = true; }); },
          HeldBy::Leaving},
-        {"one of two is free", [&](World& w, Job&) { w.tables.machines[0]->closing = true; },
+        {"one of two is free", [&](World& w, Job&) { w.cluster.machines[0]->closing = true; },
          HeldBy::Nothing},
         {"not up", [&](World& w, Job&) { all(w, [&](Machine& m) { m.up = false; }); },
          std::nullopt},
         {"given up", [&](World& w, Job&) { all(w, [&](Machine& m) { m.doomed = true; }); },
          std::nullopt},
         {"of another zone",
-         [&](World& w, Job& j) { j.spec.zone = w.tables.names.zones.intern("b"); }, std::nullopt},
+         [&](World& w, Job& j) { j.spec.zone = w.cluster.names.zones.intern("b"); }, std::nullopt},
         {"a gang that fits both", [](World&, Job&) {}, HeldBy::Nothing, JobKind::Gang, 4},
         {"a gang too large for both", [](World&, Job&) {}, std::nullopt, JobKind::Gang, 5},
         {"a gang for which one of both is closing",
-         [&](World& w, Job&) { w.tables.machines[1]->closing = true; }, HeldBy::Leaving,
+         [&](World& w, Job&) { w.cluster.machines[1]->closing = true; }, HeldBy::Leaving,
          JobKind::Gang, 4},
         {"half of a gang in one zone at most", [](World&, Job& j) { j.spec.spread = true; },
          std::nullopt, JobKind::Gang, 4},
         {"a gang whose whole is over the limit",
-         [](World& w, Job& j) { w.tables.teams[j.spec.team].used = {24000, 0, 0}; }, std::nullopt,
+         [](World& w, Job& j) { w.cluster.teams[j.spec.team].used = {24000, 0, 0}; }, std::nullopt,
          JobKind::Gang, 4},
     };
     for (auto& row : rows) {
@@ -77,10 +77,10 @@
         w.machine("vm-1");
         w.machine("vm-2");
         auto j = w.job(w.spec("req-1", row.kind, row.tasks, row.cpus, 0, Priority::Normal, "red"));
-        w.tables.jobs[j]->seen_at = w.now - 100;
-        row.change(w, *w.tables.jobs[j]);
+        w.cluster.jobs[j]->seen_at = w.now - 100;
+        row.change(w, *w.cluster.jobs[j]);
         auto usable = [](const Machine& m) { return m.up && !m.hearing.deaf(); };
-        auto found = starved_jobs(w.tables, usable, w.now, kStarvedAfter_s);
+        auto found = starved_jobs(w.cluster, usable, w.now, kStarvedAfter_s);
         ASSERT_EQ(found.size(), row.held ? 1u : 0u) << row.what;
         if (row.held) {
             EXPECT_EQ(found[0].held, *row.held) << row.what;
--- a/tests/store.h
+++ b/tests/store.h
@@ -29,29 +29,29 @@
     }
     size_t segments() const {
         size_t n = 0;
-        for (auto& [key, value] : keys) n += key.starts_with(kSegments);
+        for (auto& [key, value] : keys) n += key.starts_with(kSegmentPrefix);
         return n;
     }
     KvPage log() const {
         KvPage page;
         for (auto& [key, value] : keys)
-            if (key.starts_with(kSegments))
+            if (key.starts_with(kSegmentPrefix))
                 page.items.push_back({key, boost::json::parse(value.first), value.second, 0});
         return page;
     }
-    void load(Ledger& ledger, double now) const {
-        ledger.clear();
+    void load(StateLog& state_log, double now) const {
+        state_log.clear();
         auto item = [](auto& k) {
             return KvItem{k.first, boost::json::parse(k.second.first), k.second.second, 0};
         };
-        if (auto it = keys.find(kLogKey); it != keys.end()) ledger.load_head(item(*it));
+        if (auto it = keys.find(kLogKey); it != keys.end()) state_log.load_head(item(*it));
         for (auto& k : keys)
-            if (k.first.starts_with(kSegments)) ledger.load_segment(item(k), now);
-        ledger.loaded(now);
+            if (k.first.starts_with(kSegmentPrefix)) state_log.load_segment(item(k), now);
+        state_log.loaded(now);
     }
 };
 
-inline void expect_limits(const LedgerBatch& b, LedgerLimits limits) {
+inline void expect_limits(const StateLogBatch& b, StateLogLimits limits) {
     EXPECT_LE(b.txn.changes.size(), static_cast<size_t>(limits.txn_ops));
     EXPECT_LE(b.txn.conditions.size(), 4 * static_cast<size_t>(limits.txn_ops));
     EXPECT_LE(txn_json(b.txn).size(), 64u * 1024);
@@ -60,17 +60,18 @@
 }
 
 // Until nothing waits to be recorded; ended jobs leave the tables. How many transactions it took.
-inline int flush(Ledger& ledger, Tables& tables, Store& store, LedgerLimits limits, double now) {
+inline int flush(StateLog& state_log, ClusterState& cluster, Store& store, StateLogLimits limits,
+                 double now) {
     int n = 0;
-    for (; ledger.waiting() && n < 20000; ++n) {
-        auto b = ledger.next(limits.txn_ops);
+    for (; state_log.waiting() && n < 20000; ++n) {
+        auto b = state_log.next(limits.txn_ops);
         if (b.empty()) break;
         expect_limits(b, limits);
         auto revision = store.apply(b.txn);
         EXPECT_NE(revision, 0u);
-        ledger.committed(b, revision);
+        state_log.committed(b, revision);
         for (auto& e : b.entries)
-            if (e.kind == EntryKind::Finish) tables.remove_job(e.job, now);
+            if (e.kind == EntryKind::Finish) cluster.remove_job(e.job, now);
     }
     return n;
 }
@@ -78,35 +79,35 @@
 // Something happens to a task of every job, and one in so many is cancelled. `below(n)`: a random
 // number below n.
 template <class Below>
-void live_on(Tables& tables, Ledger& ledger, const std::vector<Index>& machines, Below&& below,
-             uint32_t cancelled_one_in, double now) {
-    for (Index j = 0; j < tables.jobs.size(); ++j) {
-        auto* job = tables.jobs[j].get();
+void live_on(ClusterState& cluster, StateLog& state_log, const std::vector<Index>& machines,
+             Below&& below, uint32_t cancelled_one_in, double now) {
+    for (Index j = 0; j < cluster.jobs.size(); ++j) {
+        auto* job = cluster.jobs[j].get();
         if (!job || job->version == 0 || job->ending) continue;
         auto t = below(job->tasks.size());
         auto& task = job->tasks[t];
         if (task.state == TaskState::Pending && !job->cancelled)
-            tables.place(j, t, machines[below(machines.size())], task.attempt + 1, now);
+            cluster.place(j, t, machines[below(machines.size())], task.attempt + 1, now);
         else if (task.state == TaskState::Placed && below(4) > 0)
-            tables.finish(j, t, now);
+            cluster.finish(j, t, now);
         else if (task.state == TaskState::Placed)
-            tables.vacate(j, t, now);
+            cluster.unassign(j, t, now);
         if (below(cancelled_one_in) == 0 && !job->cancelled) {
             job->cancelled = true;
-            ledger.cancel(j);
+            state_log.cancel(j);
         }
         if (job->done == job->tasks.size() || (job->cancel_recorded && job->placed == 0)) {
             job->ending = true;
-            ledger.finish(j);
+            state_log.finish(j);
         }
     }
 }
 
 // Every task as the tables hold it, machines by name, and what a job waits for, by id.
-inline std::map<std::string, std::string> picture(const Tables& tables) {
+inline std::map<std::string, std::string> picture(const ClusterState& cluster) {
     std::map<std::string, std::string> out;
-    for (Index j = 0; j < tables.jobs.size(); ++j) {
-        auto* job = tables.jobs[j].get();
+    for (Index j = 0; j < cluster.jobs.size(); ++j) {
+        auto* job = cluster.jobs[j].get();
         if (!job || job->version == 0) continue;
         auto& text = out[job->spec.id];
         text = job->cancel_recorded ? "cancelled" : "";
@@ -116,11 +117,11 @@
                 text += "done";
             else
                 text += std::to_string(t.attempt) +
-                        (t.state == TaskState::Placed ? tables.machines[t.machine]->name : "");
+                        (t.state == TaskState::Placed ? cluster.machines[t.machine]->name : "");
         }
         if (job->cancel_recorded) continue;
         std::set<std::string> on;
-        for (auto d : tables.dependencies().of(j)) on.insert(tables.jobs[d]->spec.id);
+        for (auto d : cluster.dependencies().of(j)) on.insert(cluster.jobs[d]->spec.id);
         for (auto& id : on) text += " after " + id;
         if (job->ready > 0) text += " ready " + std::to_string(job->ready);
     }
--- a/tests/traces_test.cpp
+++ b/tests/traces_test.cpp
@@ -100,8 +100,9 @@
         std::ostringstream t;
         t << s.id << "@" << v.at("at_s").to_number<double>() << " "
           << (s.kind == JobKind::Gang ? "gang " : "") << s.tasks << "x"
-          << static_cast<double>(s.need.cpu) / 1000 << "/" << static_cast<double>(s.need.gpu) / 1000
-          << "/" << static_cast<double>(s.need.mem) / 1000 << " " << s.estimate_s << "s "
+          << static_cast<double>(s.demand.cpu) / 1000 << "/"
+          << static_cast<double>(s.demand.gpu) / 1000 << "/"
+          << static_cast<double>(s.demand.mem) / 1000 << " " << s.estimate_s << "s "
           << names.teams.name(s.team) << " " << v.at("submission").at("urgency").as_string().c_str()
           << " " << names.classes.name(s.job_class);
         for (auto& d : s.dependencies) t << " <" << d;
@@ -582,13 +583,13 @@
     s.kind = JobKind::Gang;
     s.priority = Priority::High;
     s.tasks = 3;
-    s.need = {1500, 250, 7125};
+    s.demand = {1500, 250, 7125};
     s.team = names.teams.intern("re\"d\\\n\x01");
     s.job_class = names.classes.intern("t\xc3\xa9st");
     s.image = names.images.intern("i");
     s.image_gb = 0.1;
     s.estimate_s = 1e9;
-    s.checkpoint_s = 1.0 / 3;
+    s.checkpoint_interval_s = 1.0 / 3;
     for (int full = 0; full < 2; ++full) {
         std::string text;
         append_submission(text, s, names);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -33,37 +33,37 @@
 }
 
 // The history of kOldShort, played by this version.
-void play_short(World& w, Ledger& l, Store& s) {
-    constexpr LedgerLimits limits{12, 4};
-    auto flush = [&] { test::flush(l, w.tables, s, limits, w.now); };
-    auto a = w.tables.add_job(w.spec("req-000001", JobKind::Array, 5, 1), 1000.25, w.now);
+void play_short(World& w, StateLog& l, Store& s) {
+    constexpr StateLogLimits limits{12, 4};
+    auto flush = [&] { test::flush(l, w.cluster, s, limits, w.now); };
+    auto a = w.cluster.add_job(w.spec("req-000001", JobKind::Array, 5, 1), 1000.25, w.now);
     auto spec = w.spec("req-000002", JobKind::Gang, 2, 2, 1, Priority::High, "red");
-    spec.types = {w.tables.names.types.find("gpu")};
-    spec.zone = w.tables.names.zones.find("b");
+    spec.types = {w.cluster.names.types.find("gpu")};
+    spec.zone = w.cluster.names.zones.find("b");
     spec.one_zone = true;
     spec.deadline_s = 900;
     spec.estimate_s = 240.5;
-    spec.checkpoint_s = 30;
-    spec.save_s = 4;
+    spec.checkpoint_interval_s = 30;
+    spec.checkpoint_duration_s = 4;
     spec.image_gb = 6.2;
-    auto b = w.tables.add_job(spec, 1001.5, w.now);
-    auto c = w.tables.add_job(w.spec("req-000003", JobKind::Service, 1, 1), 1002, w.now);
-    auto d = w.tables.add_job(w.spec("req-000004", JobKind::Array, 1, 1), 1003, w.now);
+    auto b = w.cluster.add_job(spec, 1001.5, w.now);
+    auto c = w.cluster.add_job(w.spec("req-000003", JobKind::Service, 1, 1), 1002, w.now);
+    auto d = w.cluster.add_job(w.spec("req-000004", JobKind::Array, 1, 1), 1003, w.now);
     for (auto j : {a, b, c, d}) l.new_job(j);
     flush();
     auto m0 = w.machine("vm-000001"), m1 = w.machine("vm-000002", "gpu", "b");
-    for (uint32_t t = 0; t < 4; ++t) w.tables.place(a, t, m0, 1, w.now);
-    for (uint32_t t = 0; t < 2; ++t) w.tables.place(b, t, m1, 1, w.now);
-    w.tables.place(c, 0, m0, 1, w.now);
-    w.tables.place(d, 0, m0, 1, w.now);
+    for (uint32_t t = 0; t < 4; ++t) w.cluster.place(a, t, m0, 1, w.now);
+    for (uint32_t t = 0; t < 2; ++t) w.cluster.place(b, t, m1, 1, w.now);
+    w.cluster.place(c, 0, m0, 1, w.now);
+    w.cluster.place(d, 0, m0, 1, w.now);
     flush();
-    w.tables.finish(a, 0, w.now);
-    w.tables.finish(a, 1, w.now);
-    w.tables.vacate(a, 3, w.now);
-    w.tables.finish(d, 0, w.now);
-    w.tables.jobs[d]->ending = true;
+    w.cluster.finish(a, 0, w.now);
+    w.cluster.finish(a, 1, w.now);
+    w.cluster.unassign(a, 3, w.now);
+    w.cluster.finish(d, 0, w.now);
+    w.cluster.jobs[d]->ending = true;
     l.finish(d);
-    w.tables.jobs[c]->cancelled = true;
+    w.cluster.jobs[c]->cancelled = true;
     l.cancel(c);
     l.note(kRoundKey, R"({"number":3,"clearings":[],"stops":0})");
     flush();
@@ -72,7 +72,7 @@
 TEST(Upgrade, WithoutPipelinesRecordsAreByteForByteThoseOfTheVersionBefore) {
     World w;
     Store s;
-    Ledger l(w.tables, 41, {12, 4});
+    StateLog l(w.cluster, 41, {12, 4});
     play_short(w, l, s);
     s.keys.erase(kLeaderKey);
     ASSERT_EQ(s.keys.size(), std::size(test::kOldShort));
@@ -87,7 +87,7 @@
 void expect_readable_by_the_version_before(const Store& s) {
     const std::set<std::string> fields{"job", "at", "cancelled"};
     for (auto& [key, value] : s.keys) {
-        if (!key.starts_with(kSegments)) continue;
+        if (!key.starts_with(kSegmentPrefix)) continue;
         auto segment = json::parse(value.first);
         for (auto& entry : segment.as_array()) {
             auto& e = entry.as_array();
@@ -106,30 +106,30 @@
 TEST(Upgrade, EachVersionsRecordsAreLoadedAndToldAnewByTheOther) {
     auto s = store_of(test::kOldRetold);
     World w;
-    Ledger l(w.tables, 41, {4, 1});
+    StateLog l(w.cluster, 41, {4, 1});
     s.load(l, w.now);
-    auto before = test::picture(w.tables);
-    EXPECT_EQ(w.tables.find_job("req-000001")->done, 10u);
-    EXPECT_EQ(w.tables.find_job("req-000001")->placed, 20u);
-    EXPECT_TRUE(w.tables.find_job("req-000002")->cancel_recorded);
-    EXPECT_EQ(w.tables.find_job("req-000002")->tasks[0].attempt, 4u);
+    auto before = test::picture(w.cluster);
+    EXPECT_EQ(w.cluster.find_job("req-000001")->done, 10u);
+    EXPECT_EQ(w.cluster.find_job("req-000001")->placed, 20u);
+    EXPECT_TRUE(w.cluster.find_job("req-000002")->cancel_recorded);
+    EXPECT_EQ(w.cluster.find_job("req-000002")->tasks[0].attempt, 4u);
     // Work goes on until all that the old version wrote is dropped.
-    auto j = w.tables.job_index.at("req-000001");
-    auto m = w.tables.find_machine("vm-000007");
+    auto j = w.cluster.job_index.at("req-000001");
+    auto m = w.cluster.find_machine("vm-000007");
     auto oldest = test::kOldRetold[std::size(test::kOldRetold) - 1].key;
     for (uint32_t i = 0; s.keys.count(oldest) && i < 400; ++i) {
         for (uint32_t t = 20; t < 30; ++t) {
-            w.tables.vacate(j, t, w.now);
-            w.tables.place(j, t, m, 100 + i, w.now);
+            w.cluster.unassign(j, t, w.now);
+            w.cluster.place(j, t, m, 100 + i, w.now);
         }
-        test::flush(l, w.tables, s, {4, 1}, w.now);
+        test::flush(l, w.cluster, s, {4, 1}, w.now);
     }
     EXPECT_FALSE(s.keys.count(oldest));
     expect_readable_by_the_version_before(s);
     World fresh;
-    Ledger next(fresh.tables, 42, {4, 1});
+    StateLog next(fresh.cluster, 42, {4, 1});
     s.load(next, fresh.now);
-    EXPECT_EQ(test::picture(fresh.tables), test::picture(w.tables));
+    EXPECT_EQ(test::picture(fresh.cluster), test::picture(w.cluster));
 }
 
 std::string from_hex(const std::string& hex) {
@@ -261,57 +261,58 @@
     auto spec = w.spec(id, JobKind::Array, 3, 1);
     for (int i = 0; i < 60; ++i)
         spec.types.push_back(
-            w.tables.names.types.intern("type-" + std::string(40, 'x') + std::to_string(i)));
-    spec.image = w.tables.names.images.intern(std::string(60, '"') + "\u00e9\u00e9");
+            w.cluster.names.types.intern("type-" + std::string(40, 'x') + std::to_string(i)));
+    spec.image = w.cluster.names.images.intern(std::string(60, '"') + "\u00e9\u00e9");
     auto j = w.job(spec);
-    return job_record(*w.tables.jobs[j], j, w.tables);
+    return job_record(*w.cluster.jobs[j], j, w.cluster);
 }
 
 TEST(LowerLimits, LongerValuesOfAnOlderVersionAreReadAndNeverWrittenAgain) {
-    constexpr LedgerLimits tight{4, 2};
+    constexpr StateLogLimits tight{4, 2};
     for (bool pipelines : {false, true}) {
         Store s;
         auto entry = long_job("req-7");
         ASSERT_GT(entry.size(), 2048u);
         s.keys[segment_key(1)] = {"[" + entry + R"(,["t","req-7",[0,0,"d"]]])", 12};
         World w;
-        Ledger l(w.tables, 41, tight);
+        StateLog l(w.cluster, 41, tight);
         s.load(l, w.now);
         auto m = w.machine("vm-000001");
         // Others come, change and end; the log is told anew again and again.
         for (int i = 1; i <= 300; ++i) {
             auto spec = w.spec("req-1" + std::to_string(i), JobKind::Array, 20, 0.01);
             if (pipelines && i % 3 == 0) spec.dependencies = {"req-7"};
-            auto j = w.tables.add_job(std::move(spec), 1000, w.now);
-            if (w.tables.jobs[j]->waits)
-                w.tables.set_dependencies(j, {w.tables.job_index.at("req-7")}, w.now);
+            auto j = w.cluster.add_job(std::move(spec), 1000, w.now);
+            if (w.cluster.jobs[j]->waits)
+                w.cluster.set_dependencies(j, {w.cluster.job_index.at("req-7")}, w.now);
             l.new_job(j);
-            test::flush(l, w.tables, s, tight, w.now);
-            EXPECT_NE(w.tables.jobs[j]->version, 0u);
-            if (w.tables.jobs[j]->waits) continue;
-            for (uint32_t t = 0; t < 20; ++t) w.tables.place(j, t, m, 1, w.now);
-            test::flush(l, w.tables, s, tight, w.now);
-            for (uint32_t t = 0; t < 20; ++t) w.tables.finish(j, t, w.now);
-            w.tables.jobs[j]->ending = true;
+            test::flush(l, w.cluster, s, tight, w.now);
+            EXPECT_NE(w.cluster.jobs[j]->version, 0u);
+            if (w.cluster.jobs[j]->waits) continue;
+            for (uint32_t t = 0; t < 20; ++t) w.cluster.place(j, t, m, 1, w.now);
+            test::flush(l, w.cluster, s, tight, w.now);
+            for (uint32_t t = 0; t < 20; ++t) w.cluster.finish(j, t, w.now);
+            w.cluster.jobs[j]->ending = true;
             l.finish(j);
-            test::flush(l, w.tables, s, tight, w.now);
+            test::flush(l, w.cluster, s, tight, w.now);
         }
         // In pieces it would not be readable by the version before, which may still lead: its
         // segment stays until pipelines are used.
         EXPECT_EQ(s.keys.count(segment_key(1)), pipelines ? 0u : 1u);
         if (!pipelines) expect_readable_by_the_version_before(s);
         World fresh;
-        Ledger next(fresh.tables, 42, tight);
+        StateLog next(fresh.cluster, 42, tight);
         s.load(next, fresh.now);
-        EXPECT_EQ(test::picture(fresh.tables), test::picture(w.tables));
-        auto* job = fresh.tables.find_job("req-7");
+        EXPECT_EQ(test::picture(fresh.cluster), test::picture(w.cluster));
+        auto* job = fresh.cluster.find_job("req-7");
         ASSERT_TRUE(job);
         EXPECT_EQ(job->done, 1u);
-        EXPECT_EQ(job_record(*job, fresh.tables.job_index.at("req-7"), fresh.tables).size() > 2048,
-                  true);
+        EXPECT_EQ(
+            job_record(*job, fresh.cluster.job_index.at("req-7"), fresh.cluster).size() > 2048,
+            true);
         EXPECT_EQ(job->spec.types.size(), 60u);
-        EXPECT_EQ(fresh.tables.names.images.name(job->spec.image),
-                  w.tables.names.images.name(w.tables.find_job("req-7")->spec.image));
+        EXPECT_EQ(fresh.cluster.names.images.name(job->spec.image),
+                  w.cluster.names.images.name(w.cluster.find_job("req-7")->spec.image));
     }
 }
 
@@ -320,15 +321,15 @@
     // it.
     World w;
     Store s;
-    Ledger l(w.tables, 41, {24, 32});
+    StateLog l(w.cluster, 41, {24, 32});
     auto m = w.machine("vm-000001");
     for (int i = 1; i <= 40; ++i) {
-        auto j = w.tables.add_job(w.spec("req-" + std::to_string(i), JobKind::Array, 30, 0.001),
-                                  1000, w.now);
+        auto j = w.cluster.add_job(w.spec("req-" + std::to_string(i), JobKind::Array, 30, 0.001),
+                                   1000, w.now);
         l.new_job(j);
     }
-    constexpr LedgerLimits held{6, 2};
-    auto taken = [&](const LedgerBatch& b) {
+    constexpr StateLogLimits held{6, 2};
+    auto taken = [&](const StateLogBatch& b) {
         return b.txn.changes.size() <= static_cast<size_t>(held.txn_ops) &&
                std::all_of(b.txn.changes.begin(), b.txn.changes.end(),
                            [](auto& c) { return c.value.size() <= 2048; });
@@ -338,8 +339,8 @@
     for (int i = 0; i < 500 && (l.waiting() || !placed); ++i) {
         if (!l.waiting()) {
             placed = true;
-            for (Index j = 0; j < w.tables.jobs.size(); ++j)
-                for (uint32_t t = 0; t < 30; ++t) w.tables.place(j, t, m, 1, w.now);
+            for (Index j = 0; j < w.cluster.jobs.size(); ++j)
+                for (uint32_t t = 0; t < 30; ++t) w.cluster.place(j, t, m, 1, w.now);
         }
         auto b = l.next(24);
         if (b.empty()) break;
@@ -357,17 +358,17 @@
     EXPECT_LT(refused, 8);
     EXPECT_FALSE(l.waiting());
     World fresh;
-    Ledger next(fresh.tables, 42, held);
+    StateLog next(fresh.cluster, 42, held);
     s.load(next, fresh.now);
-    EXPECT_EQ(fresh.tables.job_index.size(), 40u);
-    EXPECT_EQ(test::picture(fresh.tables), test::picture(w.tables));
+    EXPECT_EQ(fresh.cluster.job_index.size(), 40u);
+    EXPECT_EQ(test::picture(fresh.cluster), test::picture(w.cluster));
     while (l.shrink()) ++refused;
     EXPECT_LT(refused, 12);
 }
 
 TEST(LowerLimits, ANoteThatNeverFitsHoldsBackNothing) {
     World w;
-    Ledger l(w.tables, 41, {4, 2});
+    StateLog l(w.cluster, 41, {4, 2});
     l.note(kTypesKey, "\"" + std::string(3000, 'x') + "\"");
     l.note(kRoundKey, R"({"number":1})");
     auto b = l.next(4);
@@ -382,22 +383,22 @@
     for (int ops : {4, 5, 8, 24}) {
         World w;
         Store s;
-        LedgerLimits limits{ops, 2};
-        Ledger l(w.tables, 41, limits);
+        StateLogLimits limits{ops, 2};
+        StateLog l(w.cluster, 41, limits);
         for (int i = 1; i <= 200; ++i)
-            l.new_job(w.tables.add_job(w.spec("req-" + std::to_string(i), JobKind::Array, 1, 0.01),
-                                       1, w.now));
-        test::flush(l, w.tables, s, limits, w.now);
+            l.new_job(w.cluster.add_job(w.spec("req-" + std::to_string(i), JobKind::Array, 1, 0.01),
+                                        1, w.now));
+        test::flush(l, w.cluster, s, limits, w.now);
         for (Index j = 0; j < 200; ++j) {
-            w.tables.finish(j, 0, w.now);
-            w.tables.jobs[j]->ending = true;
+            w.cluster.finish(j, 0, w.now);
+            w.cluster.jobs[j]->ending = true;
             l.finish(j);
             l.note(kRoundKey, R"({"number":1})");
-            l.new_job(w.tables.add_job(
+            l.new_job(w.cluster.add_job(
                 w.spec("req-" + std::to_string(1000 + j), JobKind::Array, 1, 0.01), 1, w.now));
         }
-        test::flush(l, w.tables, s, limits, w.now);
-        EXPECT_EQ(w.tables.job_index.size(), 200u) << ops;
+        test::flush(l, w.cluster, s, limits, w.now);
+        EXPECT_EQ(w.cluster.job_index.size(), 200u) << ops;
         EXPECT_FALSE(l.waiting()) << ops;
     }
 }
