--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -198,8 +198,8 @@
     uint64_t number() const { return segments.back().number; }
 };
 
-StateLog::StateLog(ClusterState& cluster, uint64_t token, StateLogLimits limits)
-    : cluster_(cluster), token_(token) {
+StateLog::StateLog(ClusterState& cluster, uint64_t fencing_token, StateLogLimits limits)
+    : cluster_(cluster), fencing_token_(fencing_token) {
     set_limits(limits.txn_ops, static_cast<size_t>(limits.value_kb * 1024));
 }
 
@@ -284,7 +284,7 @@
         s.bytes += key.size() + value.size() + 40;
         b.txn.changes.push_back({std::move(key), std::move(value), 0});
     };
-    condition(kLeaderKey, token_);
+    condition(kLeaderKey, fencing_token_);
     // With every drop the head changes: a late copy can't bring a dropped segment back.
     condition(kLogKey, head_version_);
 
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -84,7 +84,7 @@
 
 class StateLog {
   public:
-    StateLog(ClusterState& cluster, uint64_t token, StateLogLimits limits);
+    StateLog(ClusterState& cluster, uint64_t fencing_token, StateLogLimits limits);
 
     // `door`: the version of its door record (doors/records.h), which it replaces; 0: there must be
     // none.
@@ -147,7 +147,7 @@
     void load_dependencies(double now);
 
     ClusterState& cluster_;
-    uint64_t token_;
+    uint64_t fencing_token_;
     int txn_ops_;
     size_t soft_limit_, hard_limit_;  // bytes of a segment: when it is full, and at the most
     size_t entry_limit_;              // bytes of one entry's rows, about
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -104,7 +104,7 @@
     // What its worker said.
     bool up = false;  // has reported to this leader
     uint64_t session = 0, seq = 0;
-    bool saw_token = false;
+    bool saw_fencing_token = false;
     Hearing hearing;
     double last_report = 0, last_answer = 0;
     double direct_at = 0;  // the last report that came to this controller itself
--- a/src/coordination/election.cpp
+++ b/src/coordination/election.cpp
@@ -33,11 +33,12 @@
     asio::co_spawn(io, run(), asio::detached);
 }
 
-void Election::learn(const std::string& leader, uint64_t token) {
-    if (leader != leader_ || token != token_)
-        spdlog::info("election: leader={} token={}", leader.empty() ? "none" : leader, token);
+void Election::learn(const std::string& leader, uint64_t fencing_token) {
+    if (leader != leader_ || fencing_token != fencing_token_)
+        spdlog::info("election: leader={} token={}", leader.empty() ? "none" : leader,
+                     fencing_token);
     leader_ = leader;
-    token_ = token;
+    fencing_token_ = fencing_token;
 }
 
 asio::awaitable<void> Election::run() {
@@ -52,20 +53,21 @@
         // The key names this controller, which does not lead: a life of it before this one did, or
         // a campaign that it had given up was executed late. Nobody else can lead before that lease
         // is over, and nobody does.
-        if (!tenure_ && leader_ == settings_.name && !co_await drop_own_leadership())
+        if (!term_ && leader_ == settings_.name && !co_await drop_own_leadership())
             pause = jitter(0.1, 0.3);
-        if (!tenure_ && leader_.empty()) {
+        if (!term_ && leader_.empty()) {
             co_await campaign();
             pause = unsure_lease_ ? 0 : jitter(0.05, 0.25);
         }
-        if (tenure_) {
+        if (term_) {
             co_await hold();
             events_.lost();
             learn("", 0);
             // The tenure has ended before the state service hears of it, and is never taken up
             // again.
-            auto tenure = std::exchange(tenure_, nullptr);
-            if (tenure->yields) co_await give_up_leadership(tenure->token, *tenure->yields);
+            auto term = std::exchange(term_, nullptr);
+            if (term->transferred_to)
+                co_await release_leadership(term->fencing_token, *term->transferred_to);
             pause = jitter(0.2, 0.6);
         } else if (!leader_.empty() && leader_ != settings_.name) {
             auto watched = co_await kv_.watch(kLeaderKey, revision_, 10);
@@ -81,11 +83,11 @@
 // The transaction is conditional on the key's version, so that it can end no other tenure.
 asio::awaitable<bool> Election::drop_own_leadership() {
     CasTransaction txn;
-    txn.conditions.push_back({kLeaderKey, token_});
+    txn.conditions.push_back({kLeaderKey, fencing_token_});
     txn.changes.push_back({kLeaderKey, "", 0});
     auto dropped = co_await kv_.txn(std::move(txn), kCall_s);
     if (!dropped) co_return false;
-    spdlog::info("election: ends token={} of an earlier life", token_);
+    spdlog::info("election: ends token={} of an earlier life", fencing_token_);
     learn("", 0);
     co_return true;
 }
@@ -113,11 +115,11 @@
         started = steady_now();
         auto renewed = co_await kv_.renew(unsure_lease_, kCall_s);
         if (!renewed) co_return false;
-        tenure_ = std::make_shared<Tenure>();
-        tenure_->token = item.version;
-        tenure_->lease = unsure_lease_;
-        tenure_->won = steady_now();
-        tenure_->sure_until = sure_until(started, lease_s_);
+        term_ = std::make_shared<LeadershipTerm>();
+        term_->fencing_token = item.version;
+        term_->lease = unsure_lease_;
+        term_->won = steady_now();
+        term_->lease_valid_until = lease_valid_until(started, lease_s_);
     }
     unsure_lease_ = 0;
     learn(name, item.version);
@@ -149,11 +151,11 @@
         {kLeaderKey, json::serialize(json::object{{"name", settings_.name}}), lease});
     auto won = co_await kv_.txn(std::move(txn), std::min(kCall_s, lease_s_ / 2));
     if (won) {
-        tenure_ = std::make_shared<Tenure>();
-        tenure_->token = won.value;
-        tenure_->lease = lease;
-        tenure_->won = steady_now();
-        tenure_->sure_until = sure_until(started, lease_s_);
+        term_ = std::make_shared<LeadershipTerm>();
+        term_->fencing_token = won.value;
+        term_->lease = lease;
+        term_->won = steady_now();
+        term_->lease_valid_until = lease_valid_until(started, lease_s_);
         unsure_lease_ = 0;
         learn(settings_.name, won.value);
     } else if (won.outcome == KvOutcome::Unknown) {
@@ -164,56 +166,58 @@
 // An answer is of use for as long as the lease counts from its request, while the next renewals are
 // on their way. Given up on after a quarter of the lease, a state service that took 0.7 s for each
 // answer kept its leader unsure, and nobody else could lead.
-asio::awaitable<void> Election::renew(std::shared_ptr<Tenure> tenure, OneShot<bool> renewed) {
+asio::awaitable<void> Election::renew(std::shared_ptr<LeadershipTerm> term, OneShot<bool> renewed) {
     double started = steady_now();
-    auto result = co_await kv_.renew(tenure->lease, std::max(0.3, lease_s_));
-    if (result) tenure->sure_until = std::max(tenure->sure_until, sure_until(started, lease_s_));
+    auto result = co_await kv_.renew(term->lease, std::max(0.3, lease_s_));
+    if (result)
+        term->lease_valid_until =
+            std::max(term->lease_valid_until, lease_valid_until(started, lease_s_));
     if (result.outcome == KvOutcome::Missing) {
-        tenure->ended = true;
-        if (tenure == tenure_) wake_.cancel();
+        term->ended = true;
+        if (term == term_) wake_.cancel();
     }
     renewed.set(static_cast<bool>(result));
 }
 
 asio::awaitable<void> Election::hold() {
-    auto tenure = tenure_;
-    spdlog::info("election: won token={}", tenure->token);
-    events_.won(tenure);
+    auto term = term_;
+    spdlog::info("election: won token={}", term->fencing_token);
+    events_.won(term);
     double pause = lease_s_ / 4;
-    while (!tenure->ended) {
+    while (!term->ended) {
         wake_.expires_after(std::chrono::duration_cast<std::chrono::steady_clock::duration>(
             std::chrono::duration<double>(pause)));
         co_await wake_.async_wait(asio::as_tuple(asio::use_awaitable));
-        if (tenure->ended) break;
+        if (term->ended) break;
         OneShot<bool> renewed(io_.get_executor());
-        asio::co_spawn(io_, renew(tenure, renewed), asio::detached);
+        asio::co_spawn(io_, renew(term, renewed), asio::detached);
         if (co_await renewed.wait(std::max(0.3, lease_s_ / 4)) == true) {
             pause = lease_s_ / 4;
         } else {
             // Down or unanswered: again soon, without adding to a flood. The lease may come back to
             // life with the service, as it has its full time again after an outage.
             pause = jitter(0.2, 0.5);
-            if (steady_now() > tenure->sure_until + answering_grace(settings_) + 600)
-                tenure->ended = true;
+            if (steady_now() > term->lease_valid_until + answering_grace(settings_) + 600)
+                term->ended = true;
         }
     }
-    tenure->ended = true;
-    spdlog::info("election: lost token={}", tenure->token);
+    term->ended = true;
+    spdlog::info("election: lost token={}", term->fencing_token);
 }
 
-void Election::yield(HandOvers to) {
-    if (!tenure_ || tenure_->ended) return;
-    tenure_->yields = std::move(to);
-    tenure_->ended = true;
+void Election::step_down(TransferRecord to) {
+    if (!term_ || term_->ended) return;
+    term_->transferred_to = std::move(to);
+    term_->ended = true;
     wake_.cancel();
 }
 
 // Without an answer nothing is lost: the lease is not renewed any more.
-asio::awaitable<void> Election::give_up_leadership(uint64_t token, HandOvers to) {
-    auto txn = yield_leadership(kLeaderKey, token, to);
+asio::awaitable<void> Election::release_leadership(uint64_t fencing_token, TransferRecord to) {
+    auto txn = transfer_transaction(kLeaderKey, fencing_token, to);
     auto result = co_await kv_.txn(std::move(txn), kCall_s);
-    spdlog::info("election: yields token={} to {} for the {}. time{}", token, to.to, to.count,
-                 result ? "" : ", not confirmed");
+    spdlog::info("election: yields token={} to {} for the {}. time{}", fencing_token, to.to,
+                 to.count, result ? "" : ", not confirmed");
 }
 
 }  // namespace weirmill
--- a/src/coordination/election.h
+++ b/src/coordination/election.h
@@ -17,13 +17,13 @@
 namespace weirmill {
 
 // When this node may act as leader. Times are of its steady clock.
-struct Tenure {
-    uint64_t token = 0;
+struct LeadershipTerm {
+    uint64_t fencing_token = 0;
     uint64_t lease = 0;
-    double won = 0;                   // no earlier leader held the lease after this
-    double sure_until = 0;            // before this no other leader can exist
-    bool ended = false;               // another leader may exist, for good
-    std::optional<HandOvers> yields;  // it ends as another is to lead
+    double won = 0;                                // no earlier leader held the lease after this
+    double lease_valid_until = 0;                  // before this no other leader can exist
+    bool ended = false;                            // another leader may exist, for good
+    std::optional<TransferRecord> transferred_to;  // it ends as another is to lead
 };
 
 // How far a steady clock may run from another, with room for timers that fire late.
@@ -31,7 +31,7 @@
 inline constexpr double kMargin_s = 0.1;
 
 // The lease counts from the start of the request that confirmed it.
-inline double sure_until(double request_started, double lease_s) {
+inline double lease_valid_until(double request_started, double lease_s) {
     return request_started + lease_s * (1 - kDrift) - kMargin_s;
 }
 
@@ -54,22 +54,22 @@
 }
 
 // When everything that an earlier leader may have kept alive on a silent machine is gone.
-inline double earlier_leader_expiry(const Settings& s, double won) {
+inline double earlier_term_expiry(const Settings& s, double won) {
     return won + answering_grace(s) + s.lease_s * (1 + 2 * kDrift) + 4 * kMargin_s;
 }
 
 // When the lease of a worker last answered by this leader, which had seen its token, has run out.
-inline double answered_expiry(const Settings& s, double last_answer) {
+inline double answered_lease_expiry(const Settings& s, double last_answer) {
     return last_answer + s.lease_s * (1 + 2 * kDrift) + 4 * kMargin_s;
 }
 
 // When all that may be on a machine is surely gone, unless it reports again. A report that waits
 // for its answer counts like an answered one: a machine used to be taken for gone while its first
 // report was held.
-inline double lease_end(const Settings& s, const Machine& m, double won) {
+inline double worker_lease_expiry(const Settings& s, const Machine& m, double won) {
     double heard = std::max(m.last_answer, m.last_report);
-    double end = heard > 0 ? answered_expiry(s, heard) : 0;
-    return m.saw_token ? end : std::max(end, earlier_leader_expiry(s, won));
+    double end = heard > 0 ? answered_lease_expiry(s, heard) : 0;
+    return m.saw_fencing_token ? end : std::max(end, earlier_term_expiry(s, won));
 }
 
 // How long a controller waits before it campaigns, some randomness aside. When all are restarted
@@ -82,7 +82,7 @@
 class Election {
   public:
     struct Events {
-        std::function<void(std::shared_ptr<Tenure>)> won;
+        std::function<void(std::shared_ptr<LeadershipTerm>)> won;
         std::function<void()> lost;
         // How long this controller lets others go first in a campaign, seconds; negative: it waits
         // for nobody.
@@ -92,12 +92,12 @@
              KvClient& state, Events events);
 
     // Ends this controller's tenure, which has settled what it could, in favour of another.
-    void yield(HandOvers to);
+    void step_down(TransferRecord to);
     // Who leads as far as this node knows; empty: nobody.
     const std::string& leader() const { return leader_; }
-    uint64_t token() const { return token_; }
+    uint64_t fencing_token() const { return fencing_token_; }
     // The state service's revision that this knowledge is as old as.
-    uint64_t as_of() const { return std::max(revision_, token_); }
+    uint64_t as_of() const { return std::max(revision_, fencing_token_); }
 
   private:
     boost::asio::awaitable<void> run();
@@ -105,9 +105,9 @@
     boost::asio::awaitable<bool> drop_own_leadership();
     boost::asio::awaitable<void> campaign();
     boost::asio::awaitable<void> hold();
-    boost::asio::awaitable<void> renew(std::shared_ptr<Tenure> tenure, OneShot<bool> renewed);
-    boost::asio::awaitable<void> give_up_leadership(uint64_t token, HandOvers to);
-    void learn(const std::string& leader, uint64_t token);
+    boost::asio::awaitable<void> renew(std::shared_ptr<LeadershipTerm> term, OneShot<bool> renewed);
+    boost::asio::awaitable<void> release_leadership(uint64_t fencing_token, TransferRecord to);
+    void learn(const std::string& leader, uint64_t fencing_token);
 
     boost::asio::io_context& io_;
     const Settings& settings_;
@@ -116,10 +116,10 @@
     KvClient& kv_;
     Events events_;
     std::string leader_;
-    uint64_t token_ = 0;
+    uint64_t fencing_token_ = 0;
     uint64_t revision_ = 0;
     uint64_t unsure_lease_ = 0;  // of a campaign whose outcome is unknown
-    std::shared_ptr<Tenure> tenure_;
+    std::shared_ptr<LeadershipTerm> term_;
     boost::asio::steady_timer wake_;  // of the loop that renews
 };
 
--- a/src/coordination/front.cpp
+++ b/src/coordination/front.cpp
@@ -30,9 +30,9 @@
     : io_(io), settings_(settings), properties_(properties), kv_(io, settings), roster_(settings) {
     heard_leader_ = steady_now();
     Election::Events events;
-    events.won = [this](std::shared_ptr<Tenure> tenure) {
-        tenure_ = tenure;
-        leader_ = std::make_shared<Leader>(io_, settings_, properties_, kv_, metrics_, tenure);
+    events.won = [this](std::shared_ptr<LeadershipTerm> term) {
+        term_ = term;
+        leader_ = std::make_shared<Leader>(io_, settings_, properties_, kv_, metrics_, term);
         leader_->pass_on = [this](std::string name, PeerCall call) -> asio::awaitable<bool> {
             auto reply = co_await by_peer(std::move(name), std::move(call));
             co_return reply.status == 200;
@@ -42,7 +42,7 @@
     events.lost = [this] {
         if (leader_) leader_->stop();
         leader_.reset();
-        tenure_.reset();
+        term_.reset();
         heard_leader_ = steady_now();
     };
     events.campaign_wait = [this] { return membership_->campaign_wait(); };
@@ -67,16 +67,17 @@
         if (leader_ && leader_->ready())
             return leader_links(leader_->cluster(), membership_->times(), settings_.lease_s, now);
         LinkReport r;
-        r.direct = roster_.stranded(leader_token(), membership_->times().cycle_s, now);
+        r.direct = roster_.stranded(leader_fencing_token(), membership_->times().cycle_s, now);
         return r;
     };
     hooks.leads_since = [this]() -> std::optional<double> {
-        if (!leader_ || !leader_->ready() || !leader_->sure(steady_now())) return std::nullopt;
-        return tenure_->won;
+        if (!leader_ || !leader_->ready() || !leader_->lease_valid(steady_now()))
+            return std::nullopt;
+        return term_->won;
     };
-    hooks.hand_over = [this](HandOvers to) {
-        leader_->hand_over([this, to, tenure = std::weak_ptr(tenure_)] {
-            if (auto held = tenure.lock(); held && held == tenure_) election_->yield(to);
+    hooks.transfer_leadership = [this](TransferRecord to) {
+        leader_->transfer_leadership([this, to, term = std::weak_ptr(term_)] {
+            if (auto held = term.lock(); held && held == term_) election_->step_down(to);
         });
     };
     membership_ =
@@ -98,8 +99,9 @@
 
 // The answer to a ping: 200 from the leader itself, else whom this node takes for it.
 PeerReply Front::who_leads() const {
-    PeerReply reply{503, leader_name(), 1, leader_token()};
-    if (leader_ && leader_->sure(steady_now())) reply = {200, settings_.name, 0, leader_->token()};
+    PeerReply reply{503, leader_name(), 1, leader_fencing_token()};
+    if (leader_ && leader_->lease_valid(steady_now()))
+        reply = {200, settings_.name, 0, leader_->fencing_token()};
     if (membership_->enabled()) reply.links = membership_->own(steady_now());
     return reply;
 }
@@ -110,7 +112,7 @@
         co_return who_leads();
     }
     if (call.op == PeerOp::Command) co_return co_await pass_command(std::move(call));
-    if (auto leader = leader_; leader && (leader->sure(steady_now()) || !call.via))
+    if (auto leader = leader_; leader && (leader->lease_valid(steady_now()) || !call.via))
         co_return co_await leader->ask(std::move(call));
     if (call.via) {
         // Who asks can't reach the leader, and may not reach the state service: nobody passes it on
@@ -182,15 +184,15 @@
     if (!link) co_return PeerReply{503, R"({"error":"no leader"})", 1, 0, true};
     call.sender = settings_.name;
     double asked = steady_now();
-    auto token = leader_token();
+    auto fencing_token = leader_fencing_token();
     bool submits = call.op == PeerOp::Submit;
     auto reply = co_await link->call(std::move(call), kForward_s);
     if (!reply) {
-        silent_token_ = token;
+        silent_fencing_token_ = fencing_token;
         co_return PeerReply{503, R"({"error":"the leader does not answer"})", 1, 0, true};
     }
     heard_leader_ = steady_now();
-    silent_token_ = 0;
+    silent_fencing_token_ = 0;
     if (submits && reply->status < 300) patience_.took(heard_leader_ - asked);
     co_return *reply;
 }
@@ -252,21 +254,23 @@
     if (membership_->enabled()) ping.links = membership_->own(steady_now());
     auto reply = co_await link_to(name)->call(std::move(ping), 1.0);
     if (!reply) {
-        if (name == leader_name()) silent_token_ = leader_token();
+        if (name == leader_name()) silent_fencing_token_ = leader_fencing_token();
         membership_->silent(name);
         co_return false;
     }
     membership_->heard(name, reply->links);
-    if (reply->token > std::max(told_token_, election_->as_of()) && !reply->body.empty()) {
-        spdlog::info("node: {} says that {} leads with token={}", name, reply->body, reply->token);
+    if (reply->fencing_token > std::max(told_fencing_token_, election_->as_of()) &&
+        !reply->body.empty()) {
+        spdlog::info("node: {} says that {} leads with token={}", name, reply->body,
+                     reply->fencing_token);
         told_leader_ = reply->body;
-        told_token_ = reply->token;
+        told_fencing_token_ = reply->fencing_token;
     }
     // A leader unsure of its lease counts as heard: in an outage of the state service no other node
     // would serve better, and nodes that left the load balancer for it came back late.
     if (name == leader_name() && reply->body == name) {
         heard_leader_ = steady_now();
-        silent_token_ = 0;
+        silent_fencing_token_ = 0;
     }
     co_return reply->status == 200;
 }
@@ -274,11 +278,11 @@
 asio::awaitable<void> Front::ping_loop() {
     for (;;) {
         co_await sleep_s(settings_.ping_s);
-        if (tenure_ && told_token_ > tenure_->token) {
+        if (term_ && told_fencing_token_ > term_->fencing_token) {
             // The state service refuses this node alone, and another leads by now. This node used
             // to go on as an unsure leader and turn its users away for as long as that lasted.
-            spdlog::info("node: gives up token={}: {} leads", tenure_->token, told_leader_);
-            tenure_->ended = true;
+            spdlog::info("node: gives up token={}: {} leads", term_->fencing_token, told_leader_);
+            term_->ended = true;
             continue;
         }
         if (membership_->enabled()) {
@@ -286,7 +290,7 @@
             for (auto& p : settings_.peers) asio::co_spawn(io_, ask_peer(p.name), asio::detached);
             continue;
         }
-        if (leader_ && leader_->sure(steady_now())) continue;
+        if (leader_ && leader_->lease_valid(steady_now())) continue;
         if (!leader_link() && !leader_)
             heard_leader_ =
                 steady_now();  // an election: soon over, and no other node would serve better
@@ -299,7 +303,7 @@
 bool Front::healthy() const {
     // A leader that the state service refuses alone, while its peers refuse it too, is of use to
     // nobody: it used to keep its users for as long as that lasted.
-    if (membership_->enabled() && leader_ && !leader_->sure(steady_now())) {
+    if (membership_->enabled() && leader_ && !leader_->lease_valid(steady_now())) {
         double now = steady_now();
         bool alone = membership_->views(now).empty() && !settings_.peers.empty();
         if (alone && now - kv_.answered_at() > kDeaf_s) return false;
@@ -310,7 +314,7 @@
 
 HttpReply Front::metrics_page() const {
     std::map<std::string, double> gauges{{"leading", leader_ ? 1 : 0},
-                                         {"token", static_cast<double>(leader_token())}};
+                                         {"token", static_cast<double>(leader_fencing_token())}};
     if (leader_ && leader_->ready()) leader_->gauges(gauges);
     if (membership_->enabled()) membership_->gauges(gauges);
     gauges["workers_relayed"] = static_cast<double>(roster_.relayed(steady_now()));
@@ -386,7 +390,7 @@
         co_return HttpReply{400, "{}"};
     }
     double now = steady_now();
-    bool relay = roster_.relays(head.machine, head.token, leader_token(), now);
+    bool relay = roster_.relays(head.machine, head.fencing_token, leader_fencing_token(), now);
     if (!leader_link()) co_return HttpReply{421, redirect_answer("")};
     relay = relay || leader_deaf();
     if (relay) {
@@ -394,7 +398,7 @@
         auto reply = co_await to_leader(std::move(call));
         // An answer of an older leader than the worker knows would be dropped, and its lease run
         // out here.
-        if (reply.status == 200 && reply.token >= head.token)
+        if (reply.status == 200 && reply.fencing_token >= head.fencing_token)
             co_return HttpReply{200, std::move(reply.body)};
         roster_.gave_up(head.machine);
         co_return HttpReply{421, redirect_answer("")};
--- a/src/coordination/front.h
+++ b/src/coordination/front.h
@@ -31,7 +31,9 @@
     // The peer through which this call may reach the leader, where this controller can't.
     std::optional<std::string> way_for(const PeerCall& call) const;
     boost::asio::awaitable<PeerReply> pass_command(PeerCall call);
-    bool leader_silent() const { return silent_token_ != 0 && silent_token_ == leader_token(); }
+    bool leader_silent() const {
+        return silent_fencing_token_ != 0 && silent_fencing_token_ == leader_fencing_token();
+    }
     void set_up_membership();
     // Far too few workers come to the leader themselves: one that comes here is not sent there.
     bool leader_deaf() const;
@@ -48,11 +50,13 @@
     PeerClient* leader_link();
     // Who leads as far as this node knows, from the state service or, should that be refused to
     // this node alone, from the other controllers; the newer word counts.
-    bool told_newer() const { return told_token_ > election_->as_of(); }
+    bool told_newer() const { return told_fencing_token_ > election_->as_of(); }
     const std::string& leader_name() const {
         return told_newer() ? told_leader_ : election_->leader();
     }
-    uint64_t leader_token() const { return told_newer() ? told_token_ : election_->token(); }
+    uint64_t leader_fencing_token() const {
+        return told_newer() ? told_fencing_token_ : election_->fencing_token();
+    }
 
     boost::asio::io_context& io_;
     const Settings& settings_;
@@ -60,9 +64,9 @@
     KvClient kv_;
     std::unique_ptr<Election> election_;
     std::shared_ptr<Leader> leader_;
-    std::shared_ptr<Tenure> tenure_;  // while this node leads
-    std::string told_leader_;         // what the other controllers said
-    uint64_t told_token_ = 0;
+    std::shared_ptr<LeadershipTerm> term_;  // while this node leads
+    std::string told_leader_;               // what the other controllers said
+    uint64_t told_fencing_token_ = 0;
     std::map<std::string, std::unique_ptr<PeerClient>> links_;
     std::unique_ptr<Door> door_;
     std::unique_ptr<PeerServer> peers_in_;
@@ -70,8 +74,9 @@
     std::unique_ptr<Membership> membership_;
     Roster roster_;
     Metrics metrics_;
-    double heard_leader_ = 0;    // when the leader last answered this node
-    uint64_t silent_token_ = 0;  // the leader with this token was asked, and did not answer, since
+    double heard_leader_ = 0;  // when the leader last answered this node
+    uint64_t silent_fencing_token_ =
+        0;  // the leader with this token was asked, and did not answer, since
     Patience patience_;
 };
 
--- a/src/coordination/hearing/hearing.cpp
+++ b/src/coordination/hearing/hearing.cpp
@@ -25,7 +25,7 @@
 }  // namespace
 
 Evidence judge(const Hearing& h, const Heard& r, const Settings& s, double now) {
-    if (r.start_taken || (h.told_token && r.our_token)) return Evidence::Hears;
+    if (r.start_taken || (h.told_fencing_token && r.our_fencing_token)) return Evidence::Hears;
     bool newer_session = r.order.session > h.answered.session;
     if (h.answered_at > 0 && newer_session) {
         // Had it taken that answer, its lease would still stand: it was sent no earlier than its
@@ -34,7 +34,8 @@
         return now < stands ? Evidence::Deaf : Evidence::Nothing;
     }
     bool follows = h.answered_at > 0 && r.order > h.answered;
-    if (follows && (r.start_missing || (h.told_token && !r.our_token))) return Evidence::Missed;
+    if (follows && (r.start_missing || (h.told_fencing_token && !r.our_fencing_token)))
+        return Evidence::Missed;
     // A session does not outlive its lease unanswered.
     double most = s.lease_s * (1 + kMargin) + s.worker_patience_s + kMargin_s;
     if (r.order.session == h.session && h.session_since > 0 && now - h.session_since > most)
@@ -55,10 +56,10 @@
     return true;
 }
 
-void note_answer(Hearing& h, const ReportOrder& report, bool our_token, double now) {
+void note_answer(Hearing& h, const ReportOrder& report, bool our_fencing_token, double now) {
     h.answered = report;
     h.answered_at = now;
-    h.told_token = !our_token;
+    h.told_fencing_token = !our_fencing_token;
 }
 
 bool is_back(Hearing& h, const ReportOrder& report, const Settings& s, double now) {
--- a/src/coordination/hearing/hearing.h
+++ b/src/coordination/hearing/hearing.h
@@ -25,8 +25,8 @@
     double session_since = 0;  // the first report of that session
     ReportOrder answered;      // the last report that was answered with 200
     double answered_at = 0;
-    bool told_token = false;  // that report showed an older token than ours
-    double direct_at = 0;     // the last report came without a relay, then; 0: it did not
+    bool told_fencing_token = false;  // that report showed an older token than ours
+    double direct_at = 0;             // the last report came without a relay, then; 0: it did not
     // Since its lease ran out here: reports that are no newer than those from before, one after the
     // other.
     ReportOrder former, back;
@@ -38,8 +38,8 @@
 // What a newer report shows.
 struct Heard {
     ReportOrder order;
-    bool our_token = false;  // the highest token that the worker has seen is ours
-    bool direct = false;     // it came to this controller itself
+    bool our_fencing_token = false;  // the highest token that the worker has seen is ours
+    bool direct = false;             // it came to this controller itself
     bool start_taken = false,
          start_missing = false;  // of tasks launched with answers to earlier reports
 };
@@ -51,7 +51,7 @@
 // Takes the report in. True: the worker counts as deaf from now on.
 bool take_evidence(Hearing& hearing, const Heard& report, const Settings& settings, double now);
 // An answer with 200 goes out.
-void note_answer(Hearing& hearing, const ReportOrder& report, bool our_token, double now);
+void note_answer(Hearing& hearing, const ReportOrder& report, bool our_fencing_token, double now);
 
 // Of a machine whose lease ran out: whether the report is one of a worker that is there. One that
 // is newer than all from before is; else it may be a late copy, or the worker has begun its counts
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -30,17 +30,17 @@
 }  // namespace
 
 Leader::Leader(asio::io_context& io, const Settings& settings, const Properties& properties,
-               KvClient& state, Metrics& metrics, std::shared_ptr<Tenure> tenure)
+               KvClient& state, Metrics& metrics, std::shared_ptr<LeadershipTerm> term)
     : io_(io),
       settings_(settings),
       properties_(properties),
       kv_(state),
       cloud_(io, settings.cloud, 1024 * 1024),
       metrics_(metrics),
-      tenure_(std::move(tenure)),
+      term_(std::move(term)),
       mailbox_(io, kMailbox),
       cluster_(settings),
-      state_log_(cluster_, tenure_->token, {settings.txn_ops, settings.value_kb}),
+      state_log_(cluster_, term_->fencing_token, {settings.txn_ops, settings.value_kb}),
       random_(std::random_device{}()),
       // A share is left to renewals and to what other controllers ask for.
       writes_(settings.state_write_rps * 0.9, 0.8),
@@ -54,7 +54,7 @@
 void Leader::stop() {
     stopped_ = true;
     ready_ = false;
-    tenure_->ended = true;
+    term_->ended = true;
     mailbox_.close();
     for (auto& [id, list] : waiters_)
         for (auto& [op, reply] : list) reply.set(undecided());
@@ -105,7 +105,7 @@
 }
 
 PeerReply Leader::come_back(int seconds) const {
-    return {503, R"({"error":"not now"})", seconds, tenure_->token};
+    return {503, R"({"error":"not now"})", seconds, term_->fencing_token};
 }
 
 PeerReply Leader::undecided() const {
@@ -122,7 +122,7 @@
     // Without an outcome that was lost, this leader would wait for ever: the next one starts
     // afresh.
     spdlog::error("leader: mailbox full, giving up the leadership");
-    tenure_->ended = true;
+    term_->ended = true;
 }
 
 asio::awaitable<void> Leader::run(std::shared_ptr<Leader> self) {
@@ -135,10 +135,10 @@
     if (stopped_) co_return;
     now_ = steady_now();
     // A predecessor's rentals may not be listed yet: without waiting, they would be rented again.
-    if (!cluster_.jobs.empty()) rent_not_before_ = tenure_->won + 2 * settings_.list_lag_s;
+    if (!cluster_.jobs.empty()) rent_not_before_ = term_->won + 2 * settings_.list_lag_s;
     next_round_ = now_ + properties_.preemption_round_s / 2;
     ready_ = true;
-    spdlog::info("leader: ready token={} jobs={} machines={}", tenure_->token,
+    spdlog::info("leader: ready token={} jobs={} machines={}", term_->fencing_token,
                  cluster_.job_index.size(), cluster_.machine_index.size());
     for (Index j = 0; j < cluster_.jobs.size(); ++j) {
         if (!cluster_.jobs[j]) continue;
@@ -163,7 +163,7 @@
         if (dirty_ && now_ >= next_schedule_) schedule();
         flush_stops();
         flush();
-        if (settled_) settle();
+        if (on_settled_) settle();
     }
 }
 
@@ -262,14 +262,14 @@
 
 // ---- a hand-over ----
 
-void Leader::hand_over(std::function<void()> settled) {
+void Leader::transfer_leadership(std::function<void()> settled) {
     if (!ready_) return settled();
-    post(HandOver{std::move(settled)});
+    post(TransferLeadership{std::move(settled)});
 }
 
-void Leader::handle(HandOver& m) {
-    settled_ = std::move(m.settled);
-    settle_until_ = now_ + kSettle_s;
+void Leader::handle(TransferLeadership& m) {
+    on_settled_ = std::move(m.settled);
+    settle_deadline_ = now_ + kSettle_s;
     // What users asked for goes on to the next leader, as at any end of a tenure: it is under way
     // or asked again.
     ready_ = false;
@@ -278,8 +278,8 @@
 // Records that are under way or waiting are written first: the next leader would else do the work
 // again.
 void Leader::settle() {
-    if ((flushing_ || state_log_.waiting()) && now_ < settle_until_) return;
-    auto settled = std::exchange(settled_, nullptr);
+    if ((flushing_ || state_log_.waiting()) && now_ < settle_deadline_) return;
+    auto settled = std::exchange(on_settled_, nullptr);
     settled();
 }
 
@@ -287,7 +287,7 @@
 
 void Leader::schedule() {
     next_schedule_ = now_ + properties_.scheduling_pause_s;
-    if (!decides()) return;
+    if (!may_decide()) return;
     dirty_ = false;
     ++passes_;
     std::vector<Index> late;
@@ -307,7 +307,7 @@
 }
 
 void Leader::preempt() {
-    if (!decides()) return;
+    if (!may_decide()) return;
     auto round = plan_preemption(cluster_, usable_now(), now_);
     if (round.clearings.empty()) return;
     ++rounds_;
--- a/src/coordination/leader.h
+++ b/src/coordination/leader.h
@@ -36,19 +36,19 @@
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
     Leader(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
-           KvClient& state, Metrics& metrics, std::shared_ptr<Tenure> tenure);
+           KvClient& state, Metrics& metrics, std::shared_ptr<LeadershipTerm> term);
     void start();
     // The tenure is over: nothing is answered or sent any more.
     void stop();
 
     bool ready() const { return ready_; }
-    bool sure(double now) const { return !tenure_->ended && now < tenure_->sure_until; }
-    bool decides() const { return sure(now_) && !settled_; }
-    uint64_t token() const { return tenure_->token; }
+    bool lease_valid(double now) const { return !term_->ended && now < term_->lease_valid_until; }
+    bool may_decide() const { return lease_valid(now_) && !on_settled_; }
+    uint64_t fencing_token() const { return term_->fencing_token; }
     void gauges(std::map<std::string, double>& out) const;
 
     // Settles what is under way and starts nothing more, then calls `settled`.
-    void hand_over(std::function<void()> settled);
+    void transfer_leadership(std::function<void()> settled);
     const ClusterState& cluster() const { return cluster_; }
     // Passes a call on to the controller with this name, for workers whose reports it relays.
     std::function<boost::asio::awaitable<bool>(std::string, PeerCall)> pass_on;
@@ -103,12 +103,12 @@
         bool done = false;
     };
     struct Tick {};
-    struct HandOver {
+    struct TransferLeadership {
         std::function<void()> settled;
     };
     using Message =
         std::variant<Tick, Asked, FinalRead, DependenciesRead, TxnDone, TxnUnsure, InboxChanged,
-                     TypesRead, ListRead, Rented, RentPassDone, Returned, HandOver>;
+                     TypesRead, ListRead, Rented, RentPassDone, Returned, TransferLeadership>;
     using Mailbox = boost::asio::experimental::channel<void(boost::system::error_code, Message)>;
 
     struct Held {  // a worker's report that waits for records before it is answered
@@ -160,7 +160,7 @@
     void handle(RentPassDone&);
     void handle(Returned& m);
     void handle(Tick&);
-    void handle(HandOver& m);
+    void handle(TransferLeadership& m);
     void settle();
 
     void submit(PeerCall& call, Reply& reply);
@@ -240,7 +240,7 @@
     // Without a report for this long a machine is taken for silent: nothing new is placed there.
     double silence_s() const { return 2.2 * settings_.report_s + 1; }
     // Unsure of the lease for so long that reports may not be answered any more.
-    bool past_grace() const { return now_ > tenure_->sure_until + answering_grace(settings_); }
+    bool past_grace() const { return now_ > term_->lease_valid_until + answering_grace(settings_); }
     bool may_tell(const Job& job) const;
     bool kv_unavailable() const;
     JobState job_state(const Job& job) const;
@@ -257,7 +257,7 @@
     KvClient& kv_;
     HttpClient cloud_;
     Metrics& metrics_;
-    std::shared_ptr<Tenure> tenure_;
+    std::shared_ptr<LeadershipTerm> term_;
     Mailbox mailbox_;
     ClusterState cluster_;
     StateLog state_log_;
@@ -266,8 +266,8 @@
     size_t asked_ = 0, asked_bytes_ = 0;  // requests in the mailbox
     bool ready_ = false, stopped_ = false;
     double now_ = 0;
-    std::function<void()> settled_;  // handing over: called once nothing is under way
-    double settle_until_ = 0;
+    std::function<void()> on_settled_;  // handing over: called once nothing is under way
+    double settle_deadline_ = 0;
 
     RateLimiter writes_, cloud_budget_;
     double cloud_pause_until_ = 0;
--- a/src/coordination/leader_fleet.cpp
+++ b/src/coordination/leader_fleet.cpp
@@ -57,11 +57,11 @@
         auto* m = cluster_.machines[i].get();
         if (!m) continue;
         // Until its lease has surely run out, whatever was placed there may be running.
-        bool expired = now_ > lease_end(settings_, *m, tenure_->won);
+        bool expired = now_ > worker_lease_expiry(settings_, *m, term_->won);
         if (expired && m->up) {
             machine_gone(i, "its lease ran out");
             m->up = false;
-            m->saw_token = false;
+            m->saw_fencing_token = false;
             // Should it come back under its name with counts that begin anew, they are not taken
             // for copies.
             forget_worker(m->hearing, {m->session, m->seq});
@@ -79,7 +79,7 @@
         // itself fell silent, all will report again.
         bool running = m->up_at > 0 || m->status == MachineStatus::Running;
         if (!m->up && running && !m->doomed &&
-            now_ - std::max({m->last_report, deaf_at_, tenure_->won}) >
+            now_ - std::max({m->last_report, deaf_at_, term_->won}) >
                 settings_.lease_s + replacement_s(*m, m->zone < cut.size() && cut[m->zone])) {
             spdlog::info("machine: {} not heard of for too long, returned", m->name);
             m->doomed = true;
@@ -98,7 +98,7 @@
         }
         // Silent, and no longer listed: taken, as it seems. To return it costs nothing and proves
         // it gone, long before its lease would.
-        bool silent = now_ - std::max(m->last_report, tenure_->won) > silence_s();
+        bool silent = now_ - std::max(m->last_report, term_->won) > silence_s();
         bool unlisted = listed_once_ &&
                         (m->listed ? m->missing : now_ - m->added > 2 * settings_.list_lag_s + 1);
         if (silent && unlisted && !m->doomed && (m->up || !m->tasks.empty())) {
@@ -175,7 +175,7 @@
 }
 
 void Leader::size_fleet() {
-    if (!cluster_.types_known || !listed_once_ || !decides()) return;
+    if (!cluster_.types_known || !listed_once_ || !may_decide()) return;
     if (!returning_) {
         auto idle = plan_returns(cluster_, sizing(), now_);
         std::vector<std::string> names;
@@ -313,7 +313,7 @@
     for (auto& r : rentals) {
         // Unique for ever: no other leader has this token, and no other rental of this leader this
         // number.
-        auto request = fmt::format("w{}-{}", tenure_->token, ++hires_);
+        auto request = fmt::format("w{}-{}", term_->fencing_token, ++hires_);
         auto body = rental_json(request, cluster_.names.types.name(r.type),
                                 cluster_.names.zones.name(r.zone), r.spot, r.count);
         while (!stopped_) {
--- a/src/coordination/leader_inbox.cpp
+++ b/src/coordination/leader_inbox.cpp
@@ -91,7 +91,7 @@
 }
 
 void Leader::collect_inbox() {
-    if (inbox_.empty() || !sure(now_)) return;
+    if (inbox_.empty() || !lease_valid(now_)) return;
     for (auto& [id, in] : inbox_) {
         if (state_log_.submissions() >= kCollectAtOnce) return;
         if (in.step == Inboxed::Step::Waiting && now_ >= in.not_before) collect(id, in);
--- a/src/coordination/leader_records.cpp
+++ b/src/coordination/leader_records.cpp
@@ -22,7 +22,8 @@
 }  // namespace
 
 void Leader::flush() {
-    if (flushing_ || now_ < flush_not_before_ || !sure(now_) || !state_log_.waiting()) return;
+    if (flushing_ || now_ < flush_not_before_ || !lease_valid(now_) || !state_log_.waiting())
+        return;
     double budget = writes_.available(now_);
     // The end of a job takes up to three changes (a final state, the open segment and one more);
     // less than that is left to users alone.
@@ -89,7 +90,7 @@
                 // transaction, and it would have put older ones behind them. A later leader's token
                 // makes it void.
                 spdlog::error("state: no answer, then refused as malformed: starting over");
-                tenure_->ended = true;
+                term_->ended = true;
                 co_return;
             }
         }
@@ -172,7 +173,7 @@
     bool deposed = names_leader(m.result.failed);
     if (deposed) {
         spdlog::info("leader: deposed, a transaction found another leader");
-        tenure_->ended = true;
+        term_->ended = true;
         return;
     }
     std::vector<std::pair<Index, uint64_t>> again;  // with the versions of their door records
@@ -206,7 +207,7 @@
         if (!failed.empty()) {
             spdlog::error("leader: records differ from the tables at {}: starting over",
                           failed.front());
-            tenure_->ended = true;
+            term_->ended = true;
             return;
         }
     } else {
--- a/src/coordination/leader_tasks.cpp
+++ b/src/coordination/leader_tasks.cpp
@@ -158,10 +158,11 @@
     for (auto& [index, commands] : direct_) {
         auto* m = cluster_.machines[index].get();
         if (!m || !m->up || m->addr.empty()) continue;
-        asio::co_spawn(io_,
-                       send_stops(shared_from_this(), m->addr, m->relayed_by,
-                                  direct_commands(tenure_->token, m->session, commands), false),
-                       asio::detached);
+        asio::co_spawn(
+            io_,
+            send_stops(shared_from_this(), m->addr, m->relayed_by,
+                       direct_commands(term_->fencing_token, m->session, commands), false),
+            asio::detached);
     }
     direct_.clear();
 }
@@ -179,7 +180,7 @@
         stops_cursor_ = (stops_cursor_ + 1) % count;
         auto* m = cluster_.machines[stops_cursor_].get();
         if (!m || m->addr.empty() || m->status == MachineStatus::Failed) continue;
-        if (now_ - std::max(m->last_report, tenure_->won) <= kMissedReports * settings_.report_s)
+        if (now_ - std::max(m->last_report, term_->won) <= kMissedReports * settings_.report_s)
             continue;
         uint64_t session = m->up ? m->session : 0;
         for (auto& ref : m->tasks)
@@ -196,7 +197,7 @@
         metrics_.count("stops_repeated_total");
         asio::co_spawn(io_,
                        send_stops(shared_from_this(), m->addr, m->relayed_by,
-                                  direct_commands(tenure_->token, session, commands), true),
+                                  direct_commands(term_->fencing_token, session, commands), true),
                        asio::detached);
     }
 }
--- a/src/coordination/leader_users.cpp
+++ b/src/coordination/leader_users.cpp
@@ -54,7 +54,7 @@
 // worked since.
 bool Leader::kv_unavailable() const {
     return kv_failed_at_ >
-           std::max(kv_succeeded_at_, tenure_->sure_until - properties_.election_lease_s);
+           std::max(kv_succeeded_at_, term_->lease_valid_until - properties_.election_lease_s);
 }
 
 JobState Leader::job_state(const Job& job) const {
@@ -90,7 +90,7 @@
 }
 
 void Leader::submit(PeerCall& call, Reply& reply) {
-    if (!sure(now_)) return reply.set(undecided());
+    if (!lease_valid(now_)) return reply.set(undecided());
     JobSpec spec;
     std::optional<PeerReply> malformed;
     try {
@@ -227,7 +227,7 @@
 void Leader::handle(DependenciesRead& m) {
     for (auto& [id, f] : m.ended) remember_final(id, f);
     if (m.collects) return collect_again(m);
-    if (!sure(now_)) return m.reply.set(come_back());
+    if (!lease_valid(now_)) return m.reply.set(come_back());
     if (!m.missing.empty()) {
         // What was read is as old as the read: the job may have come, or ended, meanwhile.
         if (cluster_.find_job(m.missing) || finals_.count(m.missing))
@@ -240,7 +240,7 @@
 
 void Leader::status(PeerCall& call, Reply& reply) {
     if (!valid_job_id(call.subject)) return reply.set({404, "{}"});
-    if (!sure(now_)) return reply.set(undecided());
+    if (!lease_valid(now_)) return reply.set(undecided());
     if (auto* job = cluster_.find_job(call.subject)) {
         // What is on its way to be recorded may be told by a door, which reads the records: polls
         // of a job whose cancellation was asked for, in a minute without answers to transactions,
@@ -256,7 +256,7 @@
 
 void Leader::cancel(PeerCall& call, Reply& reply) {
     if (!valid_job_id(call.subject)) return reply.set({404, "{}"});
-    if (!sure(now_)) return reply.set(undecided());
+    if (!lease_valid(now_)) return reply.set(undecided());
     auto it = cluster_.job_index.find(call.subject);
     if (it == cluster_.job_index.end()) {
         if (auto f = finals_.find(call.subject); f != finals_.end())
@@ -315,7 +315,7 @@
 
 void Leader::handle(FinalRead& m) {
     auto& id = m.call.subject;
-    if (!sure(now_)) return m.reply.set(come_back());
+    if (!lease_valid(now_)) return m.reply.set(come_back());
     if (m.result) {
         auto f = final_state(m.result.value);
         if (!f) return m.reply.set(come_back());
--- a/src/coordination/leader_workers.cpp
+++ b/src/coordination/leader_workers.cpp
@@ -27,7 +27,7 @@
 }
 
 void Leader::report(PeerCall& call, Reply& reply) {
-    if (tenure_->ended || past_grace()) return reply.set({503, "{}"});
+    if (term_->ended || past_grace()) return reply.set({503, "{}"});
     Report r;
     try {
         r = parse_report(call.body);
@@ -40,11 +40,12 @@
         return reply.set({400, "{}"});
     }
     if (gone_.count(r.machine)) return reply.set({503, "{}"});
-    if (r.token > tenure_->token) {
+    if (r.fencing_token > term_->fencing_token) {
         metrics_.count("reports_of_later_tokens_total");
         if (now_ >= next_warning_) {
             next_warning_ = now_ + kWarning_s;
-            spdlog::info("worker: {} has seen token={}, later than ours", r.machine, r.token);
+            spdlog::info("worker: {} has seen token={}, later than ours", r.machine,
+                         r.fencing_token);
         }
         return reply.set({503, "{}"});
     }
@@ -77,7 +78,7 @@
         held_.erase(it);
     }
     if (dirty_ && now_ >= next_schedule_) schedule();
-    if (sure(now_) && (held.passes > passes_ || unsettled(m)))
+    if (lease_valid(now_) && (held.passes > passes_ || unsettled(m)))
         held_.emplace(index, held);
     else
         answer_report(index, held);
@@ -110,7 +111,7 @@
     m.seq = r.seq;
     m.last_report = now_;
     // From here on no earlier leader's answer is taken by this worker.
-    m.saw_token = r.token == tenure_->token;
+    m.saw_fencing_token = r.fencing_token == term_->fencing_token;
     if (r.notice_s >= 0) {
         if (m.notice_until < 0)
             spdlog::info("machine: {} is taken back in {:.1f}s", m.name, r.notice_s);
@@ -119,7 +120,7 @@
     m.strays.clear();
     std::set<std::pair<std::string_view, uint32_t>> present;
     for (auto& t : r.tasks) present.emplace(t.job, t.task);
-    Heard heard{{r.session, r.seq}, m.saw_token, m.relayed_by.empty()};
+    Heard heard{{r.session, r.seq}, m.saw_fencing_token, m.relayed_by.empty()};
     for (auto& ref : m.tasks) {
         auto& job = *cluster_.jobs[ref.job];
         auto& task = job.tasks[ref.task];
@@ -141,7 +142,8 @@
         // Not there. That is proof only if the worker has seen our token, as an earlier leader's
         // start could else still arrive, and if this report was sent after our own start was
         // answered. Of an attempt that this leader placed there is no earlier start.
-        bool proof = (m.saw_token || task.ours) && (task.start_seq == 0 || task.start_seq < r.seq);
+        bool proof =
+            (m.saw_fencing_token || task.ours) && (task.start_seq == 0 || task.start_seq < r.seq);
         if (!proof) continue;
         // One that was not taken is launched again, unless the machine does not hear that either.
         if (task.phase != TaskPhase::Unseen || task.stopping || m.hearing.deaf())
@@ -211,7 +213,7 @@
 void Leader::answer_report(Index index, Held& held) {
     auto& m = *cluster_.machines[index];
     std::vector<Command> commands;
-    bool may_start = sure(now_);
+    bool may_start = lease_valid(now_);
     if (may_start) {
         for (auto& e : m.strays) {
             auto it = cluster_.job_index.find(e.job);
@@ -257,17 +259,17 @@
     }
     if (!renew_lease(held.reply, commands)) return;
     m.last_answer = now_;
-    note_answer(m.hearing, {m.session, held.seq}, m.saw_token, now_);
+    note_answer(m.hearing, {m.session, held.seq}, m.saw_fencing_token, now_);
 }
 
 // The only way in which a report is answered with 200, which renews its worker's lease. One that
 // was held while the grace ran out is not, either.
 bool Leader::renew_lease(Reply& reply, const std::vector<Command>& commands) {
-    if (tenure_->ended || past_grace()) {
+    if (term_->ended || past_grace()) {
         reply.set({503, "{}"});
         return false;
     }
-    reply.set({200, report_answer(tenure_->token, commands), 0, tenure_->token});
+    reply.set({200, report_answer(term_->fencing_token, commands), 0, term_->fencing_token});
     return true;
 }
 
--- a/src/membership/decide.cpp
+++ b/src/membership/decide.cpp
@@ -19,7 +19,7 @@
     return theirs > 2 * mine + std::max(known, theirs) / kSlackShare;
 }
 
-double hold_after(const HandOvers& last, const LinkTimes& times) {
+double hold_after(const TransferRecord& last, const LinkTimes& times) {
     if (last.count == 0) return 0;
     return times.hold_s * std::pow(2.0, std::min(last.count - 1, kMostDoublings));
 }
@@ -82,20 +82,21 @@
     return std::nullopt;
 }
 
-bool may_hand_over(const HandOvers& last, const LinkTimes& times, double clock_off_s, double wall) {
+bool may_transfer(const TransferRecord& last, const LinkTimes& times, double clock_off_s,
+                  double wall) {
     return last.count == 0 || wall - last.at > hold_after(last, times) + 2 * clock_off_s;
 }
 
-HandOvers next_hand_over(const HandOvers& last, const LinkTimes& times, std::string from,
-                         std::string to, double wall) {
+TransferRecord next_transfer(const TransferRecord& last, const LinkTimes& times, std::string from,
+                             std::string to, double wall) {
     // As long again without one as was waited for several times over: the links have come to rest.
     bool quiet = wall - last.at > 8 * hold_after(last, times);
     return {std::move(from), std::move(to), quiet ? 1 : last.count + 1, wall};
 }
 
 double campaign_wait(const std::string& self, const LinkReport& own,
-                     std::span<const PeerView> others, const HandOvers& last, double clock_off_s,
-                     double wall) {
+                     std::span<const PeerView> others, const TransferRecord& last,
+                     double clock_off_s, double wall) {
     bool fresh = last.count > 0 && std::abs(wall - last.at) < kYieldFresh_s + 2 * clock_off_s;
     if (fresh && last.to == self) return -1;
     double wait = fresh ? (last.from == self ? 2 * kLetGo_s : kLetGo_s) : 0;
--- a/src/membership/decide.h
+++ b/src/membership/decide.h
@@ -47,22 +47,23 @@
 std::optional<std::string> relay_to_kv(std::span<const PeerView> others);
 
 // Hand-overs of late, as the last one left them under `m/yield`.
-struct HandOvers {
+struct TransferRecord {
     std::string from, to;
     uint32_t count = 0;  // in short succession
     double at = 0;       // by the time of day, seconds
-    bool operator==(const HandOvers&) const = default;
+    bool operator==(const TransferRecord&) const = default;
 };
 // Whether another may follow yet; `wall` by the time of day, off by at most `clock_off_s` on each
 // controller.
-bool may_hand_over(const HandOvers& last, const LinkTimes& times, double clock_off_s, double wall);
-HandOvers next_hand_over(const HandOvers& last, const LinkTimes& times, std::string from,
-                         std::string to, double wall);
+bool may_transfer(const TransferRecord& last, const LinkTimes& times, double clock_off_s,
+                  double wall);
+TransferRecord next_transfer(const TransferRecord& last, const LinkTimes& times, std::string from,
+                             std::string to, double wall);
 
 // How long a controller lets others go first in a campaign, seconds; negative: it is the one to
 // whom was yielded, and waits for nobody.
 double campaign_wait(const std::string& self, const LinkReport& own,
-                     std::span<const PeerView> others, const HandOvers& last, double clock_off_s,
-                     double wall);
+                     std::span<const PeerView> others, const TransferRecord& last,
+                     double clock_off_s, double wall);
 
 }  // namespace weirmill
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -108,13 +108,13 @@
     if (auto* p = peer(name)) ++p->lost;
 }
 
-asio::awaitable<void> Membership::read_hand_overs(double timeout_s) {
-    auto item = co_await kv_.get(kYieldKey, timeout_s);
+asio::awaitable<void> Membership::read_transfers(double timeout_s) {
+    auto item = co_await kv_.get(kTransferKey, timeout_s);
     try {
-        if (item) last_ = parse_hand_overs(item.value.value);
+        if (item) last_ = parse_transfer_record(item.value.value);
         if (item.outcome == KvOutcome::Missing) last_ = {};
     } catch (const BadMessage& e) {
-        spdlog::error("links: malformed record {}: {}", kYieldKey, e.what());
+        spdlog::error("links: malformed record {}: {}", kTransferKey, e.what());
     }
 }
 
@@ -160,7 +160,7 @@
     for (;;) {
         co_await sleep_s(settings_.ping_s / kTicks);
         double now = steady_now();
-        if (now - kv_.answered_at() > settings_.ping_s) co_await read_hand_overs(kRead_s);
+        if (now - kv_.answered_at() > settings_.ping_s) co_await read_transfers(kRead_s);
         now = steady_now();
         bool apart = hears(now).size() < settings_.peers.size();
         if (apart && now >= next && reaches_kv(now)) {
@@ -192,23 +192,23 @@
         better_since_ = now;
     }
     if (now - better_since_ < times_.firm_s) co_return;
-    co_await read_hand_overs(kRead_s);
+    co_await read_transfers(kRead_s);
     if (!reaches_kv(steady_now())) co_return;
     double wall = wall_now();
-    if (!may_hand_over(last_, times_, settings_.clock_off_ms / 1000, wall)) co_return;
+    if (!may_transfer(last_, times_, settings_.clock_off_ms / 1000, wall)) co_return;
     if (hooks_.leads_since() != since || better_.empty()) co_return;
     auto theirs = *view(better_, now);
     spdlog::info(
         "links: hands over to {}: workers direct={} reach={} of {}, there direct={} reach={}",
         better_, mine.direct, mine.reach, mine.known, theirs.direct, theirs.reach);
     metrics_.count("hand_overs_total");
-    hooks_.hand_over(next_hand_over(last_, times_, settings_.name, better_, wall));
+    hooks_.transfer_leadership(next_transfer(last_, times_, settings_.name, better_, wall));
     better_.clear();
 }
 
 asio::awaitable<double> Membership::campaign_wait() {
     if (!enabled()) co_return 0;
-    co_await read_hand_overs(kHint_s);
+    co_await read_transfers(kHint_s);
     double now = steady_now();
     co_return weirmill::campaign_wait(settings_.name, own(now), views(now), last_,
                                       settings_.clock_off_ms / 1000, wall_now());
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -25,7 +25,7 @@
         std::function<LinkReport()> workers;
         // Since when this controller leads and is sure of it; nothing: it does not.
         std::function<std::optional<double>()> leads_since;
-        std::function<void(HandOvers)> hand_over;
+        std::function<void(TransferRecord)> transfer_leadership;
     };
     Membership(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
                KvClient& state, Metrics& metrics, Hooks hooks);
@@ -53,7 +53,7 @@
     };
     Peer* peer(const std::string& name);  // null: none of the settings' names
     boost::asio::awaitable<void> run();
-    boost::asio::awaitable<void> read_hand_overs(double timeout_s);
+    boost::asio::awaitable<void> read_transfers(double timeout_s);
     boost::asio::awaitable<void> read_records();
     boost::asio::awaitable<void> publish(LinkReport links);
     boost::asio::awaitable<void> consider(double now);
@@ -66,8 +66,8 @@
     Metrics& metrics_;
     Hooks hooks_;
     std::map<std::string, Peer> peers_;
-    HandOvers last_;      // hand-over, as recorded
-    uint64_t lease_ = 0;  // of this controller's record; 0: none
+    TransferRecord last_;  // hand-over, as recorded
+    uint64_t lease_ = 0;   // of this controller's record; 0: none
     LinkReport published_;
     std::string better_;  // who would lead better, and since when
     double better_since_ = 0;
--- a/src/membership/records.cpp
+++ b/src/membership/records.cpp
@@ -34,14 +34,16 @@
     return r;
 }
 
-CasTransaction yield_leadership(const std::string& leader_key, uint64_t token, const HandOvers& h) {
+CasTransaction transfer_transaction(const std::string& leader_key, uint64_t fencing_token,
+                                    const TransferRecord& h) {
     json::object o{{"from", h.from}, {"to", h.to}, {"count", h.count}, {"at", h.at}};
-    return {{{leader_key, token}}, {{leader_key, "", 0}, {kYieldKey, json::serialize(o), 0}}};
+    return {{{leader_key, fencing_token}},
+            {{leader_key, "", 0}, {kTransferKey, json::serialize(o), 0}}};
 }
 
-HandOvers parse_hand_overs(const json::value& v) {
+TransferRecord parse_transfer_record(const json::value& v) {
     auto& o = read::object(v);
-    HandOvers h;
+    TransferRecord h;
     h.from = read::text(o, "from");
     h.to = read::text(o, "to");
     h.count = static_cast<uint32_t>(std::min<uint64_t>(read::count(o, "count", 0), 1000));
--- a/src/membership/records.h
+++ b/src/membership/records.h
@@ -10,7 +10,7 @@
 namespace weirmill {
 
 inline const std::string kLinkKeys = "m/c/";
-inline const std::string kYieldKey = "m/yield";
+inline const std::string kTransferKey = "m/yield";
 
 CasTransaction link_record(const std::string& controller, const LinkReport& links, uint64_t lease);
 LinkReport parse_link_record(const boost::json::value& v);  // throws BadMessage
@@ -18,7 +18,8 @@
 // Ends the leadership with this token and says to whom. The tenure has ended before this is sent,
 // and is not taken up again whatever the answer: a copy may be executed at any later time. It names
 // the token, so that it then does nothing.
-CasTransaction yield_leadership(const std::string& leader_key, uint64_t token, const HandOvers& h);
-HandOvers parse_hand_overs(const boost::json::value& v);  // throws BadMessage
+CasTransaction transfer_transaction(const std::string& leader_key, uint64_t fencing_token,
+                                    const TransferRecord& h);
+TransferRecord parse_transfer_record(const boost::json::value& v);  // throws BadMessage
 
 }  // namespace weirmill
--- a/src/protocol/types.h
+++ b/src/protocol/types.h
@@ -110,7 +110,7 @@
 struct Report {
     std::string machine, addr, type, zone;
     bool spot = false;
-    uint64_t session = 0, seq = 0, token = 0;
+    uint64_t session = 0, seq = 0, fencing_token = 0;
     double notice_s = -1;  // < 0: none
     std::vector<TaskReport> tasks;
 };
--- a/src/protocol/worker_codec.cpp
+++ b/src/protocol/worker_codec.cpp
@@ -61,7 +61,7 @@
     r.spot = read::flag(o, "loaners");
     r.session = read::count(o, "shift");
     r.seq = read::count(o, "tick");
-    r.token = read::count(o, "gavel", 0);
+    r.fencing_token = read::count(o, "gavel", 0);
     r.notice_s = read::field(o, "recall_s") ? read::number(o, "recall_s") : -1;
     auto& list = read::array(o, "lots");
     r.tasks.reserve(list.size());
@@ -95,14 +95,15 @@
     return {read::text(o, "millstone"), read::count(o, "gavel", 0)};
 }
 
-std::string report_answer(uint64_t token, const std::vector<Command>& commands) {
-    return json::serialize(json::object{{"gavel", token}, {"orders", command_list(commands)}});
+std::string report_answer(uint64_t fencing_token, const std::vector<Command>& commands) {
+    return json::serialize(
+        json::object{{"gavel", fencing_token}, {"orders", command_list(commands)}});
 }
 
-std::string direct_commands(uint64_t token, uint64_t session,
+std::string direct_commands(uint64_t fencing_token, uint64_t session,
                             const std::vector<Command>& commands) {
-    return json::serialize(
-        json::object{{"gavel", token}, {"shift", session}, {"orders", command_list(commands)}});
+    return json::serialize(json::object{
+        {"gavel", fencing_token}, {"shift", session}, {"orders", command_list(commands)}});
 }
 
 std::string redirect_answer(const std::string& leader) {
--- a/src/protocol/worker_codec.h
+++ b/src/protocol/worker_codec.h
@@ -10,14 +10,15 @@
 namespace weirmill {
 
 Report parse_report(std::string_view body);  // throws BadMessage
-std::string report_answer(uint64_t token, const std::vector<Command>& commands);
-std::string direct_commands(uint64_t token, uint64_t session, const std::vector<Command>& commands);
+std::string report_answer(uint64_t fencing_token, const std::vector<Command>& commands);
+std::string direct_commands(uint64_t fencing_token, uint64_t session,
+                            const std::vector<Command>& commands);
 std::string redirect_answer(const std::string& leader);  // empty: nobody to name
 
 // The machine and its token only: what a follower needs to redirect or relay.
 struct ReportHead {
     std::string machine;
-    uint64_t token = 0;
+    uint64_t fencing_token = 0;
 };
 ReportHead parse_report_head(std::string_view body);
 
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -172,7 +172,7 @@
                     r.setStatus(static_cast<uint16_t>(reply.status));
                     r.setBody(data_of(reply.body));
                     r.setRetryAfterS(static_cast<uint16_t>(reply.retry_after_s));
-                    r.setToken(reply.token);
+                    r.setToken(reply.fencing_token);
                     r.setUndecided(reply.undecided);
                     if (reply.links.told) write_links(r.initLinks(), reply.links);
                     to->send(frame_text(message));
--- a/src/transport/peer_link.h
+++ b/src/transport/peer_link.h
@@ -30,7 +30,7 @@
     int status = 503;
     std::string body;
     int retry_after_s = 0;
-    uint64_t token = 0;
+    uint64_t fencing_token = 0;
     bool undecided = false;  // who answered does not lead, or not yet, or is unsure of it
     LinkReport links{};      // to a ping
 };
--- a/tests/cancel_model_test.cpp
+++ b/tests/cancel_model_test.cpp
@@ -61,7 +61,7 @@
     uint8_t txn;             // of its cancellation: 1 sent, 2 carried out
     uint8_t next_since, next_leads, next_knows;
     uint8_t recorded, told;  // told: when + 1
-    uint8_t sent, token,
+    uint8_t sent, fencing_token,
         task;          // the worker: its last answered report; highest token; the task is there
     uint8_t spare[6];  // to whole words
 };
@@ -85,7 +85,7 @@
     // Whether some schedule breaks the rule.
     bool breaks() {
         State first{};
-        first.holder = first.token = first.task = 1;
+        first.holder = first.fencing_token = first.task = 1;
         first.ends = static_cast<uint8_t>(lease_);
         push(first);
         while (!queue_.empty() && !broken_) {
@@ -100,9 +100,9 @@
   private:
     bool holds(Guard g) const { return without_ != g; }
     double sure_end(int since) const {
-        return sure_until(since * times_.step_s, times_.lease_s) / times_.step_s;
+        return lease_valid_until(since * times_.step_s, times_.lease_s) / times_.step_s;
     }
-    bool sure(int since, int t) const { return t < sure_end(since); }
+    bool lease_valid(int since, int t) const { return t < sure_end(since); }
     bool answers(int since, int t) const {
         return t <= sure_end(since) + times_.grace_s / times_.step_s;
     }
@@ -123,7 +123,7 @@
     }
     bool keeps(const State& s) const {
         if (s.over || s.stopping) return false;
-        if (s.token > 1 && holds(kLowerTokenDropped)) return false;
+        if (s.fencing_token > 1 && holds(kLowerTokenDropped)) return false;
         return answers(s.since, s.t) || (!holds(kHeldAnswersAreLate) && answers(s.since, s.t - 1));
     }
 
@@ -197,7 +197,7 @@
             });
             with(s, [](State& n) { n.asked = 0; });
         }
-        if (sure(s.since, t) && s.txn == 0 && !s.told && early)
+        if (lease_valid(s.since, t) && s.txn == 0 && !s.told && early)
             with(s, [&](State& n) {
                 n.txn = 1;
                 n.stopping = holds(kStopsWhenAsked);
@@ -219,7 +219,7 @@
                 n.ends = static_cast<uint8_t>(t + lease_);
                 n.next_since = static_cast<uint8_t>(t);
             });
-        bool is_sure = sure(s.next_since, t);
+        bool is_sure = lease_valid(s.next_since, t);
         if (up && s.holder == 2 && is_sure && !s.told)
             with(s, [&](State& n) {
                 n.recorded = n.next_knows = 1;
@@ -229,7 +229,7 @@
         if (answers(s.next_since, t) && !stops)
             with(s, [&](State& n) {
                 n.sent = static_cast<uint8_t>(t);
-                n.token = 2;
+                n.fencing_token = 2;
             });
     }
 
--- a/tests/door_model_test.cpp
+++ b/tests/door_model_test.cpp
@@ -436,7 +436,7 @@
 
     void leader(const State& s, int i) {
         auto& l = s.leaders[i];
-        uint8_t token = static_cast<uint8_t>(i + 1);
+        uint8_t fencing_token = static_cast<uint8_t>(i + 1);
         uint8_t own = s.value[i == 0 ? kSegmentA : kSegmentB];
         // A transaction under way is executed even when its sender no longer leads.
         if (l.in_flight) {
@@ -450,7 +450,7 @@
             push(n);
             return;  // one at a time
         }
-        if (s.value[kLeads] != token) return;
+        if (s.value[kLeads] != fencing_token) return;
         if (l.loaded < 2) {
             State n = s;
             auto& m = n.leaders[i];
@@ -529,7 +529,7 @@
 
     void outcome(State& n, int i, bool ok) {
         auto& l = n.leaders[i];
-        bool sure = n.value[kLeads] == i + 1;
+        bool lease_valid = n.value[kLeads] == i + 1;
         if (ok && l.kind != kForget) l.own_version = n.version[i == 0 ? kSegmentA : kSegmentB];
         bool was_cancelled = l.job == kAliveCancelled;
         switch (l.kind) {
@@ -537,7 +537,7 @@
                 if (ok) {
                     bool cancelled = l.txn.values[i == 0 ? kSegmentA : kSegmentB] & kCancel;
                     l.job = cancelled ? kAliveCancelled : kAlive;
-                    if (!l.from_door && sure) tell(n, l.seen, kSaidAccepted);
+                    if (!l.from_door && lease_valid) tell(n, l.seen, kSaidAccepted);
                 } else if (n.value[kFinal]) {
                     l.job = kOver;
                 }
@@ -545,13 +545,13 @@
             case kLogCancel:
                 if (!ok) break;
                 l.job = kAliveCancelled;
-                if (!l.from_door && sure) tell(n, l.cancel_seen, kSaidCancelled);
+                if (!l.from_door && lease_valid) tell(n, l.cancel_seen, kSaidCancelled);
                 break;
             case kFinish:
                 if (!ok) break;
                 l.job = kOver;
                 l.started = 0;
-                if (sure) tell(n, n.told, was_cancelled ? kSaidCancelled : kSaidDone);
+                if (lease_valid) tell(n, n.told, was_cancelled ? kSaidCancelled : kSaidDone);
                 break;
             default:
                 if (ok) l.inbox = kNothing, l.inbox_version = 0;
--- a/tests/hearing_test.cpp
+++ b/tests/hearing_test.cpp
@@ -24,12 +24,12 @@
         now += after;
         what.order = {session, seq};
         bool deaf = take_evidence(hearing, what, settings, now);
-        note_answer(hearing, what.order, what.our_token, now);
+        note_answer(hearing, what.order, what.our_fencing_token, now);
         return deaf;
     }
 };
-Heard with(bool our_token, bool direct, bool taken = false, bool missing = false) {
-    return {{}, our_token, direct, taken, missing};
+Heard with(bool our_fencing_token, bool direct, bool taken = false, bool missing = false) {
+    return {{}, our_fencing_token, direct, taken, missing};
 }
 
 TEST(Hearing, IsToldByWhatReportsShow) {
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -347,11 +347,11 @@
             << row.cancel_s;
         // What an earlier leader answered last, at won + grace, has run out by the time that a task
         // is taken for gone.
-        EXPECT_GT(earlier_leader_expiry(s, 1000), 1000 + grace + s.lease_s * (1 + kDrift));
-        EXPECT_GT(answered_expiry(s, 1000), 1000 + s.lease_s * (1 + kDrift));
+        EXPECT_GT(earlier_term_expiry(s, 1000), 1000 + grace + s.lease_s * (1 + kDrift));
+        EXPECT_GT(answered_lease_expiry(s, 1000), 1000 + s.lease_s * (1 + kDrift));
         // A slow clock of ours against a true one of the state service: still sure too short, never
         // too long.
-        EXPECT_LT(sure_until(1000, 4), 1000 + 4 * (1 - 0.0005));
+        EXPECT_LT(lease_valid_until(1000, 4), 1000 + 4 * (1 - 0.0005));
     }
 }
 
@@ -368,11 +368,11 @@
 
 TEST(Proof, AMachinesLeaseEndsOnlyAfterWhatMayHaveBeenAnswered) {
     auto s = test::small_settings();  // lease 18 s
-    const double won = 1000, first = earlier_leader_expiry(s, won);
+    const double won = 1000, first = earlier_term_expiry(s, won);
     struct Row {
         const char* why;
         double report, answer;
-        bool saw_token;
+        bool saw_fencing_token;
         double from, to;  // the lease may be taken for ended between these
     };
     const Row rows[] = {
@@ -388,9 +388,9 @@
         Machine m;
         m.last_report = row.report;
         m.last_answer = row.answer;
-        m.saw_token = row.saw_token;
-        EXPECT_GE(lease_end(s, m, won), row.from) << row.why;
-        EXPECT_LE(lease_end(s, m, won), row.to) << row.why;
+        m.saw_fencing_token = row.saw_fencing_token;
+        EXPECT_GE(worker_lease_expiry(s, m, won), row.from) << row.why;
+        EXPECT_LE(worker_lease_expiry(s, m, won), row.to) << row.why;
     }
 }
 
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -38,7 +38,7 @@
 };
 
 // As a worker sends it whose last answer came from the leader with this token.
-std::string report_of(int machine, uint64_t token) {
+std::string report_of(int machine, uint64_t fencing_token) {
     json::object report{{"millstone", "machine-" + std::to_string(machine)},
                         {"addr", "127.0.0.1:1"},
                         {"rig", "std"},
@@ -46,7 +46,7 @@
                         {"loaners", false},
                         {"shift", 1},
                         {"tick", 1},
-                        {"gavel", token},
+                        {"gavel", fencing_token},
                         {"recall_s", nullptr},
                         {"lots", json::array()}};
     return json::serialize(report);
@@ -156,11 +156,11 @@
     Properties properties;
     Metrics metrics;
     KvClient state(io, settings);
-    auto tenure = std::make_shared<Tenure>();
-    tenure->token = 1;
-    tenure->won = steady_now();
-    tenure->sure_until = steady_now() + 60;
-    auto leader = std::make_shared<Leader>(io, settings, properties, state, metrics, tenure);
+    auto term = std::make_shared<LeadershipTerm>();
+    term->fencing_token = 1;
+    term->won = steady_now();
+    term->lease_valid_until = steady_now() + 60;
+    auto leader = std::make_shared<Leader>(io, settings, properties, state, metrics, term);
     leader->start();
     ASSERT_TRUE(turn_until(io, [&] { return leader->ready(); }, 5));
     Burst burst;
@@ -172,18 +172,19 @@
     for (int i = 0; i < kMachines; ++i) asio::co_spawn(io, report(i), asio::detached);
     ASSERT_TRUE(turn_until(io, [&] { return burst.over == kMachines; }, 5));
     EXPECT_EQ(burst.statuses, kAllTaken);
-    EXPECT_FALSE(tenure->ended);
+    EXPECT_FALSE(term->ended);
     leader->stop();
     turn_until(io, [] { return false; }, 0.3);
 }
 
 // Every machine reports to this controller within the same second, each over a connection of its
 // own.
-Burst report_all(Service& s, size_t node, uint64_t token) {
+Burst report_all(Service& s, size_t node, uint64_t fencing_token) {
     Burst burst;
     Endpoint at{"127.0.0.1", s.nodes[node]->api_port()};
     for (int i = 0; i < kMachines; ++i)
-        asio::co_spawn(s.io, send_report(s.io, at, report_of(i, token), burst), asio::detached);
+        asio::co_spawn(s.io, send_report(s.io, at, report_of(i, fencing_token), burst),
+                       asio::detached);
     for (double end = steady_now() + 8; burst.over < kMachines && steady_now() < end;) {
         for (size_t i = 0; i < s.node_io.size(); ++i)
             if (s.alive[i]) s.node_io[i]->poll();
@@ -210,17 +211,17 @@
     auto first =
         s.ask_node(1 - follower, "POST", std::string(paths::kReport), report_of(kMachines, 0));
     ASSERT_TRUE(first && first->status == 200);
-    auto token = json::parse(first->body).at("gavel").to_number<uint64_t>();
+    auto fencing_token = json::parse(first->body).at("gavel").to_number<uint64_t>();
     bool relays = false;  // once it has learnt who leads
     double end = steady_now() + 5;
     for (int i = 1; !relays && steady_now() < end; ++i) {
         auto reply = s.ask_node(follower, "POST", std::string(paths::kReport),
-                                report_of(kMachines + i, token));
+                                report_of(kMachines + i, fencing_token));
         relays = reply && reply->status == 200;
         for (int k = 0; k < 50; ++k) s.turn();
     }
     ASSERT_TRUE(relays);
-    EXPECT_EQ(report_all(s, follower, token).statuses, kAllTaken);
+    EXPECT_EQ(report_all(s, follower, fencing_token).statuses, kAllTaken);
 }
 
 }  // namespace
--- a/tests/membership_model_test.cpp
+++ b/tests/membership_model_test.cpp
@@ -3,7 +3,7 @@
 // late, over whatever relays. The yield's conditions are those of the real transaction. Each
 // condition is then taken away on its own, and the model must find what that one guards against.
 // Clocks stand for themselves: a controller that is sure of its lease holds one that has not run
-// out (election.h, sure_until).
+// out (election.h, lease_valid_until).
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -43,7 +43,7 @@
 struct Copy {  // of a transaction, or of an answer to a worker: executed at any time, a transaction
                // perhaps again
     enum Kind : uint8_t { kNone, kYield, kPlace, kStart } kind;
-    uint8_t token, machine, log;  // log: the version that the transaction asks for
+    uint8_t fencing_token, machine, log;  // log: the version that the transaction asks for
 };
 
 struct State {
@@ -52,7 +52,7 @@
     uint8_t placed;     // as recorded: the task's machine, 0 none
     uint8_t log;        // version of the log: one transaction of one leader makes each
     struct Node {
-        uint8_t token, leads, sure, lease, ended, yielded;
+        uint8_t fencing_token, leads, lease_valid, lease, ended, yielded;
         uint8_t knows;     // where it believes the task
         uint8_t recorded;  // that this is recorded
         uint8_t log;       // its version, as last known
@@ -68,7 +68,7 @@
 class Model {
   public:
     explicit Model(Condition without) : without_(without) {
-        auto real = yield_leadership(kLeaderKey, 7, {"a", "b", 1, 1});
+        auto real = transfer_transaction(kLeaderKey, 7, {"a", "b", 1, 1});
         yield_named_ = real.conditions == std::vector<KvCondition>{{kLeaderKey, 7}};
     }
     std::string run() {
@@ -102,13 +102,13 @@
         if (seen_.emplace(reinterpret_cast<const char*>(&tidy), sizeof tidy).second)
             queue_.push_back(tidy);
     }
-    static bool acts(const State::Node& n) { return n.leads && n.sure && !n.ended; }
+    static bool acts(const State::Node& n) { return n.leads && n.lease_valid && !n.ended; }
     // It can do nothing any more: tokens and versions only grow.
     bool is_void(const State& s, const Copy& c) const {
-        if (c.kind == Copy::kYield) return holds(kYieldNamesToken) && s.key != c.token;
+        if (c.kind == Copy::kYield) return holds(kYieldNamesToken) && s.key != c.fencing_token;
         if (c.kind == Copy::kPlace)
-            return s.log != c.log || (holds(kRecordNamesToken) && s.key != c.token);
-        return c.kind == Copy::kStart && c.token < s.seen[c.machine - 1];
+            return s.log != c.log || (holds(kRecordNamesToken) && s.key != c.fencing_token);
+        return c.kind == Copy::kStart && c.fencing_token < s.seen[c.machine - 1];
     }
     static void send(State& s, Copy c) {
         for (auto& copy : s.copies)
@@ -149,16 +149,16 @@
     void execute(State& s, const Copy& c) {
         switch (c.kind) {
             case Copy::kYield:
-                if (holds(kYieldNamesToken) && yield_named_ && s.key != c.token) return;
+                if (holds(kYieldNamesToken) && yield_named_ && s.key != c.fencing_token) return;
                 s.key = 0;
                 return;
             case Copy::kPlace:
-                if (holds(kRecordNamesToken) && s.key != c.token) return;
+                if (holds(kRecordNamesToken) && s.key != c.fencing_token) return;
                 if (s.log != c.log) return;  // docs/design.md, "The log"
                 s.placed = c.machine;
                 ++s.log;
                 for (auto& n : s.nodes)
-                    if (n.token == c.token && n.knows == c.machine) {
+                    if (n.fencing_token == c.fencing_token && n.knows == c.machine) {
                         n.recorded = 1;
                         n.log = s.log;
                     }
@@ -166,8 +166,8 @@
             case Copy::kStart:
                 // protocol, "Tokens": an answer with a lower one than the worker has seen is
                 // dropped.
-                if (c.token < s.seen[c.machine - 1]) return;
-                s.seen[c.machine - 1] = c.token;
+                if (c.fencing_token < s.seen[c.machine - 1]) return;
+                s.seen[c.machine - 1] = c.fencing_token;
                 s.on[c.machine - 1] = 1;
                 return;
             default:
@@ -184,8 +184,8 @@
             x = {};
             n.key = ++n.last;
             n.holder = static_cast<uint8_t>(i);
-            x.token = n.key;
-            x.leads = x.sure = x.lease = 1;
+            x.fencing_token = n.key;
+            x.leads = x.lease_valid = x.lease = 1;
             x.knows = n.placed;
             x.log = n.log;
             x.recorded = 1;
@@ -197,35 +197,35 @@
             change(n, n.nodes[i]);
             push(n);
         };
-        if (me.sure)  // no renewal for so long
-            with([](State&, State::Node& x) { x.sure = 0; });
-        if (me.lease && !me.ended && !me.sure)  // a renewal: it does not look at the key
-            with([](State&, State::Node& x) { x.sure = 1; });
-        if (me.lease && (!me.sure || me.ended))  // the lease runs out
+        if (me.lease_valid)  // no renewal for so long
+            with([](State&, State::Node& x) { x.lease_valid = 0; });
+        if (me.lease && !me.ended && !me.lease_valid)  // a renewal: it does not look at the key
+            with([](State&, State::Node& x) { x.lease_valid = 1; });
+        if (me.lease && (!me.lease_valid || me.ended))  // the lease runs out
             with([i](State& n, State::Node& x) {
                 x.lease = 0;
-                if (n.key != 0 && n.holder == i && n.key == x.token) n.key = 0;
+                if (n.key != 0 && n.holder == i && n.key == x.fencing_token) n.key = 0;
             });
-        if (!me.lease && !me.sure) with([](State&, State::Node& x) { x = {}; });
+        if (!me.lease && !me.lease_valid) with([](State&, State::Node& x) { x = {}; });
         if (me.ended)
             with([](State&, State::Node& x) {
                 x.leads = 0;
-                x.sure = 0;
+                x.lease_valid = 0;
             });
         if (acts(me) && !me.yielded && room(s))
             with([&](State& n, State::Node& x) {
                 x.yielded = 1;
                 if (holds(kEndedBeforeYield)) x.ended = 1;
-                send(n, {Copy::kYield, x.token, 0, 0});
+                send(n, {Copy::kYield, x.fencing_token, 0, 0});
             });
         if (!holds(kNeverTakenUpAgain) && me.ended &&
-            s.key == me.token)  // no answer, and the key still stands
+            s.key == me.fencing_token)  // no answer, and the key still stands
             with([](State&, State::Node& x) { x.ended = 0; });
         if (!acts(me)) return;
         // Decisions and answers of a leader.
         for (uint8_t m = 1; m <= kMachines; ++m) {
             bool proof = me.knows != 0 && !s.on[me.knows - 1] &&
-                         (!holds(kProofWithOurToken) || s.seen[me.knows - 1] == me.token) &&
+                         (!holds(kProofWithOurToken) || s.seen[me.knows - 1] == me.fencing_token) &&
                          (!holds(kProofAfterOurStart) || !me.started);
             if (m != me.knows && (me.knows == 0 || proof) && me.recorded && s.log < kMostRecords &&
                 room(s))
@@ -233,16 +233,16 @@
                     x.knows = m;
                     x.started = 0;
                     x.recorded = 0;
-                    send(n, {Copy::kPlace, x.token, m, x.log});
+                    send(n, {Copy::kPlace, x.fencing_token, m, x.log});
                 });
-            if (s.seen[m - 1] < me.token)  // an answer with nothing in it, by any way
-                with([&](State& n, State::Node& x) { n.seen[m - 1] = x.token; });
+            if (s.seen[m - 1] < me.fencing_token)  // an answer with nothing in it, by any way
+                with([&](State& n, State::Node& x) { n.seen[m - 1] = x.fencing_token; });
         }
         if (me.knows != 0 && !me.started && (me.recorded || !holds(kRecordedBeforeStart)) &&
             room(s))
             with([&](State& n, State::Node& x) {
                 x.started = 1;
-                send(n, {Copy::kStart, x.token, x.knows, 0});
+                send(n, {Copy::kStart, x.fencing_token, x.knows, 0});
             });
     }
 
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -97,28 +97,28 @@
 
 TEST(Links, HandOversFollowEachOtherMoreAndMoreRarely) {
     auto times = LinkTimes::of(test::small_settings());
-    HandOvers last;
+    TransferRecord last;
     double wall = 1e9;
-    EXPECT_TRUE(may_hand_over(last, times, 0.1, wall));
+    EXPECT_TRUE(may_transfer(last, times, 0.1, wall));
     double hold = times.hold_s;
     for (uint32_t n = 1; n <= 8; ++n) {
-        last = next_hand_over(last, times, "a", "b", wall);
+        last = next_transfer(last, times, "a", "b", wall);
         EXPECT_EQ(last.count, n);
-        EXPECT_FALSE(may_hand_over(last, times, 0.1, wall + hold));  // clocks differ
-        EXPECT_TRUE(may_hand_over(last, times, 0.1, wall + hold + 0.3)) << n;
+        EXPECT_FALSE(may_transfer(last, times, 0.1, wall + hold));  // clocks differ
+        EXPECT_TRUE(may_transfer(last, times, 0.1, wall + hold + 0.3)) << n;
         wall += hold + 0.3;
         if (n < 6) hold *= 2;
     }
     // Long after, the links have come to rest.
-    EXPECT_EQ(next_hand_over(last, times, "a", "b", wall + 9 * hold).count, 1u);
+    EXPECT_EQ(next_transfer(last, times, "a", "b", wall + 9 * hold).count, 1u);
 }
 
 TEST(Links, WhoWasYieldedToCampaignsFirstAndTheDeafLast) {
-    HandOvers to_b{"a", "b", 1, 1e9};
+    TransferRecord to_b{"a", "b", 1, 1e9};
     std::vector<PeerView> hearing{{"c", links(true, 900, 900), true}}, nobody;
     struct Row {
         const char* self;
-        HandOvers last;
+        TransferRecord last;
         double wall;
         const std::vector<PeerView>& others;
         double low, high;
@@ -214,15 +214,15 @@
     EXPECT_EQ(txn.changes[0].key, "m/c/a");
     EXPECT_EQ(txn.changes[0].lease, 9u);
     EXPECT_EQ(parse_link_record(read::parse(txn.changes[0].value)), r);
-    HandOvers h{"a", "b", 3, 1.5e9};
-    auto yield = yield_leadership("leader", 41, h);
-    EXPECT_EQ(parse_hand_overs(read::parse(yield.changes[1].value)), h);
+    TransferRecord h{"a", "b", 3, 1.5e9};
+    auto step_down = transfer_transaction("leader", 41, h);
+    EXPECT_EQ(parse_transfer_record(read::parse(step_down.changes[1].value)), h);
     for (const char* text :
          {"[]", R"({"direct":-1})", R"({"direct":"x"})", R"({"hears":{}})", R"({"hears":[1]})"})
         EXPECT_THROW(parse_link_record(read::parse(text)), BadMessage) << text;
     for (const char* text :
          {"1", R"({"from":"a"})", R"({"from":"a","to":"","at":1})", R"({"from":"a","to":"b"})"})
-        EXPECT_THROW(parse_hand_overs(read::parse(text)), BadMessage) << text;
+        EXPECT_THROW(parse_transfer_record(read::parse(text)), BadMessage) << text;
 }
 
 // ---- every combination of links ----
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -188,8 +188,8 @@
     StateLogLimits limits;
     StateLog state_log;
     std::set<Index> ending;
-    Bookkeeper(uint64_t token, StateLogLimits limits)
-        : limits(limits), state_log(w.cluster, token, limits) {}
+    Bookkeeper(uint64_t fencing_token, StateLogLimits limits)
+        : limits(limits), state_log(w.cluster, fencing_token, limits) {}
 
     Index submit(const std::string& id, const std::vector<std::string>& on, uint32_t tasks = 1) {
         auto spec = w.spec(id, JobKind::Array, tasks, 0.01);
--- a/tests/standin/standins.cpp
+++ b/tests/standin/standins.cpp
@@ -232,7 +232,7 @@
         lots.push_back(std::move(o));
     }
     return {{"millstone", name},   {"addr", addr()},    {"rig", type},    {"yard", zone},
-            {"loaners", spot},     {"shift", session_}, {"tick", ++seq_}, {"gavel", token_},
+            {"loaners", spot},     {"shift", session_}, {"tick", ++seq_}, {"gavel", fencing_token_},
             {"recall_s", nullptr}, {"lots", lots}};
 }
 
@@ -292,10 +292,10 @@
     if (dead_ || silent || deaf || no_commands) co_return HttpReply{500, "{}"};
     step();
     auto v = json::parse(r.body).as_object();
-    auto token = v.at("gavel").to_number<uint64_t>();
-    if (token < token_ || v.at("shift").to_number<uint64_t>() != session_)
+    auto fencing_token = v.at("gavel").to_number<uint64_t>();
+    if (fencing_token < fencing_token_ || v.at("shift").to_number<uint64_t>() != session_)
         co_return answer(409, report());
-    token_ = token;
+    fencing_token_ = fencing_token;
     execute(v.at("orders").as_array());
     co_return answer(200, report());
 }
@@ -303,7 +303,7 @@
 void Worker::begin_anew() {
     tasks_.clear();
     session_ = 1;
-    seq_ = token_ = 0;
+    seq_ = fencing_token_ = 0;
     lease_from_ = steady_now();
 }
 
@@ -350,9 +350,9 @@
         }
         if (reply && reply->status == 200) {
             auto v = json::parse(reply->body).as_object();
-            auto token = v.at("gavel").to_number<uint64_t>();
-            if (token < token_ || session != session_) continue;
-            token_ = token;
+            auto fencing_token = v.at("gavel").to_number<uint64_t>();
+            if (fencing_token < fencing_token_ || session != session_) continue;
+            fencing_token_ = fencing_token;
             lease_from_ = sent;
             execute(v.at("orders").as_array());
             continue;
--- a/tests/standin/standins.h
+++ b/tests/standin/standins.h
@@ -134,7 +134,7 @@
     asio::io_context& io_;
     Cloud& cloud_;
     bool dead_ = false;
-    uint64_t session_ = 1, seq_ = 0, token_ = 0;
+    uint64_t session_ = 1, seq_ = 0, fencing_token_ = 0;
     double lease_from_;
     std::deque<std::string> sent_;  // reports, for copies of them
     asio::awaitable<void> send_copy(std::shared_ptr<Worker> self, std::string body, Endpoint to);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -235,7 +235,7 @@
     turn_until([&] { return got.has_value(); });
     ASSERT_TRUE(got);
     EXPECT_EQ(got->status, 200);
-    EXPECT_EQ(got->token, 41u);
+    EXPECT_EQ(got->fencing_token, 41u);
     EXPECT_EQ(got->retry_after_s, 3);
     EXPECT_FALSE(got->links.told);
     // What is said of links arrives as it was said.
