--- a/bench/pass_bench.cpp
+++ b/bench/pass_bench.cpp
@@ -29,7 +29,7 @@
     Settings s;
     s.zones = {"a"};
     s.teams = {{"red", 0, 0, 0, 0}};
-    s.report_s = 8;
+    s.heartbeat_interval_s = 8;
     s.mem_mb = 2000;
     s.value_kb = 4;
     s.txn_ops = 12;
@@ -55,8 +55,8 @@
             auto& m = *cluster.machines[cluster.add_machine("vm-" + std::to_string(i), kNow)];
             cluster.describe_machine(m, i % 2 ? "gpu" : "cpu", "a", i % 8 == 1);
             m.up = true;
-            m.session = 1;
-            m.up_at = m.last_report = kNow;
+            m.agent_epoch = 1;
+            m.up_at = m.last_heartbeat = kNow;
         }
         for (size_t j = 0; j < jobs; ++j) {
             JobSpec s;
--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -52,7 +52,7 @@
     } else if (row.size() == 4 && row[3].is_string()) {
         out.state = TaskState::Placed;
         out.attempt = number(1);
-        out.session = number(2);
+        out.agent_epoch = number(2);
         out.machine = std::string(row[3].get_string());
     } else if (row.size() == 2) {
         out.attempt = number(1);
@@ -150,7 +150,7 @@
         return last + 1;
     }
     if (task.state == TaskState::Placed)
-        fmt::format_to(out, ",[{},{},{},{}]", t, task.attempt, task.session,
+        fmt::format_to(out, ",[{},{},{},{}]", t, task.attempt, task.agent_epoch,
                        quoted(cluster.machines[task.machine]->name));
     else
         fmt::format_to(out, ",[{},{}]", t, task.attempt);
@@ -675,7 +675,7 @@
                 names[k] = row.machine;
                 if (row.state == TaskState::Done) continue;
                 task.attempt = row.attempt;
-                if (row.state == TaskState::Placed) task.session = row.session;
+                if (row.state == TaskState::Placed) task.agent_epoch = row.agent_epoch;
             }
         }
     } else {
@@ -743,7 +743,7 @@
             if (names[t].empty()) continue;
             auto& task = cluster_.jobs[j]->tasks[t];
             cluster_.restore_placed(j, t, cluster_.add_machine(names[t], now), task.attempt,
-                                    task.session);
+                                    task.agent_epoch);
         }
     loading_.clear();
 }
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -32,8 +32,8 @@
 struct TaskRow {
     uint32_t first = 0, last = 0;
     TaskState state = TaskState::Pending;
-    uint32_t attempt = 0, session = 0;  // Pending: the attempt; Placed: both
-    std::string machine;                // Placed
+    uint32_t attempt = 0, agent_epoch = 0;  // Pending: the attempt; Placed: both
+    std::string machine;                    // Placed
 };
 TaskRow parse_row(const boost::json::value& v, size_t tasks);  // throws BadMessage
 std::string final_key(const std::string& id);
--- a/src/bookkeeping/tables.cpp
+++ b/src/bookkeeping/tables.cpp
@@ -11,7 +11,8 @@
     1000;  // names of classes are the users' own: further ones are not learnt from
 }  // namespace
 
-ClusterState::ClusterState(const Settings& settings) : report_s_(settings.report_s) {
+ClusterState::ClusterState(const Settings& settings)
+    : heartbeat_interval_s_(settings.heartbeat_interval_s) {
     for (auto& t : settings.teams) {
         names.teams.intern(t.name);
         Team team;
@@ -218,7 +219,7 @@
     double fetch = 1e18;
     for (Index t = 0; t < types.size(); ++t)
         if (type_fits(spec, t)) fetch = std::min(fetch, fetch_s(spec, t));
-    return expected_run_s(spec) + report_s_ + (fetch < 1e17 ? fetch : 0);
+    return expected_run_s(spec) + heartbeat_interval_s_ + (fetch < 1e17 ? fetch : 0);
 }
 
 void ClusterState::clear_work() {
@@ -311,13 +312,13 @@
 }
 
 void ClusterState::restore_placed(Index index, uint32_t t, Index machine, uint32_t attempt,
-                                  uint32_t session) {
+                                  uint32_t agent_epoch) {
     auto& job = *jobs[index];
     auto& task = job.tasks[t];
     task.state = TaskState::Placed;
     task.machine = machine;
     task.attempt = attempt;
-    task.session = session;
+    task.agent_epoch = agent_epoch;
     --job.pending, ++job.placed;
     auto& m = *machines[machine];
     m.used += job.spec.demand;
@@ -338,13 +339,14 @@
 }
 
 void ClusterState::place(Index index, uint32_t t, Index machine, uint32_t attempt, double now) {
-    restore_placed(index, t, machine, attempt, static_cast<uint32_t>(machines[machine]->session));
+    restore_placed(index, t, machine, attempt,
+                   static_cast<uint32_t>(machines[machine]->agent_epoch));
     auto& task = jobs[index]->tasks[t];
     task.start_seq = 0;
     task.placed_at = static_cast<float>(now);
     task.running_at = 0;
     task.stopping = task.graceful = false;
-    task.ours = true;
+    task.placed_this_term = true;
     touch(index, t);
 }
 
@@ -534,9 +536,9 @@
     return !covers(team.guarantee, team.used, each);
 }
 
-double ClusterState::report_due_s(const Machine& m, double now) const {
-    double due = m.last_report + report_s_ - now;
-    return due > -0.3 * report_s_ ? due : 1e9;
+double ClusterState::heartbeat_due_s(const Machine& m, double now) const {
+    double due = m.last_heartbeat + heartbeat_interval_s_ - now;
+    return due > -0.3 * heartbeat_interval_s_ ? due : 1e9;
 }
 
 bool ClusterState::refused(Index type, Index zone, bool spot, double now) const {
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -20,15 +20,15 @@
 struct Task {
     uint32_t attempt = 0;
     Index machine = kNone;                // while Placed: the task may be there until proven gone
-    uint32_t session = 0;                 // of that machine, when it was placed
+    uint32_t agent_epoch = 0;             // of that machine, when it was placed
     uint64_t change = 0;                  // the tables' change number at this task's last change
     uint64_t start_seq = 0;               // the report answered with its start, 0: none yet
     float placed_at = 0, running_at = 0;  // placed_at: once it is launched, when that was
     TaskState state = TaskState::Pending;
     TaskPhase phase = TaskPhase::Unseen;
     bool stopping = false;
-    bool graceful = false;  // stopping: with time to save
-    bool ours = false;      // placed by this leader: no other has launched this attempt
+    bool graceful = false;          // stopping: with time to save
+    bool placed_this_term = false;  // placed by this leader: no other has launched this attempt
     bool placed_as(Index on, uint64_t as_attempt) const {
         return state == TaskState::Placed && machine == on && attempt == as_attempt;
     }
@@ -86,7 +86,7 @@
     uint64_t change = 0;
 };
 
-struct ExitedEntry {
+struct UnexpectedTask {
     std::string job;
     uint32_t task = 0;
     uint64_t attempt = 0;
@@ -99,14 +99,14 @@
     bool spot = false;
     Resources size, used;
     std::vector<TaskRef> tasks;  // all that may be on it
-    std::vector<ExitedEntry>
-        strays;  // of the last report: exited entries, and tasks not expected there
+    std::vector<UnexpectedTask>
+        unexpected_tasks;  // of the last report: exited entries, and tasks not expected there
     // What its worker said.
     bool up = false;  // has reported to this leader
-    uint64_t session = 0, seq = 0;
+    uint64_t agent_epoch = 0, seq = 0;
     bool saw_fencing_token = false;
     Hearing hearing;
-    double last_report = 0, last_answer = 0;
+    double last_heartbeat = 0, last_answer = 0;
     double direct_at = 0;  // the last report that came to this controller itself
     std::string
         relayed_by;  // the controller that passed on the last report; empty: it came by itself
@@ -218,7 +218,7 @@
     // call.
     void restore_counts(Index job);
     void restore_placed(Index job, uint32_t task, Index machine, uint32_t attempt,
-                        uint32_t session);
+                        uint32_t agent_epoch);
 
     void set_phase(Job& job, Task& task, TaskPhase phase);
     // The machine has used the job's image. What its cache can't hold beside that leaves it, the
@@ -271,7 +271,7 @@
     bool over_guarantee(const Team& team, const Resources& each) const;
     // Until the machine's worker should report, and can be told to start something; late ones may
     // be silent.
-    double report_due_s(const Machine& m, double now) const;
+    double heartbeat_due_s(const Machine& m, double now) const;
     bool refused(Index type, Index zone, bool spot, double now) const;
 
   private:
@@ -282,7 +282,7 @@
     void spread_needs_from(Index job);
     double stage_s(const JobSpec& spec) const;
     DependencyGraph dependencies_;
-    double report_s_;
+    double heartbeat_interval_s_;
     std::vector<float> image_gb_;  // by image index, as the newest job that uses it has it
 
     void touch(Index job, uint32_t task);
--- a/src/coordination/election.h
+++ b/src/coordination/election.h
@@ -39,7 +39,8 @@
 // of the state service. A cancellation told by the next leader must still end in time: grace +
 // lease_s + margins < cancel_s.
 inline double answering_grace(const Settings& s) {
-    return std::max(0.0, (s.cancel_s - s.lease_s * (1 + kDrift) - 1.5 * s.report_s - 1.0) * 0.85);
+    return std::max(
+        0.0, (s.cancel_s - s.lease_s * (1 + kDrift) - 1.5 * s.heartbeat_interval_s - 1.0) * 0.85);
 }
 
 // Told at start where the settings leave no time for a grace; empty: they do.
@@ -50,7 +51,7 @@
         "(1.5 times "
         "workers.report_s = {}, and a second): an outage of the state service that outlasts the "
         "leader's lease ends the workers' tasks",
-        s.cancel_s, s.lease_s, s.report_s);
+        s.cancel_s, s.lease_s, s.heartbeat_interval_s);
 }
 
 // When everything that an earlier leader may have kept alive on a silent machine is gone.
@@ -67,7 +68,7 @@
 // for its answer counts like an answered one: a machine used to be taken for gone while its first
 // report was held.
 inline double worker_lease_expiry(const Settings& s, const Machine& m, double won) {
-    double heard = std::max(m.last_answer, m.last_report);
+    double heard = std::max(m.last_answer, m.last_heartbeat);
     double end = heard > 0 ? answered_lease_expiry(s, heard) : 0;
     return m.saw_fencing_token ? end : std::max(end, earlier_term_expiry(s, won));
 }
--- a/src/coordination/fit_queues.cpp
+++ b/src/coordination/fit_queues.cpp
@@ -26,7 +26,7 @@
             m.tasks.empty(),   rest,
             whole && m.spot,   !m.has_image(job.spec.image),
             !whole && !m.spot, left.cpu,
-            left.mem,          cluster.report_due_s(m, now)};
+            left.mem,          cluster.heartbeat_due_s(m, now)};
 }
 
 int64_t FitQueue::room(Index zone) const {
--- a/src/coordination/front.cpp
+++ b/src/coordination/front.cpp
@@ -117,7 +117,7 @@
     if (call.via) {
         // Who asks can't reach the leader, and may not reach the state service: nobody passes it on
         // again.
-        if (call.op == PeerOp::Report) co_return co_await to_leader(std::move(call));
+        if (call.op == PeerOp::Heartbeat) co_return co_await to_leader(std::move(call));
         co_return co_await serve(std::move(call));
     }
     co_return PeerReply{503, "{}", 1, 0, true};
@@ -343,7 +343,7 @@
     if (path == paths::kReport) {
         if (r.method != "POST") co_return HttpReply{405, "{}"};
         kind = "report";
-        auto reply = co_await handle_report(std::move(r));
+        auto reply = co_await handle_heartbeat(std::move(r));
         reply.from_machine = true;
         co_return reply;
     }
@@ -376,15 +376,15 @@
 }
 
 // For a report, a call's subject is where it came from.
-asio::awaitable<HttpReply> Front::handle_report(HttpRequest r) {
+asio::awaitable<HttpReply> Front::handle_heartbeat(HttpRequest r) {
     if (auto leader = leader_) {
-        PeerCall call{PeerOp::Report, std::move(r.from), std::move(r.body)};
+        PeerCall call{PeerOp::Heartbeat, std::move(r.from), std::move(r.body)};
         auto reply = co_await leader->ask(std::move(call));
         co_return HttpReply{reply.status, std::move(reply.body)};
     }
-    ReportHead head;
+    HeartbeatHeader head;
     try {
-        head = parse_report_head(r.body);
+        head = parse_heartbeat_header(r.body);
     } catch (const BadMessage& e) {
         spdlog::error("worker: malformed report from {} refused: {}", r.from, e.what());
         co_return HttpReply{400, "{}"};
@@ -394,7 +394,7 @@
     if (!leader_link()) co_return HttpReply{421, redirect_answer("")};
     relay = relay || leader_deaf();
     if (relay) {
-        PeerCall call{PeerOp::Report, std::move(r.from), std::move(r.body)};
+        PeerCall call{PeerOp::Heartbeat, std::move(r.from), std::move(r.body)};
         auto reply = co_await to_leader(std::move(call));
         // An answer of an older leader than the worker knows would be dropped, and its lease run
         // out here.
--- a/src/coordination/front.h
+++ b/src/coordination/front.h
@@ -24,7 +24,7 @@
     boost::asio::awaitable<HttpReply> handle(HttpRequest request);
     boost::asio::awaitable<HttpReply> route(HttpRequest request, const char*& kind);
     HttpReply metrics_page() const;
-    boost::asio::awaitable<HttpReply> handle_report(HttpRequest request);
+    boost::asio::awaitable<HttpReply> handle_heartbeat(HttpRequest request);
     boost::asio::awaitable<PeerReply> from_peer(PeerCall call);
     boost::asio::awaitable<PeerReply> to_leader(PeerCall call);
     boost::asio::awaitable<PeerReply> by_peer(std::string name, PeerCall call);
--- a/src/coordination/gangs/gather.h
+++ b/src/coordination/gangs/gather.h
@@ -10,6 +10,6 @@
 // first, and the others follow once the slowest of them will surely be there in time. Seconds, as
 // in the settings.
 bool may_launch(const ClusterState& cluster, const Job& job, uint32_t task, double gang_wait_s,
-                double report_s, double now);
+                double heartbeat_interval_s, double now);
 
 }  // namespace weirmill
--- a/src/coordination/hearing/hearing.cpp
+++ b/src/coordination/hearing/hearing.cpp
@@ -26,7 +26,7 @@
 
 Evidence judge(const Hearing& h, const Heard& r, const Settings& s, double now) {
     if (r.start_taken || (h.told_fencing_token && r.our_fencing_token)) return Evidence::Hears;
-    bool newer_session = r.order.session > h.answered.session;
+    bool newer_session = r.order.agent_epoch > h.answered.agent_epoch;
     if (h.answered_at > 0 && newer_session) {
         // Had it taken that answer, its lease would still stand: it was sent no earlier than its
         // patience before.
@@ -38,7 +38,7 @@
         return Evidence::Missed;
     // A session does not outlive its lease unanswered.
     double most = s.lease_s * (1 + kMargin) + s.worker_patience_s + kMargin_s;
-    if (r.order.session == h.session && h.session_since > 0 && now - h.session_since > most)
+    if (r.order.agent_epoch == h.agent_epoch && h.epoch_since > 0 && now - h.epoch_since > most)
         return Evidence::Hears;
     return stays(h, r, s, now) && h.steady + 1 >= kSteady ? Evidence::Hears : Evidence::Nothing;
 }
@@ -47,7 +47,8 @@
     auto evidence = judge(h, r, s, now);
     h.steady = stays(h, r, s, now) ? h.steady + 1 : 0;
     h.direct_at = r.direct ? now : 0;
-    if (r.order.session != h.session) h.session = r.order.session, h.session_since = now;
+    if (r.order.agent_epoch != h.agent_epoch)
+        h.agent_epoch = r.order.agent_epoch, h.epoch_since = now;
     if (evidence == Evidence::Hears) h.missed = 0, h.deaf_since = 0;
     if (evidence == Evidence::Missed) ++h.missed;
     if (evidence == Evidence::Deaf) h.missed += kMissed;
@@ -56,25 +57,26 @@
     return true;
 }
 
-void note_answer(Hearing& h, const ReportOrder& report, bool our_fencing_token, double now) {
-    h.answered = report;
+void note_answer(Hearing& h, const HeartbeatOrder& heartbeat, bool our_fencing_token, double now) {
+    h.answered = heartbeat;
     h.answered_at = now;
     h.told_fencing_token = !our_fencing_token;
 }
 
-bool is_back(Hearing& h, const ReportOrder& report, const Settings& s, double now) {
-    if (report > h.former) return true;
+bool is_back(Hearing& h, const HeartbeatOrder& heartbeat, const Settings& s, double now) {
+    if (heartbeat > h.former) return true;
     double gap = now - h.back_at;
-    bool near = report.session - h.back.session <= 1 && report.seq - h.back.seq <= kTicks;
-    bool next =
-        h.backs > 0 && report > h.back && near && gap > kPace * s.report_s && gap < s.lease_s;
+    bool near =
+        heartbeat.agent_epoch - h.back.agent_epoch <= 1 && heartbeat.seq - h.back.seq <= kTicks;
+    bool next = h.backs > 0 && heartbeat > h.back && near && gap > kPace * s.heartbeat_interval_s &&
+                gap < s.lease_s;
     h.backs = next ? h.backs + 1 : 1;
-    h.back = report;
+    h.back = heartbeat;
     h.back_at = now;
     return h.backs >= kBacks;
 }
 
-void forget_worker(Hearing& h, const ReportOrder& last) {
+void forget_worker(Hearing& h, const HeartbeatOrder& last) {
     auto former = std::max(h.former, last);
     h = {};
     h.former = former;
--- a/src/coordination/hearing/hearing.h
+++ b/src/coordination/hearing/hearing.h
@@ -11,9 +11,9 @@
 namespace weirmill {
 
 // A report's place in the order of all that its worker has sent.
-struct ReportOrder {
-    uint64_t session = 0, seq = 0;
-    auto operator<=>(const ReportOrder&) const = default;
+struct HeartbeatOrder {
+    uint64_t agent_epoch = 0, seq = 0;
+    auto operator<=>(const HeartbeatOrder&) const = default;
 };
 
 // What is remembered of one worker. Times on the steady clock, seconds; 0: none yet.
@@ -21,15 +21,15 @@
     uint32_t missed = 0;       // answers in a row that reports show were not taken
     uint32_t steady = 0;       // reports in a row that only a worker that was answered sends
     double deaf_since = 0;     // 0: it hears, as far as is known
-    uint64_t session = 0;      // of the last report
-    double session_since = 0;  // the first report of that session
-    ReportOrder answered;      // the last report that was answered with 200
+    uint64_t agent_epoch = 0;  // of the last report
+    double epoch_since = 0;    // the first report of that session
+    HeartbeatOrder answered;   // the last report that was answered with 200
     double answered_at = 0;
     bool told_fencing_token = false;  // that report showed an older token than ours
     double direct_at = 0;             // the last report came without a relay, then; 0: it did not
     // Since its lease ran out here: reports that are no newer than those from before, one after the
     // other.
-    ReportOrder former, back;
+    HeartbeatOrder former, back;
     uint32_t backs = 0;
     double back_at = 0;
     bool deaf() const { return deaf_since > 0; }
@@ -37,7 +37,7 @@
 
 // What a newer report shows.
 struct Heard {
-    ReportOrder order;
+    HeartbeatOrder order;
     bool our_fencing_token = false;  // the highest token that the worker has seen is ours
     bool direct = false;             // it came to this controller itself
     bool start_taken = false,
@@ -47,19 +47,21 @@
 enum class Evidence : uint8_t { Nothing, Hears, Missed, Deaf };
 
 // `before` as it was until this report.
-Evidence judge(const Hearing& before, const Heard& report, const Settings& settings, double now);
+Evidence judge(const Hearing& before, const Heard& heartbeat, const Settings& settings, double now);
 // Takes the report in. True: the worker counts as deaf from now on.
-bool take_evidence(Hearing& hearing, const Heard& report, const Settings& settings, double now);
+bool take_evidence(Hearing& hearing, const Heard& heartbeat, const Settings& settings, double now);
 // An answer with 200 goes out.
-void note_answer(Hearing& hearing, const ReportOrder& report, bool our_fencing_token, double now);
+void note_answer(Hearing& hearing, const HeartbeatOrder& heartbeat, bool our_fencing_token,
+                 double now);
 
 // Of a machine whose lease ran out: whether the report is one of a worker that is there. One that
 // is newer than all from before is; else it may be a late copy, or the worker has begun its counts
 // anew: some in a row, in order and at the pace of reports, tell. Until then a machine is not up
 // for it.
-bool is_back(Hearing& hearing, const ReportOrder& report, const Settings& settings, double now);
+bool is_back(Hearing& hearing, const HeartbeatOrder& heartbeat, const Settings& settings,
+             double now);
 // The lease has run out, after this report: nothing else is remembered.
-void forget_worker(Hearing& hearing, const ReportOrder& last);
+void forget_worker(Hearing& hearing, const HeartbeatOrder& last);
 
 // A deaf machine is given back once it has cost what a new one would, unless so many are deaf that
 // it is rather this controller's link.
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -69,16 +69,16 @@
     if (asked_ >= kMostAsked || asked_bytes_ + bytes > most_asked_bytes(settings_))
         co_return come_back();
     Reply reply(io_.get_executor());
-    bool is_report = call.op == PeerOp::Report;
+    bool is_heartbeat = call.op == PeerOp::Heartbeat;
     ++asked_;
     asked_bytes_ += bytes;
     post(Asked{std::move(call), reply, bytes});
     // A worker waits for as long as its own patience: with a burst of reports on a small share of a
     // core, some are answered late.
-    double wait_s = is_report ? std::max(kAsk_s, settings_.worker_patience_s) : kAsk_s;
+    double wait_s = is_heartbeat ? std::max(kAsk_s, settings_.worker_patience_s) : kAsk_s;
     auto answer = co_await reply.wait(wait_s);
     if (answer) co_return *answer;
-    co_return is_report ? PeerReply{503, "{}"} : come_back();
+    co_return is_heartbeat ? PeerReply{503, "{}"} : come_back();
 }
 
 void Leader::gauges(std::map<std::string, double>& out) const {
--- a/src/coordination/leader.h
+++ b/src/coordination/leader.h
@@ -208,17 +208,17 @@
     void status(PeerCall& call, Reply& reply);
     void cancel(PeerCall& call, Reply& reply);
     void ask_cancel(Index job);
-    void report(PeerCall& call, Reply& reply);
-    void take_report(Machine& m, Index index, const Report& r);
-    void take_task(Machine& m, Index index, const TaskReport& t);
-    void task_exited(Index job, uint32_t task, Index machine, const TaskReport& t);
+    void heartbeat(PeerCall& call, Reply& reply);
+    void apply_heartbeat(Machine& m, Index index, const Heartbeat& r);
+    void apply_task_status(Machine& m, Index index, const TaskStatus& t);
+    void task_exited(Index job, uint32_t task, Index machine, const TaskStatus& t);
     void task_failed(Index job, Index machine);
     void lose_task(Index job, uint32_t task);
     void end_gang(Index job, bool graceful, bool fetch_on = false);
     void check_job(Index job);
     void stop_task(Index job, uint32_t task, bool graceful);
     void drain(Index machine, double notice_s);
-    void answer_report(Index machine, Held& held);
+    void respond_to_heartbeat(Index machine, Held& held);
     bool renew_lease(Reply& reply, const std::vector<Command>& commands);
     void release_held(bool due_only);
     bool unsettled(const Machine& m) const;
@@ -238,7 +238,7 @@
         return [this](const Machine& m) { return usable(m); };
     }
     // Without a report for this long a machine is taken for silent: nothing new is placed there.
-    double silence_s() const { return 2.2 * settings_.report_s + 1; }
+    double silence_s() const { return 2.2 * settings_.heartbeat_interval_s + 1; }
     // Unsure of the lease for so long that reports may not be answered any more.
     bool past_grace() const { return now_ > term_->lease_valid_until + answering_grace(settings_); }
     bool may_tell(const Job& job) const;
--- a/src/coordination/leader_fleet.cpp
+++ b/src/coordination/leader_fleet.cpp
@@ -64,8 +64,8 @@
             m->saw_fencing_token = false;
             // Should it come back under its name with counts that begin anew, they are not taken
             // for copies.
-            forget_worker(m->hearing, {m->session, m->seq});
-            m->session = m->seq = 0;
+            forget_worker(m->hearing, {m->agent_epoch, m->seq});
+            m->agent_epoch = m->seq = 0;
             continue;
         }
         if (m->up && !m->doomed &&
@@ -79,7 +79,7 @@
         // itself fell silent, all will report again.
         bool running = m->up_at > 0 || m->status == MachineStatus::Running;
         if (!m->up && running && !m->doomed &&
-            now_ - std::max({m->last_report, deaf_at_, term_->won}) >
+            now_ - std::max({m->last_heartbeat, deaf_at_, term_->won}) >
                 settings_.lease_s + replacement_s(*m, m->zone < cut.size() && cut[m->zone])) {
             spdlog::info("machine: {} not heard of for too long, returned", m->name);
             m->doomed = true;
@@ -98,7 +98,7 @@
         }
         // Silent, and no longer listed: taken, as it seems. To return it costs nothing and proves
         // it gone, long before its lease would.
-        bool silent = now_ - std::max(m->last_report, term_->won) > silence_s();
+        bool silent = now_ - std::max(m->last_heartbeat, term_->won) > silence_s();
         bool unlisted = listed_once_ &&
                         (m->listed ? m->missing : now_ - m->added > 2 * settings_.list_lag_s + 1);
         if (silent && unlisted && !m->doomed && (m->up || !m->tasks.empty())) {
@@ -169,7 +169,7 @@
     // A round may just be over; then tasks save, and their workers say that they are gone.
     SizingSettings s;
     s.idle_keep_boots = properties_.idle_keep_boots;
-    s.report_s = settings_.report_s;
+    s.heartbeat_interval_s = settings_.heartbeat_interval_s;
     s.clear_s = properties_.preemption_round_s + kStopped_s;
     return s;
 }
--- a/src/coordination/leader_records.cpp
+++ b/src/coordination/leader_records.cpp
@@ -54,8 +54,9 @@
     uint64_t expected = 0;
     for (auto& c : txn.conditions)
         if (c.key == change.key) expected = c.version;
-    bool ours = item.value.version != expected && item.value.value == read::parse(change.value);
-    co_return Applied{true, ours, item.value.version};
+    bool placed_this_term =
+        item.value.version != expected && item.value.value == read::parse(change.value);
+    co_return Applied{true, placed_this_term, item.value.version};
 }
 
 // One transaction at a time, until its outcome is known.
--- a/src/coordination/leader_tasks.cpp
+++ b/src/coordination/leader_tasks.cpp
@@ -24,7 +24,7 @@
     return task.running_at > 0 && task.start_seq > 0 && task.attempt <= 1;
 }
 
-void Leader::task_exited(Index j, uint32_t t, Index machine, const TaskReport& r) {
+void Leader::task_exited(Index j, uint32_t t, Index machine, const TaskStatus& r) {
     auto& job = *cluster_.jobs[j];
     auto& m = *cluster_.machines[machine];
     bool gang = job.spec.kind == JobKind::Gang;
@@ -161,7 +161,7 @@
         asio::co_spawn(
             io_,
             send_stops(shared_from_this(), m->addr, m->relayed_by,
-                       direct_commands(term_->fencing_token, m->session, commands), false),
+                       direct_commands(term_->fencing_token, m->agent_epoch, commands), false),
             asio::detached);
     }
     direct_.clear();
@@ -174,31 +174,34 @@
 // leader answers.
 void Leader::repeat_stops() {
     if (now_ < next_stops_) return;
-    next_stops_ = now_ + settings_.report_s;
+    next_stops_ = now_ + settings_.heartbeat_interval_s;
     size_t count = cluster_.machines.size(), left = static_cast<size_t>(stop_sockets(settings_));
     for (size_t n = 0; n < count && left > 0; ++n) {
         stops_cursor_ = (stops_cursor_ + 1) % count;
         auto* m = cluster_.machines[stops_cursor_].get();
         if (!m || m->addr.empty() || m->status == MachineStatus::Failed) continue;
-        if (now_ - std::max(m->last_report, term_->won) <= kMissedReports * settings_.report_s)
+        if (now_ - std::max(m->last_heartbeat, term_->won) <=
+            kMissedReports * settings_.heartbeat_interval_s)
             continue;
-        uint64_t session = m->up ? m->session : 0;
+        uint64_t agent_epoch = m->up ? m->agent_epoch : 0;
         for (auto& ref : m->tasks)
-            session = std::max<uint64_t>(session, cluster_.jobs[ref.job]->tasks[ref.task].session);
+            agent_epoch = std::max<uint64_t>(agent_epoch,
+                                             cluster_.jobs[ref.job]->tasks[ref.task].agent_epoch);
         std::vector<Command> commands;
         for (auto& ref : m->tasks) {
             auto& job = *cluster_.jobs[ref.job];
             auto& task = job.tasks[ref.task];
-            if (job.cancelled && task.session == session)
+            if (job.cancelled && task.agent_epoch == agent_epoch)
                 commands.push_back({CommandOp::Stop, job.spec.id, ref.task, task.attempt, 0});
         }
         if (commands.empty()) continue;
         --left;
         metrics_.count("stops_repeated_total");
-        asio::co_spawn(io_,
-                       send_stops(shared_from_this(), m->addr, m->relayed_by,
-                                  direct_commands(term_->fencing_token, session, commands), true),
-                       asio::detached);
+        asio::co_spawn(
+            io_,
+            send_stops(shared_from_this(), m->addr, m->relayed_by,
+                       direct_commands(term_->fencing_token, agent_epoch, commands), true),
+            asio::detached);
     }
 }
 
--- a/src/coordination/leader_users.cpp
+++ b/src/coordination/leader_users.cpp
@@ -34,8 +34,8 @@
             return status(m.call, m.reply);
         case PeerOp::Cancel:
             return cancel(m.call, m.reply);
-        case PeerOp::Report:
-            return report(m.call, m.reply);
+        case PeerOp::Heartbeat:
+            return heartbeat(m.call, m.reply);
         case PeerOp::Ping:
         case PeerOp::Command:
             break;  // answered by the node itself
--- a/src/coordination/leader_workers.cpp
+++ b/src/coordination/leader_workers.cpp
@@ -14,23 +14,23 @@
 
 namespace {
 
-constexpr size_t kMaxStrays = 2000;
-constexpr double kWarning_s = 10;  // between lines about reports that make no sense
-constexpr double kHold_s = 0.6;    // a report waits this long for records at most
+constexpr size_t kMaxUnexpectedTasks = 2000;
+constexpr double kWarning_s = 10;           // between lines about reports that make no sense
+constexpr double kMaxResponseHold_s = 0.6;  // a report waits this long for records at most
 
 }  // namespace
 
 bool Leader::usable(const Machine& m) const {
     return m.up && !m.returning && !m.doomed && !m.closing && m.notice_until < 0 &&
-           m.quarantined_until <= now_ && now_ - m.last_report < silence_s() && !m.hearing.deaf() &&
-           m.type < cluster_.types.size() && cluster_.types[m.type].offered;
+           m.quarantined_until <= now_ && now_ - m.last_heartbeat < silence_s() &&
+           !m.hearing.deaf() && m.type < cluster_.types.size() && cluster_.types[m.type].offered;
 }
 
-void Leader::report(PeerCall& call, Reply& reply) {
+void Leader::heartbeat(PeerCall& call, Reply& reply) {
     if (term_->ended || past_grace()) return reply.set({503, "{}"});
-    Report r;
+    Heartbeat r;
     try {
-        r = parse_report(call.body);
+        r = parse_heartbeat(call.body);
     } catch (const BadMessage& e) {
         metrics_.count("malformed_reports_total");
         if (now_ >= next_warning_) {
@@ -51,14 +51,14 @@
     }
     auto index = cluster_.add_machine(r.machine, now_);
     auto& m = *cluster_.machines[index];
-    if (std::pair(r.session, r.seq) <= std::pair(m.session, m.seq)) {
+    if (std::pair(r.agent_epoch, r.seq) <= std::pair(m.agent_epoch, m.seq)) {
         // A copy, or late: what it says is old, its worker has given up on the answer, and a
         // machine is not there for it. Taken for answered, copies once kept a lease from being
         // counted to its end.
         metrics_.count("report_copies_total");
         return reply.set({503, "{}"});
     }
-    if (!m.up && !is_back(m.hearing, {r.session, r.seq}, settings_, now_)) {
+    if (!m.up && !is_back(m.hearing, {r.agent_epoch, r.seq}, settings_, now_)) {
         renew_lease(reply, {});
         return;
     }
@@ -67,9 +67,9 @@
     if (call.sender.empty()) m.direct_at = now_;
     if (m.type == kNone || m.size == Resources{})
         cluster_.describe_machine(m, r.type, r.zone, r.spot);
-    Held held{reply, r.seq, now_ + kHold_s, 0};
+    Held held{reply, r.seq, now_ + kMaxResponseHold_s, 0};
     size_t before = m.tasks.size();
-    take_report(m, index, r);
+    apply_heartbeat(m, index, r);
     // What came free is offered to a scheduling pass before the answer goes: without it, the next
     // task's start waited for the next regular report.
     if (m.tasks.size() < before) held.passes = passes_ + 1;
@@ -81,10 +81,10 @@
     if (lease_valid(now_) && (held.passes > passes_ || unsettled(m)))
         held_.emplace(index, held);
     else
-        answer_report(index, held);
+        respond_to_heartbeat(index, held);
 }
 
-void Leader::take_report(Machine& m, Index index, const Report& r) {
+void Leader::apply_heartbeat(Machine& m, Index index, const Heartbeat& r) {
     if (!m.up) {
         // Rented by this leader and up for the first time: its boot tells how boots go at present.
         if (m.hired && m.up_at == 0) cluster_.learn_boot(m.type, now_ - m.rented);
@@ -96,20 +96,20 @@
         spdlog::info("machine: {} up type={} zone={} spot={} after={:.1f}s", m.name, r.type, r.zone,
                      r.spot, now_ - m.rented);
     }
-    if (r.session > m.session) {
+    if (r.agent_epoch > m.agent_epoch) {
         // A newer session: everything placed in an older one is gone.
         auto tasks = m.tasks;
         for (auto& ref : tasks) {
             auto& task = cluster_.jobs[ref.job]->tasks[ref.task];
             if (task.state == TaskState::Placed && task.machine == index &&
-                task.session < r.session)
+                task.agent_epoch < r.agent_epoch)
                 lose_task(ref.job, ref.task);
         }
         m.images.clear();
     }
-    m.session = r.session;
+    m.agent_epoch = r.agent_epoch;
     m.seq = r.seq;
-    m.last_report = now_;
+    m.last_heartbeat = now_;
     // From here on no earlier leader's answer is taken by this worker.
     m.saw_fencing_token = r.fencing_token == term_->fencing_token;
     if (r.notice_s >= 0) {
@@ -117,10 +117,10 @@
             spdlog::info("machine: {} is taken back in {:.1f}s", m.name, r.notice_s);
         m.notice_until = now_ + r.notice_s;
     }
-    m.strays.clear();
+    m.unexpected_tasks.clear();
     std::set<std::pair<std::string_view, uint32_t>> present;
     for (auto& t : r.tasks) present.emplace(t.job, t.task);
-    Heard heard{{r.session, r.seq}, m.saw_fencing_token, m.relayed_by.empty()};
+    Heard heard{{r.agent_epoch, r.seq}, m.saw_fencing_token, m.relayed_by.empty()};
     for (auto& ref : m.tasks) {
         auto& job = *cluster_.jobs[ref.job];
         auto& task = job.tasks[ref.task];
@@ -132,7 +132,7 @@
         metrics_.count("machines_deaf_total");
         spdlog::info("machine: {} does not hear its answers", m.name);
     }
-    for (auto& t : r.tasks) take_task(m, index, t);
+    for (auto& t : r.tasks) apply_task_status(m, index, t);
     auto tasks = m.tasks;
     for (auto& ref : tasks) {
         auto& job = *cluster_.jobs[ref.job];
@@ -142,8 +142,8 @@
         // Not there. That is proof only if the worker has seen our token, as an earlier leader's
         // start could else still arrive, and if this report was sent after our own start was
         // answered. Of an attempt that this leader placed there is no earlier start.
-        bool proof =
-            (m.saw_fencing_token || task.ours) && (task.start_seq == 0 || task.start_seq < r.seq);
+        bool proof = (m.saw_fencing_token || task.placed_this_term) &&
+                     (task.start_seq == 0 || task.start_seq < r.seq);
         if (!proof) continue;
         // One that was not taken is launched again, unless the machine does not hear that either.
         if (task.phase != TaskPhase::Unseen || task.stopping || m.hearing.deaf())
@@ -152,7 +152,7 @@
     if (r.notice_s >= 0) drain(index, r.notice_s);
 }
 
-void Leader::take_task(Machine& m, Index index, const TaskReport& t) {
+void Leader::apply_task_status(Machine& m, Index index, const TaskStatus& t) {
     bool exited = t.phase == TaskPhase::Exited;
     auto it = cluster_.job_index.find(t.job);
     bool expected = false;
@@ -189,8 +189,8 @@
         }
     }
     // Exited entries are cleared once their outcome is recorded; anything unexpected is stopped.
-    if ((exited || !expected) && m.strays.size() < kMaxStrays)
-        m.strays.push_back({t.job, t.task, t.attempt, exited});
+    if ((exited || !expected) && m.unexpected_tasks.size() < kMaxUnexpectedTasks)
+        m.unexpected_tasks.push_back({t.job, t.task, t.attempt, exited});
 }
 
 // Whether the answer to this machine's report would gain from records on their way.
@@ -201,7 +201,7 @@
         if (task.phase == TaskPhase::Unseen && !task.stopping && !cluster_.recorded(job, ref.task))
             return true;
     }
-    for (auto& e : m.strays) {
+    for (auto& e : m.unexpected_tasks) {
         auto it = cluster_.job_index.find(e.job);
         if (it == cluster_.job_index.end()) continue;
         auto& job = *cluster_.jobs[it->second];
@@ -210,12 +210,12 @@
     return false;
 }
 
-void Leader::answer_report(Index index, Held& held) {
+void Leader::respond_to_heartbeat(Index index, Held& held) {
     auto& m = *cluster_.machines[index];
     std::vector<Command> commands;
     bool may_start = lease_valid(now_);
     if (may_start) {
-        for (auto& e : m.strays) {
+        for (auto& e : m.unexpected_tasks) {
             auto it = cluster_.job_index.find(e.job);
             if (!e.exited) {
                 bool expected = false;
@@ -237,7 +237,7 @@
                     if (task.placed_as(index, e.attempt)) continue;
                 }
             }
-            commands.push_back({CommandOp::Forget, e.job, e.task, e.attempt, 0});
+            commands.push_back({CommandOp::AcknowledgeExit, e.job, e.task, e.attempt, 0});
         }
     }
     for (auto& ref : m.tasks) {
@@ -248,10 +248,10 @@
             commands.push_back(
                 {CommandOp::Stop, job.spec.id, ref.task, task.attempt, stop_grace_s(job, task)});
         } else if (task.phase == TaskPhase::Unseen && may_start && job.active() &&
-                   task.session == m.session && m.notice_until < 0 && !m.returning &&
+                   task.agent_epoch == m.agent_epoch && m.notice_until < 0 && !m.returning &&
                    cluster_.recorded(job, ref.task) &&
                    (task.start_seq > 0 || may_launch(cluster_, job, ref.task, settings_.gang_wait_s,
-                                                     settings_.report_s, now_))) {
+                                                     settings_.heartbeat_interval_s, now_))) {
             if (task.start_seq == 0) task.placed_at = static_cast<float>(now_);
             task.start_seq = held.seq;
             commands.push_back({CommandOp::Start, job.spec.id, ref.task, task.attempt, 0});
@@ -259,7 +259,7 @@
     }
     if (!renew_lease(held.reply, commands)) return;
     m.last_answer = now_;
-    note_answer(m.hearing, {m.session, held.seq}, m.saw_fencing_token, now_);
+    note_answer(m.hearing, {m.agent_epoch, held.seq}, m.saw_fencing_token, now_);
 }
 
 // The only way in which a report is answered with 200, which renews its worker's lease. One that
@@ -269,7 +269,7 @@
         reply.set({503, "{}"});
         return false;
     }
-    reply.set({200, report_answer(term_->fencing_token, commands), 0, term_->fencing_token});
+    reply.set({200, heartbeat_response(term_->fencing_token, commands), 0, term_->fencing_token});
     return true;
 }
 
@@ -281,7 +281,7 @@
             it = held_.erase(it);
         } else if ((due_only && now_ >= it->second.until) ||
                    (it->second.passes <= passes_ && !unsettled(*m))) {
-            answer_report(it->first, it->second);
+            respond_to_heartbeat(it->first, it->second);
             it = held_.erase(it);
         } else {
             ++it;
--- a/src/coordination/sizing.cpp
+++ b/src/coordination/sizing.cpp
@@ -179,7 +179,7 @@
             if (cluster.type_fits(c.last, t))
                 boot = std::min(boot, cluster.boot_factor * cluster.types[t].type.boot_s +
                                           cluster.fetch_s(c.last, t));
-        double fresh = boot + 2 * settings.report_s;
+        double fresh = boot + 2 * settings.heartbeat_interval_s;
         if (boot > 1e17 || fresh <= c.start_within_s) continue;
         // As many as come, and a little more, while a new machine boots; and room for the largest.
         double tasks = 0;
@@ -197,7 +197,8 @@
         Spare spare{&c.last, std::max<int64_t>(largest, within(fresh)), 0};
         // Where machines are cleared soon enough, what comes until then finds empty ones that lower
         // work leaves. Never so many that a small fleet has none left for that work.
-        if (cluster.large(c.last) && settings.clear_s + settings.report_s <= c.start_within_s) {
+        if (cluster.large(c.last) &&
+            settings.clear_s + settings.heartbeat_interval_s <= c.start_within_s) {
             int64_t hold = 0;
             for (auto& m : cluster.machines)
                 if (m && m->up && cluster.machine_allowed(c.last, *m) &&
--- a/src/coordination/sizing.h
+++ b/src/coordination/sizing.h
@@ -17,7 +17,7 @@
 
 struct SizingSettings {
     double idle_keep_boots = 0.3;
-    double report_s = 1;
+    double heartbeat_interval_s = 1;
     // Kinds of equal tasks whose machines are kept in order between jobs; 0: looked at anew for
     // each job. The plan is the same.
     size_t kept_kinds = 8;
--- a/src/membership/decide.cpp
+++ b/src/membership/decide.cpp
@@ -28,11 +28,11 @@
 
 LinkTimes LinkTimes::of(const Settings& s) {
     LinkTimes t;
-    t.heard_s = 1.2 * kUneven * s.report_s + s.worker_next_s;
-    t.cycle_s = kUneven * s.report_s + s.worker_patience_s +
+    t.heard_s = 1.2 * kUneven * s.heartbeat_interval_s + s.worker_next_s;
+    t.cycle_s = kUneven * s.heartbeat_interval_s + s.worker_patience_s +
                 s.worker_next_s * (1.0 + static_cast<double>(s.peers.size()));
-    t.firm_s = 0.3 * s.report_s;
-    t.hold_s = 3 * s.report_s;
+    t.firm_s = 0.3 * s.heartbeat_interval_s;
+    t.hold_s = 3 * s.heartbeat_interval_s;
     t.fresh_s = 3 * s.ping_s;
     return t;
 }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -36,10 +36,10 @@
                         double now) {
     LinkReport r;
     for (auto& m : cluster.machines) {
-        if (!m || m->last_report <= 0) continue;
+        if (!m || m->last_heartbeat <= 0) continue;
         r.direct += m->direct_at > 0 && now - m->direct_at < times.heard_s;
-        r.reach += now - m->last_report < times.heard_s;
-        r.known += now - m->last_report < lease_s;
+        r.reach += now - m->last_heartbeat < times.heard_s;
+        r.known += now - m->last_heartbeat < lease_s;
     }
     return r;
 }
--- a/src/protocol/types.h
+++ b/src/protocol/types.h
@@ -98,7 +98,7 @@
     }
 };
 
-struct TaskReport {
+struct TaskStatus {
     std::string job;
     uint32_t task = 0;
     uint64_t attempt = 0;
@@ -107,15 +107,15 @@
     bool saved = false;
 };
 
-struct Report {
+struct Heartbeat {
     std::string machine, addr, type, zone;
     bool spot = false;
-    uint64_t session = 0, seq = 0, fencing_token = 0;
+    uint64_t agent_epoch = 0, seq = 0, fencing_token = 0;
     double notice_s = -1;  // < 0: none
-    std::vector<TaskReport> tasks;
+    std::vector<TaskStatus> tasks;
 };
 
-enum class CommandOp : uint8_t { Start, Stop, Forget };
+enum class CommandOp : uint8_t { Start, Stop, AcknowledgeExit };
 struct Command {
     CommandOp op = CommandOp::Start;
     std::string job;
--- a/src/protocol/worker_codec.cpp
+++ b/src/protocol/worker_codec.cpp
@@ -50,16 +50,16 @@
 
 }  // namespace
 
-Report parse_report(std::string_view body) {
+Heartbeat parse_heartbeat(std::string_view body) {
     auto v = read::parse(body);
     auto& o = read::object(v);
-    Report r;
+    Heartbeat r;
     r.machine = read::text(o, "millstone");
     r.addr = read::text(o, "addr");
     r.type = read::text(o, "rig");
     r.zone = read::text(o, "yard");
     r.spot = read::flag(o, "loaners");
-    r.session = read::count(o, "shift");
+    r.agent_epoch = read::count(o, "shift");
     r.seq = read::count(o, "tick");
     r.fencing_token = read::count(o, "gavel", 0);
     r.notice_s = read::field(o, "recall_s") ? read::number(o, "recall_s") : -1;
@@ -67,7 +67,7 @@
     r.tasks.reserve(list.size());
     for (auto& item : list) {
         auto& t = read::object(item);
-        TaskReport task;
+        TaskStatus task;
         auto name = read::text(t, "lot");
         auto slash = name.rfind('/');
         if (slash == std::string::npos || slash == 0) read::bad("lot");
@@ -89,21 +89,21 @@
     return r;
 }
 
-ReportHead parse_report_head(std::string_view body) {
+HeartbeatHeader parse_heartbeat_header(std::string_view body) {
     auto v = read::parse(body);
     auto& o = read::object(v);
     return {read::text(o, "millstone"), read::count(o, "gavel", 0)};
 }
 
-std::string report_answer(uint64_t fencing_token, const std::vector<Command>& commands) {
+std::string heartbeat_response(uint64_t fencing_token, const std::vector<Command>& commands) {
     return json::serialize(
         json::object{{"gavel", fencing_token}, {"orders", command_list(commands)}});
 }
 
-std::string direct_commands(uint64_t fencing_token, uint64_t session,
+std::string direct_commands(uint64_t fencing_token, uint64_t agent_epoch,
                             const std::vector<Command>& commands) {
     return json::serialize(json::object{
-        {"gavel", fencing_token}, {"shift", session}, {"orders", command_list(commands)}});
+        {"gavel", fencing_token}, {"shift", agent_epoch}, {"orders", command_list(commands)}});
 }
 
 std::string redirect_answer(const std::string& leader) {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -117,7 +117,7 @@
     });
     const double tiny = 1e-3;
     auto w = d["workers"];
-    s.report_s = need_number(w["report_s"], "deployment.workers.report_s", tiny);
+    s.heartbeat_interval_s = need_number(w["report_s"], "deployment.workers.report_s", tiny);
     s.lease_s = need_number(w["lease_s"], "deployment.workers.lease_s", tiny);
     s.gang_wait_s = need_number(w["gang_wait_s"], "deployment.workers.gang_wait_s", tiny);
     s.gang_peer_s = need_number(w["gang_peer_s"], "deployment.workers.gang_peer_s", tiny);
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -43,7 +43,7 @@
     double clock_off_ms = 0;
     std::vector<TeamSettings> teams;
     std::vector<Objective> objectives;
-    double report_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
+    double heartbeat_interval_s = 0, lease_s = 0, gang_wait_s = 0, gang_peer_s = 0, cancel_s = 0;
     // What the state service allows: the tighter of what holds now and of what is announced for
     // later, as it may begin without notice.
     double state_rps = 0, state_write_rps = 0, value_kb = 0;
--- a/src/transport/peer_link.h
+++ b/src/transport/peer_link.h
@@ -15,7 +15,7 @@
 
 namespace weirmill {
 
-enum class PeerOp : uint8_t { Submit, Status, Cancel, Report, Ping, Command };
+enum class PeerOp : uint8_t { Submit, Status, Cancel, Heartbeat, Ping, Command };
 
 struct PeerCall {
     PeerOp op = PeerOp::Ping;
--- a/tests/cancel_model_test.cpp
+++ b/tests/cancel_model_test.cpp
@@ -244,7 +244,7 @@
 
 struct Row {
     const char* what;
-    double report_s, lease_s, cancel_s, leader_s, step_s;
+    double heartbeat_interval_s, lease_s, cancel_s, leader_s, step_s;
 };
 const Row kRows[] = {
     {"short", 0.5, 4, 12, 2, 1},
@@ -257,7 +257,7 @@
 };
 Settings settings_of(const Row& row) {
     auto s = test::small_settings();
-    s.report_s = row.report_s;
+    s.heartbeat_interval_s = row.heartbeat_interval_s;
     s.lease_s = row.lease_s;
     s.cancel_s = row.cancel_s;
     return s;
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -93,7 +93,7 @@
         R"({"millstone":"vm-1","addr":"10.1.0.2:9000","rig":"g8","yard":"a","loaners":true,"shift":1,"tick":88,
         "gavel":41,"recall_s":null,"lots":[{"lot":"req-000412/3","try":2,"status":"running"},
         {"lot":"req-000398/0","try":1,"status":"exited","cause":"stopped","kept":true}]})";
-    auto r = parse_report(good);
+    auto r = parse_heartbeat(good);
     EXPECT_EQ(r.machine, "vm-1");
     EXPECT_EQ(r.seq, 88u);
     EXPECT_LT(r.notice_s, 0);
@@ -110,15 +110,15 @@
     for (auto& [from, to] : swaps) {
         std::string bad = good;
         bad.replace(bad.find(from), std::string(from).size(), to);
-        EXPECT_THROW(parse_report(bad), BadMessage) << to;
+        EXPECT_THROW(parse_heartbeat(bad), BadMessage) << to;
     }
 }
 
 TEST(WorkerCodec, WritesCommands) {
     std::vector<Command> commands{{CommandOp::Start, "req-1", 4, 2, 0},
                                   {CommandOp::Stop, "req-2", 1, 1, 10},
-                                  {CommandOp::Forget, "req-3", 0, 1, 0}};
-    auto v = json::parse(report_answer(41, commands)).as_object();
+                                  {CommandOp::AcknowledgeExit, "req-3", 0, 1, 0}};
+    auto v = json::parse(heartbeat_response(41, commands)).as_object();
     EXPECT_EQ(v["gavel"], 41);
     EXPECT_EQ(v["orders"].as_array()[0],
               (json::value{{"order", "launch"}, {"lot", "req-1/4"}, {"try", 2}}));
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -287,7 +287,7 @@
         for (int i = 0; i < 6; ++i)
             w.job(w.spec("req-" + std::to_string(i), row.kind, 2, row.cpus, 0, Priority::High));
         SizingSettings settings;
-        settings.report_s = 2;
+        settings.heartbeat_interval_s = 2;
         settings.clear_s = row.clear_s;
         std::vector<std::pair<int64_t, int64_t>> got;
         for (auto& s : spares(w.cluster, settings, w.now)) got.emplace_back(s.tasks, s.at_once);
@@ -364,7 +364,7 @@
         for (uint32_t k = below(3); k > 0; --k)
             m.images.push_back(names.images.intern("i" + std::to_string(below(4))));
         m.up = below(10) > 0;
-        m.last_report = w.now - 0.5 * below(8);
+        m.last_heartbeat = w.now - 0.5 * below(8);
     }
     std::vector<Index> waiting;
     for (uint32_t n = 1; n <= 30; ++n) {
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -12,7 +12,7 @@
     s.api = s.peer = s.cloud = s.state = {"127.0.0.1", 0};
     s.zones = {"a", "b"};
     s.teams = {{"red", 16, 32, 2, 4}, {"blue", 0, 0, 0, 0}};
-    s.report_s = 2;
+    s.heartbeat_interval_s = 2;
     s.lease_s = 18;
     s.gang_wait_s = 30;
     s.gang_peer_s = 5;
@@ -46,8 +46,8 @@
         auto& m = *cluster.machines[i];
         cluster.describe_machine(m, type, zone, spot);
         m.up = true;
-        m.session = 1;
-        m.up_at = m.last_report = now;
+        m.agent_epoch = 1;
+        m.up_at = m.last_heartbeat = now;
         return i;
     }
     JobSpec spec(const std::string& id, JobKind kind, uint32_t tasks, double cpus, double gpus = 0,
--- a/tests/further_meetings_service_test.cpp
+++ b/tests/further_meetings_service_test.cpp
@@ -345,7 +345,7 @@
     EXPECT_LT(steady_now() - began, 0.5 * s.base.lease_s);
     EXPECT_TRUE(
         s.until([&] { return s.cloud->starts["req-3/0"] > 1 || s.cloud->starts["req-3/1"] > 1; }));
-    EXPECT_GT(steady_now() - began, s.base.lease_s - 2 * s.base.report_s);
+    EXPECT_GT(steady_now() - began, s.base.lease_s - 2 * s.base.heartbeat_interval_s);
     auto page = s.ask_node(static_cast<size_t>(s.leading()), "GET", "/metrics", "");
     ASSERT_TRUE(page);
     EXPECT_NE(page->body.find("\nweirmill_machines_deaf 0\n"), std::string::npos);
--- a/tests/hearing_test.cpp
+++ b/tests/hearing_test.cpp
@@ -20,9 +20,9 @@
     double now = 100;
     Ear() { settings.peers.push_back({"node-1", "a", {"127.0.0.1", 1}}); }
     // A report, `after` seconds, which is answered.
-    bool report(double after, uint64_t session, uint64_t seq, Heard what = {}) {
+    bool report(double after, uint64_t agent_epoch, uint64_t seq, Heard what = {}) {
         now += after;
-        what.order = {session, seq};
+        what.order = {agent_epoch, seq};
         bool deaf = take_evidence(hearing, what, settings, now);
         note_answer(hearing, what.order, what.our_fencing_token, now);
         return deaf;
@@ -35,7 +35,7 @@
 TEST(Hearing, IsToldByWhatReportsShow) {
     struct Step {
         double after;
-        uint64_t session, seq;
+        uint64_t agent_epoch, seq;
         Heard what;
     };
     struct Row {
@@ -43,34 +43,43 @@
         std::vector<Step> steps;
         bool deaf;
     };
-    auto old = with(false, false), ours = with(true, false),
+    auto old = with(false, false), placed_this_term = with(true, false),
          missing = with(true, false, false, true), taken = with(true, false, true),
          here = with(true, true);
     const Row rows[] = {
-        {"nothing to be seen", {{0, 1, 1, ours}, {10, 1, 2, ours}, {10, 1, 3, ours}}, false},
-        {"one answer lost", {{0, 1, 1, ours}, {10, 1, 2, missing}, {10, 1, 3, taken}}, false},
+        {"nothing to be seen",
+         {{0, 1, 1, placed_this_term}, {10, 1, 2, placed_this_term}, {10, 1, 3, placed_this_term}},
+         false},
+        {"one answer lost",
+         {{0, 1, 1, placed_this_term}, {10, 1, 2, missing}, {10, 1, 3, taken}},
+         false},
         {"two launches not taken up",
-         {{0, 1, 1, ours}, {10, 1, 2, missing}, {10, 1, 3, missing}},
+         {{0, 1, 1, placed_this_term}, {10, 1, 2, missing}, {10, 1, 3, missing}},
          true},
         {"a launch missed, one taken, one missed",
-         {{0, 1, 1, ours}, {10, 1, 2, missing}, {10, 1, 3, taken}, {10, 1, 4, missing}},
+         {{0, 1, 1, placed_this_term}, {10, 1, 2, missing}, {10, 1, 3, taken}, {10, 1, 4, missing}},
          false},
         {"the token stays behind", {{0, 1, 1, old}, {10, 1, 2, old}, {10, 1, 3, old}}, true},
         {"the token comes with the second answer",
-         {{0, 1, 1, old}, {10, 1, 2, old}, {10, 1, 3, ours}},
+         {{0, 1, 1, old}, {10, 1, 2, old}, {10, 1, 3, placed_this_term}},
          false},
         {"its lease runs out although it was answered",
-         {{0, 1, 1, ours}, {10, 1, 2, ours}, {10, 2, 3, ours}},
+         {{0, 1, 1, placed_this_term}, {10, 1, 2, placed_this_term}, {10, 2, 3, placed_this_term}},
          true},
-        {"it runs out after a long silence", {{0, 1, 1, ours}, {25, 2, 2, ours}}, false},
+        {"it runs out after a long silence",
+         {{0, 1, 1, placed_this_term}, {25, 2, 2, placed_this_term}},
+         false},
         {"deaf, then a launch is taken",
-         {{0, 1, 1, ours}, {10, 1, 2, missing}, {10, 1, 3, missing}, {5, 1, 4, taken}},
+         {{0, 1, 1, placed_this_term}, {10, 1, 2, missing}, {10, 1, 3, missing}, {5, 1, 4, taken}},
          false},
         {"deaf, then a session outlives the lease",
-         {{0, 1, 1, ours}, {8, 1, 2, missing}, {8, 1, 3, missing}, {9, 1, 4, ours}},
+         {{0, 1, 1, placed_this_term},
+          {8, 1, 2, missing},
+          {8, 1, 3, missing},
+          {9, 1, 4, placed_this_term}},
          false},
         {"deaf, then it stays with this controller",
-         {{0, 1, 1, ours},
+         {{0, 1, 1, placed_this_term},
           {10, 1, 2, missing},
           {10, 1, 3, missing},
           {2, 1, 4, here},
@@ -78,7 +87,7 @@
           {2, 1, 6, here}},
          false},
         {"deaf, and comes round by the others",
-         {{0, 1, 1, ours},
+         {{0, 1, 1, placed_this_term},
           {10, 1, 2, missing},
           {10, 1, 3, missing},
           {2, 1, 4, here},
@@ -88,7 +97,7 @@
     };
     for (auto& row : rows) {
         Ear e;
-        for (auto& s : row.steps) e.report(s.after, s.session, s.seq, s.what);
+        for (auto& s : row.steps) e.report(s.after, s.agent_epoch, s.seq, s.what);
         EXPECT_EQ(e.hearing.deaf(), row.deaf) << row.why;
     }
 }
@@ -112,7 +121,7 @@
 TEST(Hearing, AfterItsLeaseOnlyAWorkerThatIsThereBringsAMachineBack) {
     struct Step {
         double after;
-        uint64_t session, seq;
+        uint64_t agent_epoch, seq;
         bool back;
     };
     struct Row {
@@ -145,7 +154,7 @@
         forget_worker(e.hearing, {3, 90});
         for (auto& s : row.steps) {
             e.now += s.after;
-            EXPECT_EQ(is_back(e.hearing, {s.session, s.seq}, e.settings, e.now), s.back)
+            EXPECT_EQ(is_back(e.hearing, {s.agent_epoch, s.seq}, e.settings, e.now), s.back)
                 << row.why << " " << s.seq;
         }
     }
@@ -250,17 +259,17 @@
         std::mt19937 random(seed);
         auto one_in = [&](unsigned n) { return random() % n == 0; };
         struct Sent {
-            ReportOrder order;
+            HeartbeatOrder order;
             bool has_task;
         };
-        ReportOrder worker{1, 0}, known{};
+        HeartbeatOrder worker{1, 0}, known{};
         bool has_task = false, placed = true;
         uint64_t start_seq = 0;
         std::vector<Sent> network;
         std::optional<Sent> in_flight;
         for (int step = 0; step < 40; ++step) {
             if (one_in(12)) {  // the lease ends
-                ++worker.session;
+                ++worker.agent_epoch;
                 has_task = false;
                 in_flight.reset();
             }
@@ -277,7 +286,7 @@
                     ++copies;
                     continue;
                 }
-                if (got.order.session > known.session && known.session > 0)
+                if (got.order.agent_epoch > known.agent_epoch && known.agent_epoch > 0)
                     placed = false, ++proofs;
                 known = got.order;
                 if (placed && !got.has_task && start_seq > 0 && start_seq < got.order.seq &&
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -334,11 +334,11 @@
 
 TEST(Election, NoTimeIsLeftForTwoLeadersOrALateCancellation) {
     struct Row {
-        double report_s, lease_s, cancel_s;
+        double heartbeat_interval_s, lease_s, cancel_s;
     };
     for (auto& row : {Row{2.5, 18, 38}, Row{3, 45, 75}, Row{1, 10, 11}, Row{5, 30, 120}}) {
         auto s = test::small_settings();
-        s.report_s = row.report_s;
+        s.heartbeat_interval_s = row.heartbeat_interval_s;
         s.lease_s = row.lease_s;
         s.cancel_s = row.cancel_s;
         double grace = answering_grace(s);
@@ -386,7 +386,7 @@
     };
     for (auto& row : rows) {
         Machine m;
-        m.last_report = row.report;
+        m.last_heartbeat = row.report;
         m.last_answer = row.answer;
         m.saw_fencing_token = row.saw_fencing_token;
         EXPECT_GE(worker_lease_expiry(s, m, won), row.from) << row.why;
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -53,7 +53,7 @@
 }
 
 asio::awaitable<void> relay_report(PeerClient& link, Burst& burst) {
-    PeerCall call{PeerOp::Report, "machine", std::string(kReportBytes, 'r')};
+    PeerCall call{PeerOp::Heartbeat, "machine", std::string(kReportBytes, 'r')};
     auto reply = co_await link.call(std::move(call), 5);
     burst.count(reply ? reply->status : 0);
 }
@@ -117,7 +117,7 @@
     };
     asio::co_spawn(io, call(PeerOp::Submit, 0.4), asio::detached);
     asio::co_spawn(io, call(PeerOp::Status, 3), asio::detached);
-    asio::co_spawn(io, call(PeerOp::Report, 3), asio::detached);
+    asio::co_spawn(io, call(PeerOp::Heartbeat, 3), asio::detached);
     ASSERT_TRUE(turn_until(io, [&] { return over; }, 5));
     EXPECT_TRUE(status.has_value());
 }
@@ -148,7 +148,7 @@
 TEST(Limits, ANewLeaderHasRoomForReportsOfFourThousandMachines) {
     asio::io_context io{1};
     auto settings = small_settings();
-    settings.report_s = 60;  // nothing but this burst
+    settings.heartbeat_interval_s = 60;  // nothing but this burst
     standin::State state_service(io);
     standin::Cloud cloud(io, settings);
     settings.state = state_service.door(0);
@@ -165,7 +165,7 @@
     ASSERT_TRUE(turn_until(io, [&] { return leader->ready(); }, 5));
     Burst burst;
     auto report = [&](int machine) -> asio::awaitable<void> {
-        PeerCall call{PeerOp::Report, "machine", report_of(machine, 0)};
+        PeerCall call{PeerOp::Heartbeat, "machine", report_of(machine, 0)};
         auto reply = co_await leader->ask(std::move(call));
         burst.count(reply.status);
     };
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -122,7 +122,7 @@
     last.deadline_s = 100;
     last.estimate_s = 10;
     p.add({1, 2}, last);
-    const double stage = 10 + w.settings.report_s;  // no image to fetch
+    const double stage = 10 + w.settings.heartbeat_interval_s;  // no image to fetch
     EXPECT_EQ(p.job(0).priority, Priority::High);
     EXPECT_DOUBLE_EQ(p.job(1).needed_by, w.now + 100 - stage);
     EXPECT_DOUBLE_EQ(p.job(0).needed_by, w.now + 100 - 2 * stage);
--- a/tests/placement_reference.h
+++ b/tests/placement_reference.h
@@ -24,7 +24,7 @@
                                job.failed_on.count(i) > 0, m.tasks.empty(),
                                job.spec.demand.gpu > 0 ? left.gpu : left.cpu, together && m.spot,
                                !m.has_image(job.spec.image), !together && !m.spot, left.cpu,
-                               left.mem, cluster.report_due_s(m, now));
+                               left.mem, cluster.heartbeat_due_s(m, now));
     }
     std::vector<Index> open{};
     std::map<Index, Priority> held{};
--- a/tests/service.h
+++ b/tests/service.h
@@ -51,7 +51,7 @@
         // WEIRMILL_TEST_LOG: what the controllers log, when a case fails.
         spdlog::set_level(std::getenv("WEIRMILL_TEST_LOG") ? spdlog::level::debug
                                                            : spdlog::level::off);
-        base.report_s = 0.1;
+        base.heartbeat_interval_s = 0.1;
         base.lease_s = 2;
         base.cancel_s = 6;
         base.list_lag_s = 0.2;
--- a/tests/standin/standins.cpp
+++ b/tests/standin/standins.cpp
@@ -322,13 +322,13 @@
 asio::awaitable<void> Worker::live(std::shared_ptr<Worker> self) {
     size_t node = 0;
     while (!dead_) {
-        co_await sleep_s(cloud_.settings.report_s);
+        co_await sleep_s(cloud_.settings.heartbeat_interval_s);
         step();
         if (dead_ || silent || hung || mute || cloud_.nodes.empty()) continue;
         if (only >= 0) node = static_cast<size_t>(only);
         if (cut_from >= 0 && static_cast<size_t>(cut_from) == node % cloud_.nodes.size()) ++node;
         double sent = steady_now();
-        uint64_t session = session_;
+        uint64_t agent_epoch = session_;
         HttpClient client(io_, cloud_.nodes[node % cloud_.nodes.size()], 1024 * 1024);
         auto body = json::serialize(report());
         sent_.push_back(body);
@@ -351,7 +351,7 @@
         if (reply && reply->status == 200) {
             auto v = json::parse(reply->body).as_object();
             auto fencing_token = v.at("gavel").to_number<uint64_t>();
-            if (fencing_token < fencing_token_ || session != session_) continue;
+            if (fencing_token < fencing_token_ || agent_epoch != session_) continue;
             fencing_token_ = fencing_token;
             lease_from_ = sent;
             execute(v.at("orders").as_array());
--- a/tests/standin/standins.h
+++ b/tests/standin/standins.h
@@ -110,7 +110,7 @@
     void repeat_report(size_t n);
     size_t reports() const { return sent_.size(); }
     void begin_anew();  // as a machine that is back at once: no tasks, its counts from the start
-    uint64_t session() const { return session_; }
+    uint64_t agent_epoch() const { return session_; }
     bool runs(const std::string& job) { return count(job) > 0; }
     int count(const std::string& job);  // its tasks that are here
     bool silent = false;  // its packets are lost; its tasks run on, until its lease ends
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -217,8 +217,8 @@
     asio::co_spawn(
         io,
         [&]() -> asio::awaitable<void> {
-            PeerCall ours{PeerOp::Status, "req-000412", "x", true, "node-0", links};
-            got = co_await client.call(std::move(ours), 30);
+            PeerCall placed_this_term{PeerOp::Status, "req-000412", "x", true, "node-0", links};
+            got = co_await client.call(std::move(placed_this_term), 30);
         },
         asio::detached);
     tcp::socket callee(io);
@@ -239,13 +239,13 @@
     EXPECT_EQ(got->retry_after_s, 3);
     EXPECT_FALSE(got->links.told);
     // What is said of links arrives as it was said.
-    PeerClient ours(io, {"127.0.0.1", server.port()});
+    PeerClient placed_this_term(io, {"127.0.0.1", server.port()});
     got.reset();
     asio::co_spawn(
         io,
         [&]() -> asio::awaitable<void> {
             PeerCall ping{PeerOp::Ping, "", "", false, "node-0", links};
-            got = co_await ours.call(std::move(ping), 30);
+            got = co_await placed_this_term.call(std::move(ping), 30);
         },
         asio::detached);
     turn_until([&] { return got.has_value(); });
