--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -105,7 +105,7 @@
     bool up = false;  // has reported to this leader
     uint64_t agent_epoch = 0, seq = 0;
     bool saw_fencing_token = false;
-    Hearing hearing;
+    DownlinkState downlink;
     double last_heartbeat = 0, last_answer = 0;
     double direct_at = 0;  // the last report that came to this controller itself
     std::string
--- a/src/coordination/front.cpp
+++ b/src/coordination/front.cpp
@@ -162,7 +162,7 @@
     co_return *reply;
 }
 
-bool Front::leader_deaf() const {
+bool Front::leader_uplink_lost() const {
     auto links = membership_->view(leader_name(), steady_now());
     return links && links->told && links->known > 0 && 2 * links->direct < links->known;
 }
@@ -392,7 +392,7 @@
     double now = steady_now();
     bool relay = roster_.relays(head.machine, head.fencing_token, leader_fencing_token(), now);
     if (!leader_link()) co_return HttpReply{421, redirect_answer("")};
-    relay = relay || leader_deaf();
+    relay = relay || leader_uplink_lost();
     if (relay) {
         PeerCall call{PeerOp::Heartbeat, std::move(r.from), std::move(r.body)};
         auto reply = co_await to_leader(std::move(call));
--- a/src/coordination/front.h
+++ b/src/coordination/front.h
@@ -36,7 +36,7 @@
     }
     void set_up_membership();
     // Far too few workers come to the leader themselves: one that comes here is not sent there.
-    bool leader_deaf() const;
+    bool leader_uplink_lost() const;
     boost::asio::awaitable<void> forward(PeerCall call, OneShot<PeerReply> out);
     boost::asio::awaitable<std::optional<PeerReply>> while_heard(OneShot<PeerReply> forwarded,
                                                                  double started, double most_s);
--- a/src/coordination/hearing/hearing.h
+++ b/src/coordination/hearing/hearing.h
@@ -17,10 +17,10 @@
 };
 
 // What is remembered of one worker. Times on the steady clock, seconds; 0: none yet.
-struct Hearing {
+struct DownlinkState {
     uint32_t missed = 0;       // answers in a row that reports show were not taken
     uint32_t steady = 0;       // reports in a row that only a worker that was answered sends
-    double deaf_since = 0;     // 0: it hears, as far as is known
+    double lost_since = 0;     // 0: it hears, as far as is known
     uint64_t agent_epoch = 0;  // of the last report
     double epoch_since = 0;    // the first report of that session
     HeartbeatOrder answered;   // the last report that was answered with 200
@@ -32,11 +32,11 @@
     HeartbeatOrder former, back;
     uint32_t backs = 0;
     double back_at = 0;
-    bool deaf() const { return deaf_since > 0; }
+    bool downlink_lost() const { return lost_since > 0; }
 };
 
 // What a newer report shows.
-struct Heard {
+struct DownlinkObservation {
     HeartbeatOrder order;
     bool our_fencing_token = false;  // the highest token that the worker has seen is ours
     bool direct = false;             // it came to this controller itself
@@ -44,28 +44,32 @@
          start_missing = false;  // of tasks launched with answers to earlier reports
 };
 
-enum class Evidence : uint8_t { Nothing, Hears, Missed, Deaf };
+enum class DownlinkEvidence : uint8_t { Nothing, Received, Missed, Lost };
 
 // `before` as it was until this report.
-Evidence judge(const Hearing& before, const Heard& heartbeat, const Settings& settings, double now);
+DownlinkEvidence classify_evidence(const DownlinkState& before,
+                                   const DownlinkObservation& heartbeat, const Settings& settings,
+                                   double now);
 // Takes the report in. True: the worker counts as deaf from now on.
-bool take_evidence(Hearing& hearing, const Heard& heartbeat, const Settings& settings, double now);
+bool observe_heartbeat(DownlinkState& downlink, const DownlinkObservation& heartbeat,
+                       const Settings& settings, double now);
 // An answer with 200 goes out.
-void note_answer(Hearing& hearing, const HeartbeatOrder& heartbeat, bool our_fencing_token,
-                 double now);
+void record_response(DownlinkState& downlink, const HeartbeatOrder& heartbeat,
+                     bool our_fencing_token, double now);
 
 // Of a machine whose lease ran out: whether the report is one of a worker that is there. One that
 // is newer than all from before is; else it may be a late copy, or the worker has begun its counts
 // anew: some in a row, in order and at the pace of reports, tell. Until then a machine is not up
 // for it.
-bool is_back(Hearing& hearing, const HeartbeatOrder& heartbeat, const Settings& settings,
-             double now);
+bool has_returned(DownlinkState& downlink, const HeartbeatOrder& heartbeat,
+                  const Settings& settings, double now);
 // The lease has run out, after this report: nothing else is remembered.
-void forget_worker(Hearing& hearing, const HeartbeatOrder& last);
+void reset_downlink(DownlinkState& downlink, const HeartbeatOrder& last);
 
 // A deaf machine is given back once it has cost what a new one would, unless so many are deaf that
 // it is rather this controller's link.
-bool give_back_deaf(const Hearing& hearing, double replacement_s, size_t deaf, size_t up,
-                    const Settings& settings, double now);
+bool should_replace_unreachable(const DownlinkState& downlink, double replacement_s,
+                                size_t downlink_lost, size_t up, const Settings& settings,
+                                double now);
 
 }  // namespace weirmill
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -82,10 +82,10 @@
 }
 
 void Leader::gauges(std::map<std::string, double>& out) const {
-    size_t up = 0, deaf = 0, placed = 0, pending = 0;
+    size_t up = 0, downlink_lost = 0, placed = 0, pending = 0;
     for (auto& m : cluster_.machines) {
         up += m && m->up;
-        deaf += m && m->up && m->hearing.deaf();
+        downlink_lost += m && m->up && m->downlink.downlink_lost();
     }
     for (auto& job : cluster_.jobs) {
         if (!job) continue;
@@ -96,7 +96,7 @@
     out["jobs"] = static_cast<double>(cluster_.job_index.size());
     out["machines"] = static_cast<double>(cluster_.machine_index.size());
     out["machines_up"] = static_cast<double>(up);
-    out["machines_deaf"] = static_cast<double>(deaf);
+    out["machines_deaf"] = static_cast<double>(downlink_lost);
     out["tasks_placed"] = static_cast<double>(placed);
     out["tasks_pending"] = static_cast<double>(pending);
     out["queues_pressed"] = static_cast<double>(forecast_.pressed());
--- a/src/coordination/leader.h
+++ b/src/coordination/leader.h
@@ -290,7 +290,7 @@
     bool renting_ = false, returning_ = false, listed_once_ = false;
     double rent_not_before_ = 0;
     uint64_t hires_ = 0;
-    double deaf_at_ = -1e9;  // when this leader last could not answer reports
+    double responses_blocked_at_ = -1e9;  // when this leader last could not answer reports
     std::map<std::string, double>
         gone_;  // machines known to be gone, which a late list may still show
 };
--- a/src/coordination/leader_fleet.cpp
+++ b/src/coordination/leader_fleet.cpp
@@ -46,12 +46,12 @@
 }
 
 void Leader::check_machines() {
-    if (past_grace()) deaf_at_ = now_;
+    if (past_grace()) responses_blocked_at_ = now_;
     auto cut = silent_zones(cluster_, usable_now());
-    size_t deaf = 0, up = 0;
+    size_t downlink_lost = 0, up = 0;
     for (auto& m : cluster_.machines) {
         up += m && m->up;
-        deaf += m && m->up && m->hearing.deaf();
+        downlink_lost += m && m->up && m->downlink.downlink_lost();
     }
     for (Index i = 0; i < cluster_.machines.size(); ++i) {
         auto* m = cluster_.machines[i].get();
@@ -64,12 +64,13 @@
             m->saw_fencing_token = false;
             // Should it come back under its name with counts that begin anew, they are not taken
             // for copies.
-            forget_worker(m->hearing, {m->agent_epoch, m->seq});
+            reset_downlink(m->downlink, {m->agent_epoch, m->seq});
             m->agent_epoch = m->seq = 0;
             continue;
         }
         if (m->up && !m->doomed &&
-            give_back_deaf(m->hearing, replacement_s(*m, false), deaf, up, settings_, now_)) {
+            should_replace_unreachable(m->downlink, replacement_s(*m, false), downlink_lost, up,
+                                       settings_, now_)) {
             spdlog::info("machine: {} did not hear its answers for too long, returned", m->name);
             m->doomed = true;
         }
@@ -79,7 +80,7 @@
         // itself fell silent, all will report again.
         bool running = m->up_at > 0 || m->status == MachineStatus::Running;
         if (!m->up && running && !m->doomed &&
-            now_ - std::max({m->last_heartbeat, deaf_at_, term_->won}) >
+            now_ - std::max({m->last_heartbeat, responses_blocked_at_, term_->won}) >
                 settings_.lease_s + replacement_s(*m, m->zone < cut.size() && cut[m->zone])) {
             spdlog::info("machine: {} not heard of for too long, returned", m->name);
             m->doomed = true;
--- a/src/coordination/leader_workers.cpp
+++ b/src/coordination/leader_workers.cpp
@@ -23,7 +23,8 @@
 bool Leader::usable(const Machine& m) const {
     return m.up && !m.returning && !m.doomed && !m.closing && m.notice_until < 0 &&
            m.quarantined_until <= now_ && now_ - m.last_heartbeat < silence_s() &&
-           !m.hearing.deaf() && m.type < cluster_.types.size() && cluster_.types[m.type].offered;
+           !m.downlink.downlink_lost() && m.type < cluster_.types.size() &&
+           cluster_.types[m.type].offered;
 }
 
 void Leader::heartbeat(PeerCall& call, Reply& reply) {
@@ -58,7 +59,7 @@
         metrics_.count("report_copies_total");
         return reply.set({503, "{}"});
     }
-    if (!m.up && !is_back(m.hearing, {r.agent_epoch, r.seq}, settings_, now_)) {
+    if (!m.up && !has_returned(m.downlink, {r.agent_epoch, r.seq}, settings_, now_)) {
         renew_lease(reply, {});
         return;
     }
@@ -120,7 +121,7 @@
     m.unexpected_tasks.clear();
     std::set<std::pair<std::string_view, uint32_t>> present;
     for (auto& t : r.tasks) present.emplace(t.job, t.task);
-    Heard heard{{r.agent_epoch, r.seq}, m.saw_fencing_token, m.relayed_by.empty()};
+    DownlinkObservation heard{{r.agent_epoch, r.seq}, m.saw_fencing_token, m.relayed_by.empty()};
     for (auto& ref : m.tasks) {
         auto& job = *cluster_.jobs[ref.job];
         auto& task = job.tasks[ref.task];
@@ -128,7 +129,7 @@
             continue;
         (present.count({job.spec.id, ref.task}) ? heard.start_taken : heard.start_missing) = true;
     }
-    if (take_evidence(m.hearing, heard, settings_, now_)) {
+    if (observe_heartbeat(m.downlink, heard, settings_, now_)) {
         metrics_.count("machines_deaf_total");
         spdlog::info("machine: {} does not hear its answers", m.name);
     }
@@ -146,7 +147,7 @@
                      (task.start_seq == 0 || task.start_seq < r.seq);
         if (!proof) continue;
         // One that was not taken is launched again, unless the machine does not hear that either.
-        if (task.phase != TaskPhase::Unseen || task.stopping || m.hearing.deaf())
+        if (task.phase != TaskPhase::Unseen || task.stopping || m.downlink.downlink_lost())
             lose_task(ref.job, ref.task);
     }
     if (r.notice_s >= 0) drain(index, r.notice_s);
@@ -259,7 +260,7 @@
     }
     if (!renew_lease(held.reply, commands)) return;
     m.last_answer = now_;
-    note_answer(m.hearing, {m.agent_epoch, held.seq}, m.saw_fencing_token, now_);
+    record_response(m.downlink, {m.agent_epoch, held.seq}, m.saw_fencing_token, now_);
 }
 
 // The only way in which a report is answered with 200, which renews its worker's lease. One that
--- a/tests/hearing_test.cpp
+++ b/tests/hearing_test.cpp
@@ -16,32 +16,33 @@
 // controllers.
 struct Ear {
     Settings settings = test::small_settings();
-    Hearing hearing;
+    DownlinkState downlink;
     double now = 100;
     Ear() { settings.peers.push_back({"node-1", "a", {"127.0.0.1", 1}}); }
     // A report, `after` seconds, which is answered.
-    bool report(double after, uint64_t agent_epoch, uint64_t seq, Heard what = {}) {
+    bool report(double after, uint64_t agent_epoch, uint64_t seq, DownlinkObservation what = {}) {
         now += after;
         what.order = {agent_epoch, seq};
-        bool deaf = take_evidence(hearing, what, settings, now);
-        note_answer(hearing, what.order, what.our_fencing_token, now);
-        return deaf;
+        bool downlink_lost = observe_heartbeat(downlink, what, settings, now);
+        record_response(downlink, what.order, what.our_fencing_token, now);
+        return downlink_lost;
     }
 };
-Heard with(bool our_fencing_token, bool direct, bool taken = false, bool missing = false) {
+DownlinkObservation with(bool our_fencing_token, bool direct, bool taken = false,
+                         bool missing = false) {
     return {{}, our_fencing_token, direct, taken, missing};
 }
 
-TEST(Hearing, IsToldByWhatReportsShow) {
+TEST(DownlinkState, IsToldByWhatReportsShow) {
     struct Step {
         double after;
         uint64_t agent_epoch, seq;
-        Heard what;
+        DownlinkObservation what;
     };
     struct Row {
         const char* why;
         std::vector<Step> steps;
-        bool deaf;
+        bool downlink_lost;
     };
     auto old = with(false, false), placed_this_term = with(true, false),
          missing = with(true, false, false, true), taken = with(true, false, true),
@@ -98,27 +99,29 @@
     for (auto& row : rows) {
         Ear e;
         for (auto& s : row.steps) e.report(s.after, s.agent_epoch, s.seq, s.what);
-        EXPECT_EQ(e.hearing.deaf(), row.deaf) << row.why;
+        EXPECT_EQ(e.downlink.downlink_lost(), row.downlink_lost) << row.why;
     }
 }
 
-TEST(Hearing, ADeafMachineIsGivenBackUnlessSoManyAreThatItIsOurLink) {
+TEST(DownlinkState, ADeafMachineIsGivenBackUnlessSoManyAreThatItIsOurLink) {
     Ear e;
-    e.hearing.deaf_since = 100;
+    e.downlink.lost_since = 100;
     struct Row {
         double now;
-        size_t deaf, up;
+        size_t downlink_lost, up;
         bool back;
     };
     // A lease of 18 s, and 30 s for a replacement.
     for (auto& row : {Row{147, 1, 10, false}, Row{149, 1, 10, true}, Row{149, 5, 10, true},
                       Row{149, 6, 10, false}})
-        EXPECT_EQ(give_back_deaf(e.hearing, 30, row.deaf, row.up, e.settings, row.now), row.back)
-            << row.deaf;
-    EXPECT_FALSE(give_back_deaf({}, 30, 0, 10, e.settings, 1e6));
+        EXPECT_EQ(should_replace_unreachable(e.downlink, 30, row.downlink_lost, row.up, e.settings,
+                                             row.now),
+                  row.back)
+            << row.downlink_lost;
+    EXPECT_FALSE(should_replace_unreachable({}, 30, 0, 10, e.settings, 1e6));
 }
 
-TEST(Hearing, AfterItsLeaseOnlyAWorkerThatIsThereBringsAMachineBack) {
+TEST(DownlinkState, AfterItsLeaseOnlyAWorkerThatIsThereBringsAMachineBack) {
     struct Step {
         double after;
         uint64_t agent_epoch, seq;
@@ -151,10 +154,10 @@
     };
     for (auto& row : rows) {
         Ear e;
-        forget_worker(e.hearing, {3, 90});
+        reset_downlink(e.downlink, {3, 90});
         for (auto& s : row.steps) {
             e.now += s.after;
-            EXPECT_EQ(is_back(e.hearing, {s.agent_epoch, s.seq}, e.settings, e.now), s.back)
+            EXPECT_EQ(has_returned(e.downlink, {s.agent_epoch, s.seq}, e.settings, e.now), s.back)
                 << row.why << " " << s.seq;
         }
     }
@@ -184,8 +187,8 @@
     Service s(1);
     EXPECT_EQ(s.submit("req-1", "array", 1, {1.0}), 201);
     ASSERT_TRUE(s.until([&] { return s.cloud->on_some_machine("req-1"); }));
-    auto deaf = machine_of(s, "req-1");
-    deaf->deaf = true;
+    auto downlink_lost = machine_of(s, "req-1");
+    downlink_lost->downlink_lost = true;
     s.cloud->jobs["req-1"].run_s = 3;
     EXPECT_EQ(s.submit("req-2", "array", 3, {0.2}), 201);
     EXPECT_TRUE(s.done("req-1"));
@@ -203,10 +206,10 @@
     Service s(1);
     EXPECT_EQ(s.submit("req-1", "array", 1, {0.2}), 201);
     EXPECT_TRUE(s.done("req-1"));
-    for (auto& [name, w] : s.cloud->workers) w->deaf = true;
+    for (auto& [name, w] : s.cloud->workers) w->downlink_lost = true;
     EXPECT_EQ(s.submit("req-2", "array", 1, {0.2}), 201);
     EXPECT_TRUE(s.until([&] { return figure(s, "machines_deaf") > 0; }));
-    for (auto& [name, w] : s.cloud->workers) w->deaf = false;
+    for (auto& [name, w] : s.cloud->workers) w->downlink_lost = false;
     EXPECT_TRUE(s.until([&] { return figure(s, "machines_deaf") == 0; }));
     EXPECT_TRUE(s.done("req-2"));
     EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
@@ -253,7 +256,7 @@
 // order, answers that are lost or come, sessions that end. The leader's rule for a task that a
 // report does not show must never take it for gone while the worker may yet have it from an answer
 // of this leader.
-TEST(Hearing, NoReportProvesGoneWhatAnAnswerMayStillBring) {
+TEST(DownlinkState, NoReportProvesGoneWhatAnAnswerMayStillBring) {
     size_t proofs = 0, copies = 0;
     for (unsigned seed = 1; seed <= 4000; ++seed) {
         std::mt19937 random(seed);
--- a/tests/meetings_service_test.cpp
+++ b/tests/meetings_service_test.cpp
@@ -147,22 +147,22 @@
 // A leader ends while a machine with long tasks is silent, or does not hear the next leader's
 // answers: nothing of it starts elsewhere before its lease is over, and all of it runs in the end.
 TEST(Meetings, LongTasksOnMachinesOutOfReachOutliveAChangeOfLeaderOrStartAnew) {
-    for (bool deaf : {false, true}) {
+    for (bool downlink_lost : {false, true}) {
         Meeting s(2);
         s.start("req-2", 4, 6);
         std::vector<standin::Worker*> lost;
         for (auto& [name, w] : s.cloud->workers)
             if (w->runs("req-2")) lost.push_back(w.get());
         ASSERT_FALSE(lost.empty());
-        for (auto* w : lost) deaf ? w->deaf = true : w->silent = true;
+        for (auto* w : lost) downlink_lost ? w->downlink_lost = true : w->silent = true;
         s.crash_leader();
         s.pass(0.7 * s.base.lease_s);
-        EXPECT_TRUE(known(s.status("req-2"))) << deaf;
-        if (!deaf) lost[0]->silent = false;  // back within its lease, the others not
+        EXPECT_TRUE(known(s.status("req-2"))) << downlink_lost;
+        if (!downlink_lost) lost[0]->silent = false;  // back within its lease, the others not
         EXPECT_TRUE(s.until([&] {
             return s.running("req-2") == 0 || s.state->keys().count("f/req-2") > 0;
         }) || s.cloud->starts["req-2/0"] > 0);
-        for (auto* w : lost) w->deaf = w->silent = false;
+        for (auto* w : lost) w->downlink_lost = w->silent = false;
         EXPECT_TRUE(s.done("req-2"));
         s.expect_no_rule_broken();
     }
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -115,7 +115,7 @@
 
 TEST(Links, WhoWasYieldedToCampaignsFirstAndTheDeafLast) {
     TransferRecord to_b{"a", "b", 1, 1e9};
-    std::vector<PeerView> hearing{{"c", links(true, 900, 900), true}}, nobody;
+    std::vector<PeerView> downlink{{"c", links(true, 900, 900), true}}, nobody;
     struct Row {
         const char* self;
         TransferRecord last;
@@ -124,11 +124,11 @@
         double low, high;
     };
     const Row rows[] = {
-        {"b", to_b, 1e9 + 1, hearing, -1, -1},   // it is its turn, whatever else
+        {"b", to_b, 1e9 + 1, downlink, -1, -1},  // it is its turn, whatever else
         {"c", to_b, 1e9 + 1, nobody, 0.5, 0.7},  // lets b go first
         {"a", to_b, 1e9 + 1, nobody, 1.0, 1.4},  // and all the others
         {"c", to_b, 1e9 + 60, nobody, 0, 0},     // that was another time
-        {"a", {}, 1e9, hearing, 0.2, 0.3},       // c hears the workers
+        {"a", {}, 1e9, downlink, 0.2, 0.3},      // c hears the workers
         {"a", {}, 1e9, nobody, 0, 0},
     };
     for (auto& row : rows) {
--- a/tests/standin/standins.cpp
+++ b/tests/standin/standins.cpp
@@ -289,7 +289,7 @@
 asio::awaitable<HttpReply> Worker::handle(HttpRequest r) {
     auto self = shared_from_this();
     while ((hold_commands || hung) && !dead_) co_await sleep_s(0.01);
-    if (dead_ || silent || deaf || no_commands) co_return HttpReply{500, "{}"};
+    if (dead_ || silent || downlink_lost || no_commands) co_return HttpReply{500, "{}"};
     step();
     auto v = json::parse(r.body).as_object();
     auto fencing_token = v.at("gavel").to_number<uint64_t>();
@@ -343,7 +343,7 @@
         if (hung || mute) reply.reset();  // given up by the time that it goes on
         while (hung && !dead_) co_await sleep_s(0.01);
         if (dead_ || silent) continue;
-        if (deaf) {
+        if (downlink_lost) {
             ++node;
             co_await sleep_s(cloud_.settings.worker_next_s);
             continue;
--- a/tests/standin/standins.h
+++ b/tests/standin/standins.h
@@ -98,7 +98,7 @@
     void kill() { dead_ = true, tasks_.clear(); }
     bool dead() const { return dead_; }
     int cut_from = -1;           // the controller that it can't reach
-    bool deaf = false;           // its reports arrive, answers and commands do not reach it
+    bool downlink_lost = false;  // its reports arrive, answers and commands do not reach it
     bool no_commands = false;    // what is sent straight to it is lost
     bool hold_commands = false;  // what is sent straight to it arrives once this ends
     int copies = 0;              // of each report, as many older ones come once more
--- a/tests/starved_test.cpp
+++ b/tests/starved_test.cpp
@@ -48,7 +48,7 @@
         {"in quarantine",
          [&](World& w, Job&) { all(w, [&](Machine& m) { m.quarantined_until = w.now + 9; }); },
          HeldBy::Quarantined},
-        {"unheard", [&](World& w, Job&) { all(w, [&](Machine& m) { m.hearing.deaf_since = 1; }); },
+        {"unheard", [&](World& w, Job&) { all(w, [&](Machine& m) { m.downlink.lost_since = 1; }); },
          HeldBy::Unheard},
         {"closing", [&](World& w, Job&) { all(w, [&](Machine& m) { m.closing = true; }); },
          HeldBy::Leaving},
@@ -79,7 +79,7 @@
         auto j = w.job(w.spec("req-1", row.kind, row.tasks, row.cpus, 0, Priority::Normal, "red"));
         w.cluster.jobs[j]->seen_at = w.now - 100;
         row.change(w, *w.cluster.jobs[j]);
-        auto usable = [](const Machine& m) { return m.up && !m.hearing.deaf(); };
+        auto usable = [](const Machine& m) { return m.up && !m.downlink.downlink_lost(); };
         auto found = starved_jobs(w.cluster, usable, w.now, kStarvedAfter_s);
         ASSERT_EQ(found.size(), row.held ? 1u : 0u) << row.what;
         if (row.held) {
