--- a/bench/pass_bench.cpp
+++ b/bench/pass_bench.cpp
@@ -132,18 +132,18 @@
 };
 const Decision kDecisions[] = {
     {"place", [](ClusterState& t) { return place_waiting(t, up, kNow).size(); }},
-    {"rent", [](ClusterState& t) { return plan_rentals(t, up, {0.3, 8}, kNow).size(); }},
+    {"rent", [](ClusterState& t) { return plan_scale_out(t, up, {0.3, 8}, kNow).size(); }},
     {"rent_distinct",  // as where every job's tasks are of another size
-     [](ClusterState& t) { return plan_rentals(t, up, {0.3, 8, 0}, kNow).size(); }},
+     [](ClusterState& t) { return plan_scale_out(t, up, {0.3, 8, 0}, kNow).size(); }},
     {"preempt", [](ClusterState& t) { return plan_preemption(t, up, kNow).clearings.size(); }},
-    {"close", [](ClusterState& t) { return size_t{plan_closing(t, up, kNow) != kNone}; }},
+    {"close", [](ClusterState& t) { return size_t{plan_drain(t, up, kNow) != kNone}; }},
     {"forecast",
      [](ClusterState& t) {
          Forecast f;
          f.observe(t, kNow);
          return f.queues().size();
      }},
-    {"return", [](ClusterState& t) { return plan_returns(t, {0.3, 8}, kNow).size(); }},
+    {"return", [](ClusterState& t) { return plan_scale_in(t, {0.3, 8}, kNow).size(); }},
 };
 
 int count(const std::string& what, size_t size, size_t jobs) {
--- a/src/bookkeeping/tables.cpp
+++ b/src/bookkeeping/tables.cpp
@@ -246,7 +246,7 @@
     if (free == machines.end()) free = machines.insert(machines.end(), nullptr);
     *free = std::make_unique<Machine>();
     (*free)->name = name;
-    (*free)->added = (*free)->rented = (*free)->empty_since = now;
+    (*free)->added = (*free)->requested_at = (*free)->empty_since = now;
     auto index = static_cast<Index>(free - machines.begin());
     machine_index[name] = index;
     return index;
@@ -456,7 +456,7 @@
     return rate > 0 ? spec.image_gb / rate : 0;
 }
 
-bool ClusterState::spares_gpus(const JobSpec& spec, Index type) const {
+bool ClusterState::reserves_gpus(const JobSpec& spec, Index type) const {
     if (spec.demand.gpu > 0 || per_gpu.gpu == 0 || types[type].type.size.gpu == 0) return false;
     for (Index t = 0; t < types.size(); ++t)
         if (type_fits(spec, t) && types[t].type.size.gpu == 0) return true;
@@ -464,7 +464,7 @@
 }
 
 bool ClusterState::leaves_gpus_usable(const JobSpec& spec, const Machine& m) const {
-    if (!spares_gpus(spec, m.type)) return true;
+    if (!reserves_gpus(spec, m.type)) return true;
     // Nor does it keep a dear machine from going back: it comes where the GPUs are busy anyway.
     if (m.used.gpu * 2 < m.size.gpu) return false;
     auto left = m.room() - spec.demand;
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -110,14 +110,14 @@
     double direct_at = 0;  // the last report that came to this controller itself
     std::string
         relayed_by;  // the controller that passed on the last report; empty: it came by itself
-    double notice_until = -1;
+    double interruption_at = -1;
     // What the cloud said.
-    bool listed = false, missing = false, hired = false;  // hired: rented by this leader
+    bool listed = false, missing = false, provisioned_here = false;  // hired: rented by this leader
     MachineStatus status = MachineStatus::Booting;
-    double added = 0, rented = 0, missing_since = 0, up_at = 0;
+    double added = 0, requested_at = 0, missing_since = 0, up_at = 0;
     // What is done with it.
-    bool returning = false, doomed = false;  // doomed: a boot given up, an expired lease
-    bool closing = false;                    // its tasks move elsewhere, then it goes back
+    bool terminating = false, abandoned = false;  // doomed: a boot given up, an expired lease
+    bool draining = false;                        // its tasks move elsewhere, then it goes back
     double quarantined_until = 0;
     int faults = 0;
     std::set<Index> faulty_jobs;
@@ -252,7 +252,7 @@
     // What jobs with GPUs take of the other resources, for each GPU. A task without GPUs that could
     // run elsewhere leaves that much for the free GPUs of a machine.
     Resources per_gpu;
-    bool spares_gpus(const JobSpec& spec, Index type) const;
+    bool reserves_gpus(const JobSpec& spec, Index type) const;
     bool leaves_gpus_usable(const JobSpec& spec, const Machine& m) const;
 
     // A gang, or a task that takes over half of every machine type it fits: it needs machines to
--- a/src/coordination/account.cpp
+++ b/src/coordination/account.cpp
@@ -4,37 +4,39 @@
 
 namespace {
 
-constexpr const char* kNames[kRoomKinds] = {"booting",   "running",  "starting", "fetching",
-                                            "gathering", "stopping", "silent",   "leaving",
-                                            "shunned",   "reserved", "empty",    "fragment"};
+constexpr const char* kNames[kCapacityUses] = {"booting",   "running",  "starting", "fetching",
+                                               "gathering", "stopping", "silent",   "leaving",
+                                               "shunned",   "reserved", "empty",    "fragment"};
 
-RoomIs taken_by(const Task& task) {
-    if (task.stopping || task.phase == TaskPhase::Saving) return RoomIs::Stopping;
+CapacityUse taken_by(const Task& task) {
+    if (task.stopping || task.phase == TaskPhase::Saving) return CapacityUse::Stopping;
     switch (task.phase) {
         case TaskPhase::Fetching:
-            return RoomIs::Fetching;
+            return CapacityUse::Fetching;
         case TaskPhase::Waiting:
-            return RoomIs::Gathering;
+            return CapacityUse::Gathering;
         case TaskPhase::Unseen:
-            return RoomIs::Starting;
+            return CapacityUse::Starting;
         default:
-            return RoomIs::Running;
+            return CapacityUse::Running;
     }
 }
 
-RoomIs free_as(const Machine& m, const Usable& usable, double now) {
-    if (!m.up) return m.up_at > 0 ? RoomIs::Silent : RoomIs::Booting;
-    if (m.notice_until >= 0 || m.closing || m.returning || m.doomed) return RoomIs::Leaving;
-    if (m.quarantined_until > now) return RoomIs::Shunned;
-    if (!usable(m)) return RoomIs::Silent;
-    if (m.reserved(now)) return RoomIs::Reserved;
-    return m.tasks.empty() ? RoomIs::Empty : RoomIs::Fragment;
+CapacityUse free_as(const Machine& m, const Usable& usable, double now) {
+    if (!m.up) return m.up_at > 0 ? CapacityUse::Silent : CapacityUse::Booting;
+    if (m.interruption_at >= 0 || m.draining || m.terminating || m.abandoned)
+        return CapacityUse::Leaving;
+    if (m.quarantined_until > now) return CapacityUse::Quarantined;
+    if (!usable(m)) return CapacityUse::Silent;
+    if (m.reserved(now)) return CapacityUse::Reserved;
+    return m.tasks.empty() ? CapacityUse::Empty : CapacityUse::Fragment;
 }
 
 }  // namespace
 
-RoomAccount account_room(const ClusterState& cluster, const Usable& usable, double now) {
-    RoomAccount out;
+CapacityBreakdown capacity_breakdown(const ClusterState& cluster, const Usable& usable,
+                                     double now) {
+    CapacityBreakdown out;
     for (auto& m : cluster.machines) {
         if (!m || m->size == Resources{}) continue;
         for (auto& ref : m->tasks) {
@@ -46,19 +48,19 @@
     return out;
 }
 
-std::string account_text(const RoomAccount& account) {
+std::string capacity_text(const CapacityBreakdown& account) {
     int64_t gpus = 0;
     for (auto& r : account.room) gpus += r.gpu;
     std::string out = gpus > 0 ? "gpus" : "cpus";
-    for (size_t k = 0; k < kRoomKinds; ++k) {
+    for (size_t k = 0; k < kCapacityUses; ++k) {
         auto amount = gpus > 0 ? account.room[k].gpu : account.room[k].cpu;
         if (amount != 0) out += std::string(" ") + kNames[k] + "=" + std::to_string(amount / 1000);
     }
     return out;
 }
 
-void account_gauges(const RoomAccount& account, std::map<std::string, double>& out) {
-    for (size_t k = 0; k < kRoomKinds; ++k) {
+void capacity_gauges(const CapacityBreakdown& account, std::map<std::string, double>& out) {
+    for (size_t k = 0; k < kCapacityUses; ++k) {
         std::string kind = kNames[k];
         out["room_" + kind + "_cpus"] = static_cast<double>(account.room[k].cpu) / 1000;
         out["room_" + kind + "_gpus"] = static_cast<double>(account.room[k].gpu) / 1000;
--- a/src/coordination/begin/begin.cpp
+++ b/src/coordination/begin/begin.cpp
@@ -40,7 +40,7 @@
         auto* m = cluster.machines[i].get();
         if (!m || !m->tasks.empty() || !usable(*m) || !cluster.machine_allowed(job.spec, *m))
             continue;
-        if (cluster.spares_gpus(job.spec, m->type) || demand.times_in(m->size) != 1 ||
+        if (cluster.reserves_gpus(job.spec, m->type) || demand.times_in(m->size) != 1 ||
             !rule.allows(m->zone))
             continue;
         if (m->reserved(now) && m->reserved_for != j) continue;
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -100,7 +100,7 @@
     out["tasks_placed"] = static_cast<double>(placed);
     out["tasks_pending"] = static_cast<double>(pending);
     out["queues_pressed"] = static_cast<double>(forecast_.pressed());
-    account_gauges(account_room(cluster_, usable_now(), now_), out);
+    capacity_gauges(capacity_breakdown(cluster_, usable_now(), now_), out);
     starved_gauges(starved_jobs(cluster_, usable_now(), now_, kStarvedAfter_s), out);
 }
 
@@ -135,7 +135,7 @@
     if (stopped_) co_return;
     now_ = steady_now();
     // A predecessor's rentals may not be listed yet: without waiting, they would be rented again.
-    if (!cluster_.jobs.empty()) rent_not_before_ = term_->won + 2 * settings_.list_lag_s;
+    if (!cluster_.jobs.empty()) provision_not_before_ = term_->won + 2 * settings_.list_lag_s;
     next_round_ = now_ + properties_.preemption_round_s / 2;
     ready_ = true;
     spdlog::info("leader: ready token={} jobs={} machines={}", term_->fencing_token,
@@ -238,13 +238,14 @@
         next_round_ = now_ + properties_.preemption_round_s;
         preempt();
     }
-    if (now_ >= next_sizing_) {
-        next_sizing_ = now_ + 1.0;
+    if (now_ >= next_autoscale_) {
+        next_autoscale_ = now_ + 1.0;
         if (properties_.overload_enabled) forecast_.observe(cluster_, now_);
-        size_fleet();
-        if (spdlog::should_log(spdlog::level::debug) && now_ >= next_account_) {
-            next_account_ = now_ + kAccount_s;
-            spdlog::debug("room: {}", account_text(account_room(cluster_, usable_now(), now_)));
+        autoscale();
+        if (spdlog::should_log(spdlog::level::debug) && now_ >= next_capacity_log_) {
+            next_capacity_log_ = now_ + kAccount_s;
+            spdlog::debug("room: {}",
+                          capacity_text(capacity_breakdown(cluster_, usable_now(), now_)));
             for (auto& [key, q] : forecast_.queues())
                 if (q.jobs > 0)
                     spdlog::debug(
@@ -293,8 +294,8 @@
     std::vector<Index> late;
     if (properties_.overload_enabled)
         late = late_to_begin(cluster_, properties_.begin_within_s, now_);
-    place_waiting(cluster_, usable_now(), now_, kMostPlaced, spares(cluster_, sizing(), now_),
-                  late);
+    place_waiting(cluster_, usable_now(), now_, kMostPlaced,
+                  planned_headroom(cluster_, autoscaler_settings(), now_), late);
     // For one gang at a time, the one that waits the longest.
     auto gang = std::find_if(late.begin(), late.end(), [&](Index j) {
         return cluster_.jobs[j]->spec.kind == JobKind::Gang && cluster_.jobs[j]->placed == 0;
--- a/src/coordination/leader.h
+++ b/src/coordination/leader.h
@@ -93,12 +93,12 @@
     struct ListRead {
         std::vector<ListedMachine> machines;
     };
-    struct Rented {
-        Rental rental;
+    struct InstancesProvisioned {
+        ScaleOutRequest rental;
         std::vector<std::string> names;
     };
-    struct RentPassDone {};
-    struct Returned {
+    struct ProvisionPassDone {};
+    struct InstancesTerminated {
         std::vector<std::string> names;
         bool done = false;
     };
@@ -106,9 +106,9 @@
     struct TransferLeadership {
         std::function<void()> settled;
     };
-    using Message =
-        std::variant<Tick, Asked, FinalRead, DependenciesRead, TxnDone, TxnUnsure, InboxChanged,
-                     TypesRead, ListRead, Rented, RentPassDone, Returned, TransferLeadership>;
+    using Message = std::variant<Tick, Asked, FinalRead, DependenciesRead, TxnDone, TxnUnsure,
+                                 InboxChanged, TypesRead, ListRead, InstancesProvisioned,
+                                 ProvisionPassDone, InstancesTerminated, TransferLeadership>;
     using Mailbox = boost::asio::experimental::channel<void(boost::system::error_code, Message)>;
 
     struct Held {  // a worker's report that waits for records before it is answered
@@ -137,8 +137,9 @@
     boost::asio::awaitable<void> inbox_loop(std::shared_ptr<Leader> self);
     boost::asio::awaitable<void> types_loop(std::shared_ptr<Leader> self);
     boost::asio::awaitable<void> list_loop(std::shared_ptr<Leader> self);
-    boost::asio::awaitable<void> rent(std::shared_ptr<Leader> self, std::vector<Rental> rentals);
-    boost::asio::awaitable<void> give_back(std::shared_ptr<Leader> self,
+    boost::asio::awaitable<void> provision(std::shared_ptr<Leader> self,
+                                           std::vector<ScaleOutRequest> rentals);
+    boost::asio::awaitable<void> terminate(std::shared_ptr<Leader> self,
                                            std::vector<std::string> names);
     boost::asio::awaitable<void> send_stops(std::shared_ptr<Leader> self, std::string addr,
                                             std::string by, std::string body, bool by_any);
@@ -156,9 +157,9 @@
     void handle(InboxChanged& m);
     void handle(TypesRead& m);
     void handle(ListRead& m);
-    void handle(Rented& m);
-    void handle(RentPassDone&);
-    void handle(Returned& m);
+    void handle(InstancesProvisioned& m);
+    void handle(ProvisionPassDone&);
+    void handle(InstancesTerminated& m);
     void handle(Tick&);
     void handle(TransferLeadership& m);
     void settle();
@@ -217,7 +218,7 @@
     void end_gang(Index job, bool graceful, bool fetch_on = false);
     void check_job(Index job);
     void stop_task(Index job, uint32_t task, bool graceful);
-    void drain(Index machine, double notice_s);
+    void drain(Index machine, double interruption_notice_s);
     void respond_to_heartbeat(Index machine, Held& held);
     bool renew_lease(Reply& reply, const std::vector<Command>& commands);
     void release_held(bool due_only);
@@ -227,8 +228,8 @@
     double replacement_s(const Machine& m, bool cut_off) const;
     void schedule();
     void preempt();
-    void size_fleet();
-    SizingSettings sizing() const;
+    void autoscale();
+    AutoscalerSettings autoscaler_settings() const;
     void flush();
     void mark_ends(const StateLogBatch& batch, bool sent);
     void flush_stops();
@@ -282,14 +283,14 @@
     std::deque<std::string> finals_order_;
 
     bool dirty_ = true;  // something changed that scheduling should look at
-    double next_schedule_ = 0, next_round_ = 0, next_check_ = 0, next_sizing_ = 0,
-           next_closing_ = 0, next_account_ = 0, next_warning_ = 0, next_stops_ = 0;
+    double next_schedule_ = 0, next_round_ = 0, next_check_ = 0, next_autoscale_ = 0,
+           next_drain_ = 0, next_capacity_log_ = 0, next_warning_ = 0, next_stops_ = 0;
     size_t stops_cursor_ = 0;  // machines are told in turn
     uint64_t rounds_ = 0, passes_ = 0;
     std::string recorded_types_, recorded_shape_;
-    bool renting_ = false, returning_ = false, listed_once_ = false;
-    double rent_not_before_ = 0;
-    uint64_t hires_ = 0;
+    bool provisioning_ = false, terminating_ = false, listed_once_ = false;
+    double provision_not_before_ = 0;
+    uint64_t provision_count_ = 0;
     double responses_blocked_at_ = -1e9;  // when this leader last could not answer reports
     std::map<std::string, double>
         gone_;  // machines known to be gone, which a late list may still show
--- a/src/coordination/leader_fleet.cpp
+++ b/src/coordination/leader_fleet.cpp
@@ -68,26 +68,26 @@
             m->agent_epoch = m->seq = 0;
             continue;
         }
-        if (m->up && !m->doomed &&
+        if (m->up && !m->abandoned &&
             should_replace_unreachable(m->downlink, replacement_s(*m, false), downlink_lost, up,
                                        settings_, now_)) {
             spdlog::info("machine: {} did not hear its answers for too long, returned", m->name);
-            m->doomed = true;
+            m->abandoned = true;
         }
         // Not heard of for so long that it is given back. A replacement has to boot and to fetch
         // its images again: for as long as that takes, the machine may just as well come back. A
         // cut of 20 s once cost a whole zone's machines. After an outage in which this leader
         // itself fell silent, all will report again.
         bool running = m->up_at > 0 || m->status == MachineStatus::Running;
-        if (!m->up && running && !m->doomed &&
+        if (!m->up && running && !m->abandoned &&
             now_ - std::max({m->last_heartbeat, responses_blocked_at_, term_->won}) >
                 settings_.lease_s + replacement_s(*m, m->zone < cut.size() && cut[m->zone])) {
             spdlog::info("machine: {} not heard of for too long, returned", m->name);
-            m->doomed = true;
+            m->abandoned = true;
         }
         if (expired && !m->up && !m->tasks.empty())
             machine_gone(i, "not heard of since the change of leader");
-        if (!m->up && m->tasks.empty() && !m->returning) {
+        if (!m->up && m->tasks.empty() && !m->terminating) {
             bool lost = m->listed
                             ? m->missing && now_ - m->missing_since > 2 * settings_.list_lag_s + 2
                             : now_ - m->added > std::max(60.0, 6 * settings_.list_lag_s);
@@ -102,18 +102,19 @@
         bool silent = now_ - std::max(m->last_heartbeat, term_->won) > silence_s();
         bool unlisted = listed_once_ &&
                         (m->listed ? m->missing : now_ - m->added > 2 * settings_.list_lag_s + 1);
-        if (silent && unlisted && !m->doomed && (m->up || !m->tasks.empty())) {
+        if (silent && unlisted && !m->abandoned && (m->up || !m->tasks.empty())) {
             spdlog::info("machine: {} is silent and not listed, returned", m->name);
-            m->doomed = true;
+            m->abandoned = true;
         }
-        if (!m->up && m->status == MachineStatus::Booting && !m->doomed &&
+        if (!m->up && m->status == MachineStatus::Booting && !m->abandoned &&
             m->type < cluster_.types.size() && cluster_.types[m->type].offered &&
-            now_ - m->rented > 3 * cluster_.types[m->type].type.boot_s + 5) {
-            cluster_.learn_boot(m->type, now_ - m->rented);
-            spdlog::info("machine: {} given up after booting {:.0f}s", m->name, now_ - m->rented);
-            m->doomed = true;
+            now_ - m->requested_at > 3 * cluster_.types[m->type].type.boot_s + 5) {
+            cluster_.learn_boot(m->type, now_ - m->requested_at);
+            spdlog::info("machine: {} given up after booting {:.0f}s", m->name,
+                         now_ - m->requested_at);
+            m->abandoned = true;
         }
-        if (m->missing && m->doomed && m->tasks.empty() && !m->returning) {
+        if (m->missing && m->abandoned && m->tasks.empty() && !m->terminating) {
             cluster_.remove_machine(i);
         }
     }
@@ -145,7 +146,7 @@
         auto index = cluster_.add_machine(l.name, now_);
         auto& m = *cluster_.machines[index];
         if (fresh) spdlog::debug("machine: {} found in the list", l.name);
-        if (!m.listed) m.rented = std::min(m.rented, now_ - l.age_s);
+        if (!m.listed) m.requested_at = std::min(m.requested_at, now_ - l.age_s);
         m.listed = true;
         m.missing = false;
         if (m.addr.empty()) m.addr = l.addr;
@@ -166,52 +167,52 @@
     }
 }
 
-SizingSettings Leader::sizing() const {
+AutoscalerSettings Leader::autoscaler_settings() const {
     // A round may just be over; then tasks save, and their workers say that they are gone.
-    SizingSettings s;
+    AutoscalerSettings s;
     s.idle_keep_boots = properties_.idle_keep_boots;
     s.heartbeat_interval_s = settings_.heartbeat_interval_s;
     s.clear_s = properties_.preemption_round_s + kStopped_s;
     return s;
 }
 
-void Leader::size_fleet() {
+void Leader::autoscale() {
     if (!cluster_.types_known || !listed_once_ || !may_decide()) return;
-    if (!returning_) {
-        auto idle = plan_returns(cluster_, sizing(), now_);
+    if (!terminating_) {
+        auto idle = plan_scale_in(cluster_, autoscaler_settings(), now_);
         std::vector<std::string> names;
         for (auto i : idle) {
             if (names.size() == 100) break;
             auto& m = *cluster_.machines[i];
-            m.returning = true;
+            m.terminating = true;
             names.push_back(m.name);
         }
         if (!names.empty()) {
-            returning_ = true;
-            asio::co_spawn(io_, give_back(shared_from_this(), std::move(names)), asio::detached);
+            terminating_ = true;
+            asio::co_spawn(io_, terminate(shared_from_this(), std::move(names)), asio::detached);
         }
     }
     auto can_use = usable_now();
-    if (now_ >= next_closing_) {
-        next_closing_ = now_ + kClosingPause_s;
-        if (auto i = plan_closing(cluster_, can_use, now_); i != kNone) {
+    if (now_ >= next_drain_) {
+        next_drain_ = now_ + kClosingPause_s;
+        if (auto i = plan_drain(cluster_, can_use, now_); i != kNone) {
             auto& m = *cluster_.machines[i];
             spdlog::info("machine: {} closed, {} tasks move", m.name, m.tasks.size());
-            m.closing = true;
+            m.draining = true;
             auto tasks = m.tasks;
             for (auto& ref : tasks) stop_task(ref.job, ref.task, true);
         }
     }
-    if (!renting_ && now_ >= rent_not_before_) {
-        auto rentals = plan_rentals(cluster_, can_use, sizing(), now_);
+    if (!provisioning_ && now_ >= provision_not_before_) {
+        auto rentals = plan_scale_out(cluster_, can_use, autoscaler_settings(), now_);
         if (!rentals.empty()) {
-            renting_ = true;
-            asio::co_spawn(io_, rent(shared_from_this(), std::move(rentals)), asio::detached);
+            provisioning_ = true;
+            asio::co_spawn(io_, provision(shared_from_this(), std::move(rentals)), asio::detached);
         }
     }
 }
 
-void Leader::handle(Rented& r) {
+void Leader::handle(InstancesProvisioned& r) {
     auto& type = cluster_.names.types.name(r.rental.type);
     auto& zone = cluster_.names.zones.name(r.rental.zone);
     spdlog::info("cloud: rented {}/{} of {} in {} spot={}", r.names.size(), r.rental.count, type,
@@ -221,27 +222,27 @@
         if (gone_.count(name)) continue;
         auto& m = *cluster_.machines[cluster_.add_machine(name, now_)];
         if (m.type == kNone) cluster_.describe_machine(m, type, zone, r.rental.spot);
-        m.hired = true;
+        m.provisioned_here = true;
     }
     if (r.names.size() < static_cast<size_t>(r.rental.count))
         cluster_.refusals.push_back({now_ + std::uniform_real_distribution<double>(12, 18)(random_),
                                      {r.rental.type, r.rental.zone, r.rental.spot}});
 }
 
-void Leader::handle(RentPassDone&) {
-    renting_ = false;
-    next_sizing_ = std::min(next_sizing_, now_ + 0.2);
+void Leader::handle(ProvisionPassDone&) {
+    provisioning_ = false;
+    next_autoscale_ = std::min(next_autoscale_, now_ + 0.2);
 }
 
-void Leader::handle(Returned& r) {
-    returning_ = false;
+void Leader::handle(InstancesTerminated& r) {
+    terminating_ = false;
     for (auto& name : r.names) {
         auto index = cluster_.find_machine(name);
         if (r.done) gone_[name] = now_;
         if (index == kNone) continue;
         if (!r.done) {
-            cluster_.machines[index]->returning = false;
-            cluster_.machines[index]->doomed = true;
+            cluster_.machines[index]->terminating = false;
+            cluster_.machines[index]->abandoned = true;
             continue;
         }
         machine_gone(index, "returned");
@@ -310,11 +311,12 @@
     (void)self;
 }
 
-asio::awaitable<void> Leader::rent(std::shared_ptr<Leader> self, std::vector<Rental> rentals) {
+asio::awaitable<void> Leader::provision(std::shared_ptr<Leader> self,
+                                        std::vector<ScaleOutRequest> rentals) {
     for (auto& r : rentals) {
         // Unique for ever: no other leader has this token, and no other rental of this leader this
         // number.
-        auto request = fmt::format("w{}-{}", term_->fencing_token, ++hires_);
+        auto request = fmt::format("w{}-{}", term_->fencing_token, ++provision_count_);
         auto body = rental_json(request, cluster_.names.types.name(r.type),
                                 cluster_.names.zones.name(r.zone), r.spot, r.count);
         while (!stopped_) {
@@ -322,30 +324,30 @@
             if (stopped_) co_return;
             if (answer && answer->status == 200) {
                 try {
-                    post(Rented{r, parse_rented(answer->body)});
+                    post(InstancesProvisioned{r, parse_rented(answer->body)});
                     break;
                 } catch (const BadMessage& e) {
                     spdlog::error("cloud: malformed answer to a rental: {}", e.what());
                 }
             } else if (answer && answer->status == 503 && says_no_capacity(answer->body)) {
-                post(Rented{r, {}});
+                post(InstancesProvisioned{r, {}});
                 break;
             } else if (answer && answer->status == 400) {
                 spdlog::error("cloud: rental refused as malformed: {}", body);
-                post(Rented{r, {}});
+                post(InstancesProvisioned{r, {}});
                 break;
             }
             // No answer or trouble: the same request again, as its name rents once.
         }
     }
-    self->post(RentPassDone{});
+    self->post(ProvisionPassDone{});
 }
 
-asio::awaitable<void> Leader::give_back(std::shared_ptr<Leader> self,
+asio::awaitable<void> Leader::terminate(std::shared_ptr<Leader> self,
                                         std::vector<std::string> names) {
     auto answer = co_await cloud_call("POST", paths::kReturn, return_json(names), 4);
     // Without an answer they may be gone or not: they stay out of use and are returned again.
-    self->post(Returned{std::move(names), answer && answer->status == 200});
+    self->post(InstancesTerminated{std::move(names), answer && answer->status == 200});
 }
 
 }  // namespace weirmill
--- a/src/coordination/leader_tasks.cpp
+++ b/src/coordination/leader_tasks.cpp
@@ -240,18 +240,18 @@
 }
 
 // The machine will be taken: what can save does so in time, what can't may still complete.
-void Leader::drain(Index index, double notice_s) {
+void Leader::drain(Index index, double interruption_notice_s) {
     auto tasks = cluster_.machines[index]->tasks;
     for (auto& ref : tasks) {
         auto& job = *cluster_.jobs[ref.job];
         auto& task = job.tasks[ref.task];
         if (task.state != TaskState::Placed || task.machine != index || task.stopping) continue;
         if (job.spec.kind == JobKind::Gang) {
-            end_gang(ref.job, notice_s >= job.spec.checkpoint_duration_s);
+            end_gang(ref.job, interruption_notice_s >= job.spec.checkpoint_duration_s);
         } else if (task.phase != TaskPhase::Running && task.phase != TaskPhase::Saving) {
             stop_task(ref.job, ref.task, false);
         } else if (job.spec.checkpoint_interval_s > 0 &&
-                   notice_s >= job.spec.checkpoint_duration_s) {
+                   interruption_notice_s >= job.spec.checkpoint_duration_s) {
             stop_task(ref.job, ref.task, true);
         }
     }
--- a/src/coordination/leader_workers.cpp
+++ b/src/coordination/leader_workers.cpp
@@ -21,7 +21,7 @@
 }  // namespace
 
 bool Leader::usable(const Machine& m) const {
-    return m.up && !m.returning && !m.doomed && !m.closing && m.notice_until < 0 &&
+    return m.up && !m.terminating && !m.abandoned && !m.draining && m.interruption_at < 0 &&
            m.quarantined_until <= now_ && now_ - m.last_heartbeat < silence_s() &&
            !m.downlink.downlink_lost() && m.type < cluster_.types.size() &&
            cluster_.types[m.type].offered;
@@ -88,14 +88,14 @@
 void Leader::apply_heartbeat(Machine& m, Index index, const Heartbeat& r) {
     if (!m.up) {
         // Rented by this leader and up for the first time: its boot tells how boots go at present.
-        if (m.hired && m.up_at == 0) cluster_.learn_boot(m.type, now_ - m.rented);
+        if (m.provisioned_here && m.up_at == 0) cluster_.learn_boot(m.type, now_ - m.requested_at);
         m.up = true;
         m.up_at = now_;
         m.status = MachineStatus::Running;
-        if (!m.returning) m.doomed = false;
+        if (!m.terminating) m.abandoned = false;
         dirty_ = true;
         spdlog::info("machine: {} up type={} zone={} spot={} after={:.1f}s", m.name, r.type, r.zone,
-                     r.spot, now_ - m.rented);
+                     r.spot, now_ - m.requested_at);
     }
     if (r.agent_epoch > m.agent_epoch) {
         // A newer session: everything placed in an older one is gone.
@@ -113,10 +113,10 @@
     m.last_heartbeat = now_;
     // From here on no earlier leader's answer is taken by this worker.
     m.saw_fencing_token = r.fencing_token == term_->fencing_token;
-    if (r.notice_s >= 0) {
-        if (m.notice_until < 0)
-            spdlog::info("machine: {} is taken back in {:.1f}s", m.name, r.notice_s);
-        m.notice_until = now_ + r.notice_s;
+    if (r.interruption_notice_s >= 0) {
+        if (m.interruption_at < 0)
+            spdlog::info("machine: {} is taken back in {:.1f}s", m.name, r.interruption_notice_s);
+        m.interruption_at = now_ + r.interruption_notice_s;
     }
     m.unexpected_tasks.clear();
     std::set<std::pair<std::string_view, uint32_t>> present;
@@ -150,7 +150,7 @@
         if (task.phase != TaskPhase::Unseen || task.stopping || m.downlink.downlink_lost())
             lose_task(ref.job, ref.task);
     }
-    if (r.notice_s >= 0) drain(index, r.notice_s);
+    if (r.interruption_notice_s >= 0) drain(index, r.interruption_notice_s);
 }
 
 void Leader::apply_task_status(Machine& m, Index index, const TaskStatus& t) {
@@ -249,7 +249,7 @@
             commands.push_back(
                 {CommandOp::Stop, job.spec.id, ref.task, task.attempt, stop_grace_s(job, task)});
         } else if (task.phase == TaskPhase::Unseen && may_start && job.active() &&
-                   task.agent_epoch == m.agent_epoch && m.notice_until < 0 && !m.returning &&
+                   task.agent_epoch == m.agent_epoch && m.interruption_at < 0 && !m.terminating &&
                    cluster_.recorded(job, ref.task) &&
                    (task.start_seq > 0 || may_launch(cluster_, job, ref.task, settings_.gang_wait_s,
                                                      settings_.heartbeat_interval_s, now_))) {
--- a/src/coordination/overload/forecast.cpp
+++ b/src/coordination/overload/forecast.cpp
@@ -25,7 +25,7 @@
 Resources machines_have(const ClusterState& cluster) {
     Resources sum;
     for (auto& m : cluster.machines)
-        if (m && !m->doomed && !m->returning && m->type < cluster.types.size()) sum += m->size;
+        if (m && !m->abandoned && !m->terminating && m->type < cluster.types.size()) sum += m->size;
     return sum;
 }
 
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -107,7 +107,7 @@
 class Pass {
   public:
     Pass(ClusterState& cluster, const Usable& usable, const std::vector<std::vector<Index>>& ranks,
-         double now, const std::vector<Spare>& spare)
+         double now, const std::vector<Headroom>& headroom)
         : cluster_(cluster), now_(now) {
         Resources least;
         bool any = false;
@@ -130,7 +130,7 @@
             if (m->reserved(now)) reserved_for_.push_back(m->reserved_for);
         }
         queues_.emplace(cluster, open_, waiting, now);
-        for (auto& s : spare) {
+        for (auto& s : headroom) {
             if (s.at_once <= 0) continue;
             Kept kept{s.like, -s.at_once};
             for (auto i : open_)
@@ -214,7 +214,7 @@
             if (demand.fits_in(m.room()) || demand.times_in(m.size) < 2) continue;
             if (auto held = held_.find(i); held != held_.end() && held->second >= job.priority)
                 continue;
-            if (!cluster_.machine_allowed(job.spec, m) || cluster_.spares_gpus(job.spec, m.type))
+            if (!cluster_.machine_allowed(job.spec, m) || cluster_.reserves_gpus(job.spec, m.type))
                 continue;
             some.emplace_back(demand.cpu - m.room().cpu, i);
         }
@@ -274,8 +274,8 @@
             if (terms.demand == spec.demand && terms.same_places(spec)) return capacity;
         int64_t tasks = 0;
         for (auto& m : cluster_.machines)
-            if (m && !m->doomed && !m->returning && cluster_.machine_allowed(spec, *m) &&
-                !cluster_.spares_gpus(spec, m->type))
+            if (m && !m->abandoned && !m->terminating && cluster_.machine_allowed(spec, *m) &&
+                !cluster_.reserves_gpus(spec, m->type))
                 tasks += spec.demand.times_in(m->size);
         capacities_.emplace_back(Terms(spec), spec.demand * tasks);
         return capacities_.back().second;
@@ -289,7 +289,8 @@
         int64_t beyond;
     };
     bool suits(const Kept& kept, const Machine& m) const {
-        return cluster_.machine_allowed(*kept.like, m) && !cluster_.spares_gpus(*kept.like, m.type);
+        return cluster_.machine_allowed(*kept.like, m) &&
+               !cluster_.reserves_gpus(*kept.like, m.type);
     }
     bool keeps(const Kept& kept, const Machine& m) const {
         return m.tasks.empty() && m.reserved_for == kNone && suits(kept, m);
@@ -366,11 +367,11 @@
 }  // namespace
 
 std::vector<Placement> place_waiting(ClusterState& cluster, const Usable& usable, double now,
-                                     size_t most, const std::vector<Spare>& spare,
+                                     size_t most, const std::vector<Headroom>& headroom,
                                      const std::vector<Index>& first) {
     std::vector<Placement> out;
     auto ranks = waiting_ranks(cluster, now);
-    Pass pass(cluster, usable, ranks, now, spare);
+    Pass pass(cluster, usable, ranks, now, headroom);
     // Of each team's limit, what its large jobs are waiting for: small tasks that come after them
     // would otherwise fill the limit again each time that one ends, and a large job would never get
     // its share. What could not be filled by large jobs alone is left to the others.
--- a/src/coordination/placement.h
+++ b/src/coordination/placement.h
@@ -25,7 +25,7 @@
 bool image_near(const ClusterState& cluster, const Machine& m, Index image);
 
 // Room to keep for a class whose jobs should start sooner than a new machine comes up.
-struct Spare {
+struct Headroom {
     const JobSpec* like;
     int64_t tasks;    // that should find room, free or soon cleared
     int64_t at_once;  // of those, on empty machines: what comes while others are cleared
@@ -35,7 +35,7 @@
 // `spare` machines empty. `first`: jobs that go before their equals (coordination/begin): of an
 // array one task, as it has begun then.
 std::vector<Placement> place_waiting(ClusterState& cluster, const Usable& usable, double now,
-                                     size_t most = 4096, const std::vector<Spare>& spare = {},
+                                     size_t most = 4096, const std::vector<Headroom>& headroom = {},
                                      const std::vector<Index>& first = {});
 
 // Zones that tasks of the job may be in, for jobs bound to one zone or spread over several.
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -140,7 +140,7 @@
                 auto* m = cluster.machines[i].get();
                 if (!m || taken[i] || !usable(*m) || !cluster.machine_allowed(job.spec, *m))
                     continue;
-                if (cluster.spares_gpus(job.spec, m->type)) continue;
+                if (cluster.reserves_gpus(job.spec, m->type)) continue;
                 if (zone != kNone && m->zone != zone) continue;
                 if (!rule.allows(m->zone)) continue;
                 auto free = job.spec.demand.times_in(m->room() - promised[i]);
--- a/src/coordination/sizing.cpp
+++ b/src/coordination/sizing.cpp
@@ -27,7 +27,7 @@
 constexpr size_t kMostTasks = 400;  // of one job, looked at one by one
 
 // A machine that is up, coming up or to be rented, as far as it is known when it will have room.
-struct Coming {
+struct ExpectedCapacity {
     Index type, zone;
     bool spot;
     double from;  // seconds from now at which `room` is there
@@ -60,10 +60,10 @@
     }
 };
 
-bool serves(const ClusterState& cluster, const JobSpec& spec, const Coming& c) {
+bool serves(const ClusterState& cluster, const JobSpec& spec, const ExpectedCapacity& c) {
     if (c.spot && !spec.spot) return false;
     if (spec.zone != kNone && spec.zone != c.zone) return false;
-    return cluster.type_fits(spec, c.type) && !cluster.spares_gpus(spec, c.type);
+    return cluster.type_fits(spec, c.type) && !cluster.reserves_gpus(spec, c.type);
 }
 
 // Of a task's run, in seconds. The longer it is overdue, the longer it will be: taken for as good
@@ -72,23 +72,25 @@
     return std::max(kOverdue * std::max(expected, ran), expected - ran);
 }
 
-std::vector<Coming> known_machines(const ClusterState& cluster, const Usable& usable, double now) {
-    std::vector<Coming> out;
+std::vector<ExpectedCapacity> known_machines(const ClusterState& cluster, const Usable& usable,
+                                             double now) {
+    std::vector<ExpectedCapacity> out;
     for (auto& m : cluster.machines) {
-        if (!m || m->type == kNone || m->doomed || m->returning) continue;
+        if (!m || m->type == kNone || m->abandoned || m->terminating) continue;
         if (m->type >= cluster.types.size() || !cluster.types[m->type].offered) continue;
         double boot = cluster.types[m->type].type.boot_s;
         // One that a change of leader has just revealed is likely to report soon.
         bool booting =
             !m->up && (m->status == MachineStatus::Booting || now - m->added < kNewcomer_s);
         if (!booting && !usable(*m)) continue;
-        Coming c{m->type,
-                 m->zone,
-                 m->spot,
-                 booting ? std::max(0.2 * boot, m->rented + cluster.boot_factor * boot - now) : 0,
-                 m->room(),
-                 {},
-                 booting};
+        ExpectedCapacity c{
+            m->type,
+            m->zone,
+            m->spot,
+            booting ? std::max(0.2 * boot, m->requested_at + cluster.boot_factor * boot - now) : 0,
+            m->room(),
+            {},
+            booting};
         for (auto& ref : m->tasks) {
             auto& job = *cluster.jobs[ref.job];
             if (job.spec.kind == JobKind::Service) continue;
@@ -110,12 +112,13 @@
 }
 
 // The offer that is cheapest for a task of `tasks`; spot first where it may be used.
-Coming cheapest_offer(const ClusterState& cluster, const JobSpec& spec, size_t tasks, Index only,
-                      const ZoneRule& rule, const std::vector<bool>& silent, double now) {
+ExpectedCapacity cheapest_offer(const ClusterState& cluster, const JobSpec& spec, size_t tasks,
+                                Index only, const ZoneRule& rule, const std::vector<bool>& silent,
+                                double now) {
     double best_cost = 0;
-    Coming offer{kNone, kNone, false, 0, {}, {}};
+    ExpectedCapacity offer{kNone, kNone, false, 0, {}, {}};
     for (Index t = 0; t < cluster.types.size(); ++t) {
-        if (!cluster.type_fits(spec, t) || cluster.spares_gpus(spec, t)) continue;
+        if (!cluster.type_fits(spec, t) || cluster.reserves_gpus(spec, t)) continue;
         auto& type = cluster.types[t].type;
         auto fits = std::min<int64_t>(spec.demand.times_in(type.size), static_cast<int64_t>(tasks));
         for (auto& zone_name : type.zones) {
@@ -156,10 +159,10 @@
 std::vector<bool> silent_zones(const ClusterState& cluster, const Usable& usable) {
     std::vector<int> balance(cluster.names.zones.size(), 0);
     for (auto& m : cluster.machines) {
-        if (!m || m->zone == kNone || m->doomed || m->returning) continue;
+        if (!m || m->zone == kNone || m->abandoned || m->terminating) continue;
         if (m->up && usable(*m))
             --balance[m->zone];
-        else if (m->status == MachineStatus::Running && m->notice_until < 0 && !m->missing)
+        else if (m->status == MachineStatus::Running && m->interruption_at < 0 && !m->missing)
             ++balance[m->zone];
     }
     std::vector<bool> out;
@@ -170,8 +173,9 @@
     return out;
 }
 
-std::vector<Spare> spares(const ClusterState& cluster, const SizingSettings& settings, double now) {
-    std::vector<Spare> out;
+std::vector<Headroom> planned_headroom(const ClusterState& cluster,
+                                       const AutoscalerSettings& settings, double now) {
+    std::vector<Headroom> out;
     for (auto& c : cluster.classes) {
         if (c.start_within_s <= 0 || c.arrivals.empty() || c.last.team == kNone) continue;
         double boot = 1e18;
@@ -194,7 +198,7 @@
             double mean = tasks / kRecent_s * seconds;
             return static_cast<int64_t>(std::ceil(mean + std::sqrt(mean)));
         };
-        Spare spare{&c.last, std::max<int64_t>(largest, within(fresh)), 0};
+        Headroom headroom{&c.last, std::max<int64_t>(largest, within(fresh)), 0};
         // Where machines are cleared soon enough, what comes until then finds empty ones that lower
         // work leaves. Never so many that a small fleet has none left for that work.
         if (cluster.large(c.last) &&
@@ -202,11 +206,11 @@
             int64_t hold = 0;
             for (auto& m : cluster.machines)
                 if (m && m->up && cluster.machine_allowed(c.last, *m) &&
-                    !cluster.spares_gpus(c.last, m->type))
+                    !cluster.reserves_gpus(c.last, m->type))
                     hold += c.last.demand.times_in(m->size);
-            spare.at_once = std::min(within(settings.clear_s), hold / kMostKept);
+            headroom.at_once = std::min(within(settings.clear_s), hold / kMostKept);
         }
-        out.push_back(spare);
+        out.push_back(headroom);
     }
     return out;
 }
@@ -220,12 +224,12 @@
     bool complete = false;  // every task has its place
     bool late = true;       // room comes later than the job would like, and nothing can be rented
     double latest = 1e18;
-    int rented = 0;
-    std::map<size_t, Coming>
+    int requested_at = 0;
+    std::map<size_t, ExpectedCapacity>
         machines;  // as they would be; beyond those that are known, the rented ones
     Wanted wanted;
     // Of several zones, one where the job is served in time, with the fewest machines rented.
-    auto rank() const { return std::make_tuple(late, late ? latest : 0, rented, latest); }
+    auto rank() const { return std::make_tuple(late, late ? latest : 0, requested_at, latest); }
 };
 
 // When a machine has room for a task.
@@ -300,16 +304,16 @@
 struct Layout {
     const ClusterState& cluster;
     double now;
-    std::vector<Coming> coming;
+    std::vector<ExpectedCapacity> coming;
     std::vector<bool> silent;
     double dearest;                 // of the prices offered
-    size_t most_kinds;              // see SizingSettings
+    size_t most_kinds;              // see AutoscalerSettings
     std::vector<size_t> changed{};  // machines, in the order of their changes
     std::vector<Kind> kinds{};
     uint64_t uses_of_kinds = 0;
     mutable std::vector<uint32_t> scratch{};  // of a plan, all zero between plans
 
-    bool serves(const Kind& k, const Coming& c) const {
+    bool serves(const Kind& k, const ExpectedCapacity& c) const {
         return k.fits_type[c.type] && (!c.spot || k.like.spot) &&
                (k.like.zone == kNone || k.like.zone == c.zone);
     }
@@ -366,7 +370,7 @@
             it->like = spec;
             for (Index t = 0; t < cluster.types.size(); ++t)
                 it->fits_type.push_back(cluster.type_fits(spec, t) &&
-                                        !cluster.spares_gpus(spec, t));
+                                        !cluster.reserves_gpus(spec, t));
         }
         auto& k = *it;
         k.used = ++uses_of_kinds;
@@ -387,7 +391,7 @@
     // A machine is rented where room comes later than this share of its boot. A cheap one is rented
     // sooner: where work never stops, tasks used to wait as long as a boot for each other's room,
     // whatever more machines cost.
-    double eager(const Coming& offer) const {
+    double eager(const ExpectedCapacity& offer) const {
         if (offer.type == kNone || dearest <= 0) return kSooner;
         return kSooner *
                std::max(kEager, std::sqrt(cluster.types[offer.type].type.price / dearest));
@@ -417,7 +421,7 @@
         auto over = [&] {
             for (auto& [i, c] : plan.machines) uses[i] = 0;
         };
-        auto add = [&](const Coming& c, size_t i) {
+        auto add = [&](const ExpectedCapacity& c, size_t i) {
             size_t taken;
             double at = c.start(spec.demand, taken);
             if (at > 1e17) return;
@@ -425,13 +429,13 @@
             if (c.rising && taken == 0) risen.push_back(again.back());
             std::push_heap(again.begin(), again.end(), std::greater<>());
         };
-        auto machine = [&](size_t i) -> Coming& {
+        auto machine = [&](size_t i) -> ExpectedCapacity& {
             auto it = plan.machines.find(i);
             return it != plan.machines.end() ? it->second
                                              : plan.machines.emplace(i, coming[i]).first->second;
         };
         size_t known = coming.size();
-        Coming offer{kNone, kNone, false, 0, {}, {}};
+        ExpectedCapacity offer{kNone, kNone, false, 0, {}, {}};
         int64_t most = 0;  // tasks that the largest machine holds: with fewer left the offers'
                            // order may change
         for (Index t = 0; t < cluster.types.size(); ++t)
@@ -499,7 +503,7 @@
                     return plan;
                 }
                 ++count;
-                ++plan.rented;
+                ++plan.requested_at;
                 plan.machines.emplace(known++, offer);
             }
             plan.late = plan.late || (wait && next.at > std::max(kSooner * offer.from, patience));
@@ -540,8 +544,8 @@
 
 }  // namespace
 
-std::vector<Rental> plan_rentals(const ClusterState& cluster, const Usable& usable,
-                                 const SizingSettings& settings, double now) {
+std::vector<ScaleOutRequest> plan_scale_out(const ClusterState& cluster, const Usable& usable,
+                                            const AutoscalerSettings& settings, double now) {
     double dearest = 0;
     for (auto& t : cluster.types)
         if (t.offered) dearest = std::max(dearest, t.type.price);
@@ -582,23 +586,23 @@
         for (auto& [key, n] : chosen.wanted) wanted[key] += n;
         layout.adopt(std::move(chosen));
     }
-    for (auto& spare : spares(cluster, settings, now)) {
+    for (auto& headroom : planned_headroom(cluster, settings, now)) {
         int64_t free = 0;
         for (auto& c : layout.coming)
-            if (serves(cluster, *spare.like, c)) free += spare.like->demand.times_in(c.room);
+            if (serves(cluster, *headroom.like, c)) free += headroom.like->demand.times_in(c.room);
         Job nobody;
-        nobody.spec = *spare.like;
+        nobody.spec = *headroom.like;
         ZoneRule anywhere(cluster, nobody);
-        while (free < spare.tasks) {
+        while (free < headroom.tasks) {
             auto offer =
-                cheapest_offer(cluster, *spare.like, static_cast<size_t>(spare.tasks - free), kNone,
-                               anywhere, layout.silent, now);
+                cheapest_offer(cluster, *headroom.like, static_cast<size_t>(headroom.tasks - free),
+                               kNone, anywhere, layout.silent, now);
             if (offer.type == kNone) break;
             ++wanted[{offer.type, offer.zone, offer.spot}];
-            free += std::max<int64_t>(1, spare.like->demand.times_in(offer.room));
+            free += std::max<int64_t>(1, headroom.like->demand.times_in(offer.room));
         }
     }
-    std::vector<Rental> out;
+    std::vector<ScaleOutRequest> out;
     for (auto& [key, n] : wanted)
         out.push_back(
             {std::get<0>(key), std::get<1>(key), std::get<2>(key), std::min(n, kMaxRental)});
@@ -607,7 +611,7 @@
 
 namespace {
 bool suits(const ClusterState& cluster, const JobSpec& spec, const Machine& m) {
-    return cluster.machine_allowed(spec, m) && !cluster.spares_gpus(spec, m.type);
+    return cluster.machine_allowed(spec, m) && !cluster.reserves_gpus(spec, m.type);
 }
 
 bool wants(const ClusterState& cluster, const Job& job, const Machine& m) {
@@ -616,7 +620,7 @@
 }
 }  // namespace
 
-Index plan_closing(const ClusterState& cluster, const Usable& usable, double now) {
+Index plan_drain(const ClusterState& cluster, const Usable& usable, double now) {
     Index best = kNone;
     double best_gain = 0;
     auto waiting = waiting_jobs(cluster, now);
@@ -668,8 +672,8 @@
     return best;
 }
 
-std::vector<Index> plan_returns(const ClusterState& cluster, const SizingSettings& settings,
-                                double now) {
+std::vector<Index> plan_scale_in(const ClusterState& cluster, const AutoscalerSettings& settings,
+                                 double now) {
     std::vector<Index> out;
     // Gangs that wait, one of each that want the same machines.
     std::vector<const Job*> gangs;
@@ -682,9 +686,9 @@
             }))
             gangs.push_back(&job);
     }
-    auto spare = spares(cluster, settings, now);
+    auto headroom = planned_headroom(cluster, settings, now);
     auto keeps = [&](const Machine& m) {
-        for (auto& s : spare) {
+        for (auto& s : headroom) {
             if (s.tasks <= 0 || !suits(cluster, *s.like, m)) continue;
             s.tasks -= s.like->demand.times_in(m.room());
             return true;
@@ -693,13 +697,13 @@
     };
     for (Index i = 0; i < cluster.machines.size(); ++i) {
         auto* m = cluster.machines[i].get();
-        if (!m || m->returning) continue;
-        if (m->doomed || m->status == MachineStatus::Failed) {
+        if (!m || m->terminating) continue;
+        if (m->abandoned || m->status == MachineStatus::Failed) {
             out.push_back(i);
             continue;
         }
         if (!m->up || !m->tasks.empty()) continue;
-        if (m->closing || m->quarantined_until > now) {
+        if (m->draining || m->quarantined_until > now) {
             out.push_back(i);
             continue;
         }
@@ -712,7 +716,8 @@
                         [&](auto* job) { return wants(cluster, *job, *m); }))
             continue;
         double keep = settings.idle_keep_boots * cluster.types[m->type].type.boot_s;
-        if (now - m->rented < kLeastCharge_s || now - std::max(m->empty_since, m->up_at) < keep)
+        if (now - m->requested_at < kLeastCharge_s ||
+            now - std::max(m->empty_since, m->up_at) < keep)
             continue;
         if (!keeps(*m)) out.push_back(i);
     }
--- a/src/coordination/sizing.h
+++ b/src/coordination/sizing.h
@@ -8,14 +8,14 @@
 
 namespace weirmill {
 
-struct Rental {
+struct ScaleOutRequest {
     Index type, zone;
     bool spot;
     int count;
-    bool operator==(const Rental&) const = default;
+    bool operator==(const ScaleOutRequest&) const = default;
 };
 
-struct SizingSettings {
+struct AutoscalerSettings {
     double idle_keep_boots = 0.3;
     double heartbeat_interval_s = 1;
     // Kinds of equal tasks whose machines are kept in order between jobs; 0: looked at anew for
@@ -25,22 +25,23 @@
 };
 
 // What such classes of the last minutes ask for (Spare).
-std::vector<Spare> spares(const ClusterState& cluster, const SizingSettings& settings, double now);
+std::vector<Headroom> planned_headroom(const ClusterState& cluster,
+                                       const AutoscalerSettings& settings, double now);
 
 // By zone: most machines there that once reported are silent. The zone is cut off: its machines are
 // sound, and one rented there could not be used.
 std::vector<bool> silent_zones(const ClusterState& cluster, const Usable& usable);
 
 // What waiting work needs beyond the machines that are up or coming up.
-std::vector<Rental> plan_rentals(const ClusterState& cluster, const Usable& usable,
-                                 const SizingSettings& settings, double now);
+std::vector<ScaleOutRequest> plan_scale_out(const ClusterState& cluster, const Usable& usable,
+                                            const AutoscalerSettings& settings, double now);
 
 // The dearest machine whose running tasks can all save and go on where there is room already, if
 // moving them costs less than the machine would until they end. kNone: there is none.
-Index plan_closing(const ClusterState& cluster, const Usable& usable, double now);
+Index plan_drain(const ClusterState& cluster, const Usable& usable, double now);
 
 // Machines that serve nothing any more.
-std::vector<Index> plan_returns(const ClusterState& cluster, const SizingSettings& settings,
-                                double now);
+std::vector<Index> plan_scale_in(const ClusterState& cluster, const AutoscalerSettings& settings,
+                                 double now);
 
 }  // namespace weirmill
--- a/src/coordination/starved.cpp
+++ b/src/coordination/starved.cpp
@@ -8,22 +8,22 @@
 
 namespace {
 
-constexpr std::array<const char*, kHeldKinds> kNames = {
+constexpr std::array<const char*, kBlockedByKinds> kNames = {
     "nothing", "back_off", "spared", "reserved", "quarantined", "unheard", "leaving"};
 
-HeldBy holds(const ClusterState& cluster, const Machine& m, const Usable& usable, Index job,
-             double now) {
-    if (m.notice_until >= 0 || m.closing || m.returning) return HeldBy::Leaving;
-    if (m.quarantined_until > now) return HeldBy::Quarantined;
-    if (!usable(m)) return HeldBy::Unheard;
-    if (m.reserved(now) && m.reserved_for != job) return HeldBy::Reserved;
-    if (!cluster.leaves_gpus_usable(cluster.jobs[job]->spec, m)) return HeldBy::Spared;
-    return cluster.jobs[job]->not_before > now ? HeldBy::BackOff : HeldBy::Nothing;
+BlockedBy holds(const ClusterState& cluster, const Machine& m, const Usable& usable, Index job,
+                double now) {
+    if (m.interruption_at >= 0 || m.draining || m.terminating) return BlockedBy::Leaving;
+    if (m.quarantined_until > now) return BlockedBy::Quarantined;
+    if (!usable(m)) return BlockedBy::Unheard;
+    if (m.reserved(now) && m.reserved_for != job) return BlockedBy::Reserved;
+    if (!cluster.leaves_gpus_usable(cluster.jobs[job]->spec, m)) return BlockedBy::Spared;
+    return cluster.jobs[job]->not_before > now ? BlockedBy::BackOff : BlockedBy::Nothing;
 }
 
 // The machine that is held least of those that hold the whole job together; nothing: they don't.
-std::optional<Starved> starved(const ClusterState& cluster, const std::vector<Index>& roomy,
-                               const Usable& usable, Index j, double now) {
+std::optional<StarvedJob> starved(const ClusterState& cluster, const std::vector<Index>& roomy,
+                                  const Usable& usable, Index j, double now) {
     auto& job = *cluster.jobs[j];
     auto& spec = job.spec;
     // Of an array one task is enough to begin; all others begin whole.
@@ -31,7 +31,7 @@
     if (!cluster.within_limit(cluster.teams[spec.team], spec.demand * wanted)) return {};
     struct Room {
         Index machine, zone;
-        HeldBy held;
+        BlockedBy held;
         int64_t tasks;
     };
     std::vector<Room> rooms;
@@ -51,15 +51,15 @@
         here += n;
         all += n;
         // Held by the most that any of the machines needed for it is.
-        if ((spec.one_zone ? here : all) >= wanted) return Starved{j, room.machine, room.held};
+        if ((spec.one_zone ? here : all) >= wanted) return StarvedJob{j, room.machine, room.held};
     }
     return {};
 }
 
 }  // namespace
 
-std::vector<Starved> starved_jobs(const ClusterState& cluster, const Usable& usable, double now,
-                                  double waits_s) {
+std::vector<StarvedJob> starved_jobs(const ClusterState& cluster, const Usable& usable, double now,
+                                     double waits_s) {
     std::vector<Index> waiting;
     Resources least;
     for (Index j = 0; j < cluster.jobs.size(); ++j) {
@@ -80,19 +80,19 @@
     std::vector<Index> roomy;
     for (Index i = 0; i < cluster.machines.size() && !waiting.empty(); ++i) {
         auto* m = cluster.machines[i].get();
-        if (m && m->up && !m->doomed && m->zone != kNone && least.fits_in(m->room()))
+        if (m && m->up && !m->abandoned && m->zone != kNone && least.fits_in(m->room()))
             roomy.push_back(i);
     }
-    std::vector<Starved> out;
+    std::vector<StarvedJob> out;
     for (auto j : waiting)
         if (auto s = starved(cluster, roomy, usable, j, now)) out.push_back(*s);
     return out;
 }
 
-void starved_gauges(const std::vector<Starved>& starved, std::map<std::string, double>& out) {
-    std::array<double, kHeldKinds> count{};
+void starved_gauges(const std::vector<StarvedJob>& starved, std::map<std::string, double>& out) {
+    std::array<double, kBlockedByKinds> count{};
     for (auto& s : starved) ++count[static_cast<size_t>(s.held)];
-    for (size_t k = 0; k < kHeldKinds; ++k)
+    for (size_t k = 0; k < kBlockedByKinds; ++k)
         out[std::string("jobs_starved_") + kNames[k]] = count[k];
     out["jobs_starved"] = static_cast<double>(starved.size());
 }
--- a/src/coordination/starved.h
+++ b/src/coordination/starved.h
@@ -11,7 +11,7 @@
 namespace weirmill {
 
 // What keeps the job from the room. The first that is true of the least held machine.
-enum class HeldBy : uint8_t {
+enum class BlockedBy : uint8_t {
     Nothing,      // the next pass should place it
     BackOff,      // it failed, and is tried again later
     Spared,       // for tasks with GPUs
@@ -20,12 +20,12 @@
     Unheard,      // the machine is silent or believed deaf
     Leaving,      // noticed, closing or being returned
 };
-inline constexpr size_t kHeldKinds = static_cast<size_t>(HeldBy::Leaving) + 1;
+inline constexpr size_t kBlockedByKinds = static_cast<size_t>(BlockedBy::Leaving) + 1;
 
-struct Starved {
+struct StarvedJob {
     Index job = kNone;
     Index machine = kNone;  // of a gang: one of those that would hold it
-    HeldBy held = HeldBy::Nothing;
+    BlockedBy held = BlockedBy::Nothing;
 };
 
 // Well before users call it that.
@@ -33,9 +33,9 @@
 
 // Of the jobs of which nothing has been placed for `waits_s` seconds since they could begin.
 // Machines that never were up or are given up have no room.
-std::vector<Starved> starved_jobs(const ClusterState& cluster, const Usable& usable, double now,
-                                  double waits_s);
+std::vector<StarvedJob> starved_jobs(const ClusterState& cluster, const Usable& usable, double now,
+                                     double waits_s);
 
-void starved_gauges(const std::vector<Starved>& starved, std::map<std::string, double>& out);
+void starved_gauges(const std::vector<StarvedJob>& starved, std::map<std::string, double>& out);
 
 }  // namespace weirmill
--- a/src/protocol/types.h
+++ b/src/protocol/types.h
@@ -111,7 +111,7 @@
     std::string machine, addr, type, zone;
     bool spot = false;
     uint64_t agent_epoch = 0, seq = 0, fencing_token = 0;
-    double notice_s = -1;  // < 0: none
+    double interruption_notice_s = -1;  // < 0: none
     std::vector<TaskStatus> tasks;
 };
 
--- a/src/protocol/worker_codec.cpp
+++ b/src/protocol/worker_codec.cpp
@@ -62,7 +62,7 @@
     r.agent_epoch = read::count(o, "shift");
     r.seq = read::count(o, "tick");
     r.fencing_token = read::count(o, "gavel", 0);
-    r.notice_s = read::field(o, "recall_s") ? read::number(o, "recall_s") : -1;
+    r.interruption_notice_s = read::field(o, "recall_s") ? read::number(o, "recall_s") : -1;
     auto& list = read::array(o, "lots");
     r.tasks.reserve(list.size());
     for (auto& item : list) {
--- a/tests/cancel_model_test.cpp
+++ b/tests/cancel_model_test.cpp
@@ -62,8 +62,8 @@
     uint8_t next_since, next_leads, next_knows;
     uint8_t recorded, told;  // told: when + 1
     uint8_t sent, fencing_token,
-        task;          // the worker: its last answered report; highest token; the task is there
-    uint8_t spare[6];  // to whole words
+        task;             // the worker: its last answered report; highest token; the task is there
+    uint8_t headroom[6];  // to whole words
 };
 static_assert(std::has_unique_object_representations_v<State> && sizeof(State) == 24);
 using Words = std::array<uint64_t, 3>;
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -96,7 +96,7 @@
     auto r = parse_heartbeat(good);
     EXPECT_EQ(r.machine, "vm-1");
     EXPECT_EQ(r.seq, 88u);
-    EXPECT_LT(r.notice_s, 0);
+    EXPECT_LT(r.interruption_notice_s, 0);
     ASSERT_EQ(r.tasks.size(), 2u);
     EXPECT_EQ(r.tasks[0].job, "req-000412");
     EXPECT_EQ(r.tasks[0].task, 3u);
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -251,13 +251,13 @@
     for (auto* name : {"m1", "m2", "m3"}) w.machine(name);
     w.running(w.spec("req-9", JobKind::Array, 1, 4), {partly});
     auto gang = w.spec("req-8", JobKind::Gang, 1, 7, 0, Priority::High);
-    std::vector<Spare> spare{{&gang, 2, 2}};
+    std::vector<Headroom> headroom{{&gang, 2, 2}};
     w.job(w.spec("req-1", JobKind::Array, 20, 4, 0, Priority::Low));
-    auto placed = place_waiting(w.cluster, any_machine, w.now, 100, spare);
+    auto placed = place_waiting(w.cluster, any_machine, w.now, 100, headroom);
     EXPECT_EQ(placed.size(),
               3u);  // one beside the other, two on the one empty machine that is not kept
     auto first = w.job(w.spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
-    place_waiting(w.cluster, any_machine, w.now, 100, spare);
+    place_waiting(w.cluster, any_machine, w.now, 100, headroom);
     EXPECT_EQ(w.cluster.jobs[first]->placed, 2u);
 }
 
@@ -286,11 +286,12 @@
         for (int i = 0; i < row.machines; ++i) w.machine("m" + std::to_string(i));
         for (int i = 0; i < 6; ++i)
             w.job(w.spec("req-" + std::to_string(i), row.kind, 2, row.cpus, 0, Priority::High));
-        SizingSettings settings;
+        AutoscalerSettings settings;
         settings.heartbeat_interval_s = 2;
         settings.clear_s = row.clear_s;
         std::vector<std::pair<int64_t, int64_t>> got;
-        for (auto& s : spares(w.cluster, settings, w.now)) got.emplace_back(s.tasks, s.at_once);
+        for (auto& s : planned_headroom(w.cluster, settings, w.now))
+            got.emplace_back(s.tasks, s.at_once);
         EXPECT_EQ(got, row.kept) << row.why;
     }
 }
@@ -520,7 +521,7 @@
     auto s = w.spec("req-1", JobKind::Array, 40, 8);
     s.estimate_s = 100;
     w.job(s);
-    auto rentals = plan_rentals(w.cluster, any_machine, {0.3, 1}, w.now);
+    auto rentals = plan_scale_out(w.cluster, any_machine, {0.3, 1}, w.now);
     ASSERT_FALSE(rentals.empty());
     for (auto& r : rentals) EXPECT_EQ(w.cluster.names.zones.name(r.zone), "b");
 }
@@ -536,7 +537,7 @@
         World w;
         w.machine("m0");
         w.job(w.spec("req-1", row.kind, 2, 7));
-        EXPECT_EQ(plan_returns(w.cluster, {0.3, 1}, w.now + 200).size(), row.returned);
+        EXPECT_EQ(plan_scale_in(w.cluster, {0.3, 1}, w.now + 200).size(), row.returned);
     }
 }
 
@@ -673,17 +674,17 @@
     s.estimate_s = 300;
     s.deadline_s = 330;  // too long, and too urgent, to be run one after the other
     w.job(s);
-    EXPECT_EQ(plan_rentals(w.cluster, any_machine, {}, w.now),
-              (std::vector<Rental>{{std_type, zone_a, true, 3}}));
+    EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
+              (std::vector<ScaleOutRequest>{{std_type, zone_a, true, 3}}));
     // A machine that is coming up already counts, whether the list shows it or not.
     auto& m = *w.cluster.machines[w.machine("m0", "std", "a", true)];
     m.up = false;
-    EXPECT_EQ(plan_rentals(w.cluster, any_machine, {}, w.now),
-              (std::vector<Rental>{{std_type, zone_a, true, 2}}));
+    EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
+              (std::vector<ScaleOutRequest>{{std_type, zone_a, true, 2}}));
     // Refused there: the next cheapest offer.
     w.cluster.refusals.push_back({w.now + 10, {std_type, zone_a, true}});
-    EXPECT_EQ(plan_rentals(w.cluster, any_machine, {}, w.now),
-              (std::vector<Rental>{{std_type, zone_b, true, 2}}));
+    EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
+              (std::vector<ScaleOutRequest>{{std_type, zone_b, true, 2}}));
 }
 
 TEST(Sizing, AJobBoundToOneZoneIsNotKeptInAZoneThatIsFull) {
@@ -702,8 +703,8 @@
     s.id = "req-2";
     w.job(s);
     w.cluster.refusals.push_back({w.now + 10, {std_type, zone_a, false}});
-    EXPECT_EQ(plan_rentals(w.cluster, any_machine, {}, w.now),
-              (std::vector<Rental>{{std_type, zone_b, false, 1}}));
+    EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
+              (std::vector<ScaleOutRequest>{{std_type, zone_b, false, 1}}));
 }
 
 TEST(Sizing, AMachineJustRentedIsNotRentedAgain) {
@@ -712,12 +713,12 @@
     auto s = w.spec("req-1", JobKind::Array, 1, 8);
     s.deadline_s = 1;
     w.job(s);
-    ASSERT_EQ(plan_rentals(w.cluster, any_machine, {}, w.now).size(), 1u);
+    ASSERT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now).size(), 1u);
     auto& m = *w.cluster.machines[w.machine("m0", "std", "a", true)];
     m.up = false;
-    m.rented = w.now;
+    m.requested_at = w.now;
     for (double later : {0.0, 0.5, 10.0, 29.0, 40.0})
-        EXPECT_TRUE(plan_rentals(w.cluster, any_machine, {}, w.now + later).empty()) << later;
+        EXPECT_TRUE(plan_scale_out(w.cluster, any_machine, {}, w.now + later).empty()) << later;
 }
 
 TEST(Sizing, WaitsForRoomThatComesSoonerThanANewMachine) {
@@ -756,11 +757,11 @@
         s.id = "req-2";
         s.deadline_s = row.deadline_s;
         w.job(s);
-        EXPECT_EQ(plan_rentals(w.cluster, any_machine, {}, w.now).size(), row.rentals) << row.why;
+        EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now).size(), row.rentals) << row.why;
         // What is coming up already is not rented again.
         auto coming = w.cluster.add_machine("m1", w.now);
         w.cluster.describe_machine(*w.cluster.machines[coming], "std", "a", false);
-        EXPECT_TRUE(plan_rentals(
+        EXPECT_TRUE(plan_scale_out(
                         w.cluster, [&](auto& x) { return x.up; }, {}, w.now)
                         .empty())
             << row.why;
@@ -775,28 +776,28 @@
     auto m0 = w.machine("m0"), m1 = w.machine("m1");
     w.running(s, {m0, m1});
     // Both machines are taken: room for another job of two is rented before it comes.
-    int rented = 0;
-    for (auto& r : plan_rentals(w.cluster, any_machine, {}, w.now)) rented += r.count;
-    EXPECT_EQ(rented, 2);
+    int requested_at = 0;
+    for (auto& r : plan_scale_out(w.cluster, any_machine, {}, w.now)) requested_at += r.count;
+    EXPECT_EQ(requested_at, 2);
     // Idle ones are kept for it, until no such job has come for a while.
     w.machine("m2");
     w.machine("m3");
     w.now += 100;
-    EXPECT_TRUE(plan_rentals(w.cluster, any_machine, {}, w.now).empty());
-    EXPECT_TRUE(plan_returns(w.cluster, {0.3, 1}, w.now).empty());
+    EXPECT_TRUE(plan_scale_out(w.cluster, any_machine, {}, w.now).empty());
+    EXPECT_TRUE(plan_scale_in(w.cluster, {0.3, 1}, w.now).empty());
     w.now += 100;
-    EXPECT_EQ(plan_returns(w.cluster, {0.3, 1}, w.now).size(), 2u);
+    EXPECT_EQ(plan_scale_in(w.cluster, {0.3, 1}, w.now).size(), 2u);
 }
 
 TEST(Sizing, ReturnsIdleGivenUpAndFailedMachines) {
     World w;
-    auto idle = w.machine("idle"), busy = w.machine("busy"), doomed = w.machine("doomed"),
+    auto idle = w.machine("idle"), busy = w.machine("busy"), abandoned = w.machine("doomed"),
          fresh = w.machine("fresh");
     w.running(w.spec("req-1", JobKind::Array, 1, 1), {busy});
-    w.cluster.machines[doomed]->doomed = true;
+    w.cluster.machines[abandoned]->abandoned = true;
     w.now += 61;
     w.cluster.machines[fresh]->up_at = w.now;
-    EXPECT_EQ(plan_returns(w.cluster, {1.0, 1}, w.now), (std::vector<Index>{idle, doomed}));
+    EXPECT_EQ(plan_scale_in(w.cluster, {1.0, 1}, w.now), (std::vector<Index>{idle, abandoned}));
 }
 
 TEST(Preemption, AJobThatFindsNoMachinesSparesOnlyThoseOfItsKindThatWantAsMuch) {
@@ -848,7 +849,7 @@
                                               below(2) ? "a" : "b", below(3) == 0)];
             m.up = below(4) > 0;
             m.status = m.up ? MachineStatus::Running : MachineStatus::Booting;
-            m.rented = w.now - below(30);
+            m.requested_at = w.now - below(30);
         }
         uint32_t jobs = 5 + below(40), kinds = below(2) ? 3 : 30;
         for (uint32_t j = 0; j < jobs; ++j) {
@@ -865,9 +866,9 @@
             w.job(std::move(s));
             if (j == jobs / 2) place_waiting(w.cluster, test::any_machine, w.now, 1000);
         }
-        auto kept = plan_rentals(w.cluster, test::any_machine, {0.3, 2, 8}, w.now);
+        auto kept = plan_scale_out(w.cluster, test::any_machine, {0.3, 2, 8}, w.now);
         for (size_t lists : {0, 1, 2})
-            EXPECT_EQ(plan_rentals(w.cluster, test::any_machine, {0.3, 2, lists}, w.now), kept)
+            EXPECT_EQ(plan_scale_out(w.cluster, test::any_machine, {0.3, 2, lists}, w.now), kept)
                 << "seed " << seed << ", lists " << lists;
         rentals += kept.size();
     }
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -169,7 +169,7 @@
     c.now += 100;
     EXPECT_DOUBLE_EQ(c.look().units, 8);
     for (uint32_t t = 0; t < 8; ++t) c.cluster.unassign(j, t, c.now);
-    c.cluster.machines[0]->doomed = true;  // nothing is there any more
+    c.cluster.machines[0]->abandoned = true;  // nothing is there any more
     c.now += 1;
     double soon = c.look().units;
     EXPECT_GT(soon, 6);
--- a/tests/placement_reference.h
+++ b/tests/placement_reference.h
@@ -121,7 +121,7 @@
             auto& m = *cluster.machines[i];
             if (!demand.fits_in(m.room()) && demand.times_in(m.size) >= 2 &&
                 (!held.count(i) || held.at(i) < job.priority) &&
-                cluster.machine_allowed(job.spec, m) && !cluster.spares_gpus(job.spec, m.type))
+                cluster.machine_allowed(job.spec, m) && !cluster.reserves_gpus(job.spec, m.type))
                 some.emplace(demand.cpu - m.room().cpu, i);
         }
         uint32_t n = 0;
--- a/tests/starved_test.cpp
+++ b/tests/starved_test.cpp
@@ -9,11 +9,11 @@
 
 using test::World;
 
-TEST(Starved, IsAJobThatWaitsWhileItsRoomStandsFreeAndWhatHoldsThat) {
+TEST(StarvedJob, IsAJobThatWaitsWhileItsRoomStandsFreeAndWhatHoldsThat) {
     struct Row {
         const char* what;
         std::function<void(World&, Job&)> change;
-        std::optional<HeldBy> held;  // nothing: it waits for a reason
+        std::optional<BlockedBy> held;  // nothing: it waits for a reason
         JobKind kind = JobKind::Array;
         uint32_t tasks = 2;
         double cpus = 4;
@@ -22,48 +22,48 @@
         for (auto& m : w.cluster.machines) change(*m);
     };
     const Row rows[] = {
-        {"room stands free", [](World&, Job&) {}, HeldBy::Nothing},
+        {"room stands free", [](World&, Job&) {}, BlockedBy::Nothing},
         {"it came a while ago only", [](World& w, Job& j) { j.seen_at = w.now - 10; },
          std::nullopt},
         {"it waits for another", [](World&, Job& j) { j.waits = true; }, std::nullopt},
         {"it is cancelled", [](World&, Job& j) { j.cancelled = true; }, std::nullopt},
-        {"it failed", [](World& w, Job& j) { j.not_before = w.now + 5; }, HeldBy::BackOff},
+        {"it failed", [](World& w, Job& j) { j.not_before = w.now + 5; }, BlockedBy::BackOff},
         {"its team is at its limit",
          [](World& w, Job& j) { w.cluster.teams[j.spec.team].used = {32000, 0, 0}; }, std::nullopt},
         {"reserved for another",
          [&](World& w, Job&) {
              all(w, [&](Machine& m) { m.reserved_for = 7, m.reserved_until = w.now + 9; });
          },
-         HeldBy::Reserved},
+         BlockedBy::Reserved},
         {"reserved for itself",
          [&](World& w, Job&) {
              all(w, [&](Machine& m) { m.reserved_for = 0, m.reserved_until = w.now + 9; });
          },
-         HeldBy::Nothing},
+         BlockedBy::Nothing},
         {"a reservation that is over",
          [&](World& w, Job&) {
              all(w, [&](Machine& m) { m.reserved_for = 7, m.reserved_until = w.now - 1; });
          },
-         HeldBy::Nothing},
+         BlockedBy::Nothing},
         {"in quarantine",
          [&](World& w, Job&) { all(w, [&](Machine& m) { m.quarantined_until = w.now + 9; }); },
-         HeldBy::Quarantined},
+         BlockedBy::Quarantined},
         {"unheard", [&](World& w, Job&) { all(w, [&](Machine& m) { m.downlink.lost_since = 1; }); },
-         HeldBy::Unheard},
-        {"closing", [&](World& w, Job&) { all(w, [&](Machine& m) { m.closing = true; }); },
-         HeldBy::Leaving},
-        {"one of two is free", [&](World& w, Job&) { w.cluster.machines[0]->closing = true; },
-         HeldBy::Nothing},
+         BlockedBy::Unheard},
+        {"closing", [&](World& w, Job&) { all(w, [&](Machine& m) { m.draining = true; }); },
+         BlockedBy::Leaving},
+        {"one of two is free", [&](World& w, Job&) { w.cluster.machines[0]->draining = true; },
+         BlockedBy::Nothing},
         {"not up", [&](World& w, Job&) { all(w, [&](Machine& m) { m.up = false; }); },
          std::nullopt},
-        {"given up", [&](World& w, Job&) { all(w, [&](Machine& m) { m.doomed = true; }); },
+        {"given up", [&](World& w, Job&) { all(w, [&](Machine& m) { m.abandoned = true; }); },
          std::nullopt},
         {"of another zone",
          [&](World& w, Job& j) { j.spec.zone = w.cluster.names.zones.intern("b"); }, std::nullopt},
-        {"a gang that fits both", [](World&, Job&) {}, HeldBy::Nothing, JobKind::Gang, 4},
+        {"a gang that fits both", [](World&, Job&) {}, BlockedBy::Nothing, JobKind::Gang, 4},
         {"a gang too large for both", [](World&, Job&) {}, std::nullopt, JobKind::Gang, 5},
         {"a gang for which one of both is closing",
-         [&](World& w, Job&) { w.cluster.machines[1]->closing = true; }, HeldBy::Leaving,
+         [&](World& w, Job&) { w.cluster.machines[1]->draining = true; }, BlockedBy::Leaving,
          JobKind::Gang, 4},
         {"half of a gang in one zone at most", [](World&, Job& j) { j.spec.spread = true; },
          std::nullopt, JobKind::Gang, 4},
