--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -19,9 +19,9 @@
 constexpr size_t kFull = 8 * 1024;
 constexpr size_t kEntryBytes = 700;  // rows of one entry, about
 constexpr size_t kRetoldAtOnce = 3 * 1024;
-constexpr size_t kSpare = 64;         // of a value's limit, left free
-constexpr size_t kLeastValue = 1024;  // what any state service should take
-constexpr int kLeastOps = 4;
+constexpr size_t kSpare = 64;       // of a value's limit, left free
+constexpr size_t kMinValue = 1024;  // what any state service should take
+constexpr int kMinOps = 4;
 constexpr size_t kDroppedAtOnce = 3;
 }  // namespace
 
@@ -211,8 +211,8 @@
 }
 
 bool StateLog::shrink() {
-    int ops = std::max(kLeastOps, txn_ops_ / 2);
-    size_t now = hard_limit_ + kSpare, bytes = std::max(kLeastValue, now / 2);
+    int ops = std::max(kMinOps, txn_ops_ / 2);
+    size_t now = hard_limit_ + kSpare, bytes = std::max(kMinValue, now / 2);
     if (ops >= txn_ops_ && bytes >= now) return false;
     set_limits(ops, bytes);
     // What was cut for the larger limits is cut anew. Pieces already recorded are told again from
--- a/src/bookkeeping/state_client.h
+++ b/src/bookkeeping/state_client.h
@@ -43,13 +43,13 @@
     void take(double n) { level_ -= n; }
     void drain() { level_ = std::min(level_, 0.0); }
     void too_fast() {
-        rate_ = std::max(allowed_ * kLeast, rate_ * kFall);
+        rate_ = std::max(allowed_ * kMin, rate_ * kFall);
         drain();
     }
     double rate() const { return rate_; }
 
   private:
-    static constexpr double kFall = 0.8, kLeast = 0.1, kRecovery = 0.001;
+    static constexpr double kFall = 0.8, kMin = 0.1, kRecovery = 0.001;
     double allowed_, rate_, burst_s_, level_, last_ = 0;
 };
 
--- a/src/bookkeeping/tables.cpp
+++ b/src/bookkeeping/tables.cpp
@@ -5,9 +5,9 @@
 namespace weirmill {
 
 namespace {
-constexpr size_t kMostArrivals = 64;
-constexpr long kMostImages = 64;  // of one machine: names of images are the users' own
-constexpr size_t kMostClasses =
+constexpr size_t kMaxArrivals = 64;
+constexpr long kMaxImages = 64;  // of one machine: names of images are the users' own
+constexpr size_t kMaxClasses =
     1000;  // names of classes are the users' own: further ones are not learnt from
 }  // namespace
 
@@ -54,7 +54,7 @@
     job->waits = !spec.dependencies.empty();
     job->spec = std::move(spec);
     task_count += job->tasks.size();
-    if (job->spec.job_class < kMostClasses && classes.size() <= job->spec.job_class)
+    if (job->spec.job_class < kMaxClasses && classes.size() <= job->spec.job_class)
         classes.resize(job->spec.job_class + 1);
     if (auto& demand = job->spec.demand; demand.gpu >= 1000) {
         Resources share{demand.cpu * 1000 / demand.gpu, 1000, demand.mem * 1000 / demand.gpu};
@@ -90,7 +90,7 @@
     if (job.spec.job_class >= classes.size()) return;
     auto& c = classes[job.spec.job_class];
     c.arrivals.emplace_back(now, job.spec.tasks);
-    if (c.arrivals.size() > kMostArrivals) c.arrivals.pop_front();
+    if (c.arrivals.size() > kMaxArrivals) c.arrivals.pop_front();
     c.last = job.spec;
 }
 
@@ -305,7 +305,7 @@
     auto kept = m.images.rbegin();
     for (; kept != m.images.rend(); ++kept) {
         held += image_gb_[*kept];
-        if (kept != m.images.rbegin() && (held > cache || kept - m.images.rbegin() >= kMostImages))
+        if (kept != m.images.rbegin() && (held > cache || kept - m.images.rbegin() >= kMaxImages))
             break;
     }
     m.images.erase(m.images.begin(), kept.base());
@@ -412,8 +412,8 @@
             due = std::min(due, at);
     });
     // What others wait for keeps its times.
-    uint32_t given_up = job.needed_by < 1e17 ? 0 : job.given_up;
-    for (uint32_t n = 0; n < given_up && due < 1e17; ++n) {
+    uint32_t abandoned_deadlines = job.needed_by < 1e17 ? 0 : job.abandoned_deadlines;
+    for (uint32_t n = 0; n < abandoned_deadlines && due < 1e17; ++n) {
         passed = due;
         due = 1e18;
         each_time(job, [&](double at) {
--- a/src/bookkeeping/tables.h
+++ b/src/bookkeeping/tables.h
@@ -65,7 +65,7 @@
     std::set<Index> failed_on;
     // Of its times that it could still meet, the first so many are left to others
     // (coordination/overload).
-    uint32_t given_up = 0;
+    uint32_t abandoned_deadlines = 0;
     // All of it fitted its team's guarantee beside the team's unfinished jobs when it came: it need
     // not wait for other teams.
     bool guaranteed = false;
@@ -155,7 +155,7 @@
     // Of a team's jobs of this class, where more waits than its users can be served with in time:
     // the seconds that a job waits for each second and unit of its work. 0: not pressed
     // (coordination/overload).
-    std::vector<double> stretch;  // by team index
+    std::vector<double> slowdown;  // by team index
 };
 
 struct Refusal {
@@ -239,9 +239,9 @@
     // `earliest`; `missed`: how many such times are past saving, or given up.
     double due(const Job& job, double earliest, int& missed) const;
     size_t times_asked(const Job& job) const;
-    double stretch(const JobSpec& spec) const {
+    double slowdown(const JobSpec& spec) const {
         if (spec.job_class >= classes.size()) return 0;
-        auto& by_team = classes[spec.job_class].stretch;
+        auto& by_team = classes[spec.job_class].slowdown;
         return spec.team < by_team.size() ? by_team[spec.team] : 0;
     }
     // Run time to expect of a task, without its image fetch.
--- a/src/coordination/begin/begin.cpp
+++ b/src/coordination/begin/begin.cpp
@@ -12,7 +12,8 @@
 constexpr double kLate = 0.7;
 }  // namespace
 
-std::vector<Index> late_to_begin(const ClusterState& cluster, double within_s, double now) {
+std::vector<Index> jobs_near_start_deadline(const ClusterState& cluster, double within_s,
+                                            double now) {
     std::vector<Index> out;
     if (within_s <= 0) return out;
     for (Index j = 0; j < cluster.jobs.size(); ++j) {
@@ -29,8 +30,8 @@
     return out;
 }
 
-std::vector<Index> gather_machines(const ClusterState& cluster, const Usable& usable, Index j,
-                                   double now) {
+std::vector<Index> machines_for_gang(const ClusterState& cluster, const Usable& usable, Index j,
+                                     double now) {
     auto& job = *cluster.jobs[j];
     auto& demand = job.spec.demand;
     if (!cluster.within_limit(cluster.teams[job.spec.team], demand * job.pending)) return {};
--- a/src/coordination/begin/begin.h
+++ b/src/coordination/begin/begin.h
@@ -11,12 +11,13 @@
 
 // Waiting jobs of which no task has run or is placed, and that came 0.7 of the bound ago or more;
 // the oldest first. `within_s`: the bound, seconds; 0: there is none.
-std::vector<Index> late_to_begin(const ClusterState& cluster, double within_s, double now);
+std::vector<Index> jobs_near_start_deadline(const ClusterState& cluster, double within_s,
+                                            double now);
 
 // Machines to be kept empty for the gang until there are enough in one zone, if each of its tasks
 // takes one whole: those in the zone where most are. Fewer than it needs, as it would have been
 // placed otherwise.
-std::vector<Index> gather_machines(const ClusterState& cluster, const Usable& usable, Index job,
-                                   double now);
+std::vector<Index> machines_for_gang(const ClusterState& cluster, const Usable& usable, Index job,
+                                     double now);
 
 }  // namespace weirmill
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -18,14 +18,14 @@
 namespace {
 
 // What comes back from outside has as much room again: none of that may be lost.
-constexpr size_t kMailbox = 2 * kMostAsked;
+constexpr size_t kMailbox = 2 * kMaxAsked;
 constexpr int kSegmentsAPage = 50;
 const std::string kOldJobs = "j/";
 constexpr double kAsk_s = 2.0;
 constexpr double kSettle_s = 0.6;
-constexpr double kGather_s = 5;       // renewed with each pass
-constexpr size_t kMostPlaced = 4096;  // in one pass
-constexpr double kAccount_s = 5;      // between lines about where the room is
+constexpr double kGather_s = 5;      // renewed with each pass
+constexpr size_t kMaxPlaced = 4096;  // in one pass
+constexpr double kAccount_s = 5;     // between lines about where the room is
 
 }  // namespace
 
@@ -66,7 +66,7 @@
 asio::awaitable<PeerReply> Leader::ask(PeerCall call) {
     if (!ready_) co_return undecided();
     size_t bytes = call.body.size();
-    if (asked_ >= kMostAsked || asked_bytes_ + bytes > most_asked_bytes(settings_))
+    if (asked_ >= kMaxAsked || asked_bytes_ + bytes > most_asked_bytes(settings_))
         co_return come_back();
     Reply reply(io_.get_executor());
     bool is_heartbeat = call.op == PeerOp::Heartbeat;
@@ -99,7 +99,7 @@
     out["machines_deaf"] = static_cast<double>(downlink_lost);
     out["tasks_placed"] = static_cast<double>(placed);
     out["tasks_pending"] = static_cast<double>(pending);
-    out["queues_pressed"] = static_cast<double>(forecast_.pressed());
+    out["queues_pressed"] = static_cast<double>(forecast_.overloaded());
     capacity_gauges(capacity_breakdown(cluster_, usable_now(), now_), out);
     starved_gauges(starved_jobs(cluster_, usable_now(), now_, kStarvedAfter_s), out);
 }
@@ -254,7 +254,7 @@
                         "{:.0f} left, "
                         "drains in {:.0f}s of {:.0f}s",
                         cluster_.names.classes.name(key.job_class),
-                        cluster_.names.teams.name(key.team), q.jobs, q.give_up, q.in_use, q.left,
+                        cluster_.names.teams.name(key.team), q.jobs, q.abandoning, q.in_use, q.left,
                         q.drain_s, q.within_s);
         }
         dirty_ = true;  // back-offs and quarantines end with time alone
@@ -293,15 +293,15 @@
     ++passes_;
     std::vector<Index> late;
     if (properties_.overload_enabled)
-        late = late_to_begin(cluster_, properties_.begin_within_s, now_);
-    place_waiting(cluster_, usable_now(), now_, kMostPlaced,
+        late = jobs_near_start_deadline(cluster_, properties_.start_deadline_s, now_);
+    place_waiting(cluster_, usable_now(), now_, kMaxPlaced,
                   planned_headroom(cluster_, autoscaler_settings(), now_), late);
     // For one gang at a time, the one that waits the longest.
     auto gang = std::find_if(late.begin(), late.end(), [&](Index j) {
         return cluster_.jobs[j]->spec.kind == JobKind::Gang && cluster_.jobs[j]->placed == 0;
     });
     if (gang == late.end()) return;
-    for (auto i : gather_machines(cluster_, usable_now(), *gang, now_)) {
+    for (auto i : machines_for_gang(cluster_, usable_now(), *gang, now_)) {
         cluster_.machines[i]->reserved_for = *gang;
         cluster_.machines[i]->reserved_until = now_ + kGather_s;
     }
--- a/src/coordination/overload/forecast.cpp
+++ b/src/coordination/overload/forecast.cpp
@@ -102,7 +102,7 @@
         used = used * keep + q.in_use * (1 - keep);
     }
     std::erase_if(used_, [&](auto& u) { return !queues_.count(u.first); });
-    pressed_ = 0;
+    overloaded_ = 0;
     std::map<QueueKey, std::vector<Index>> waiting;
     for (Index j = 0; j < cluster.jobs.size(); ++j)
         if (auto* job = cluster.jobs[j].get(); job && job->active() && !job->waits)
@@ -110,18 +110,19 @@
     for (auto& [key, jobs] : waiting) {
         auto& q = queues_[key];
         // Where all of it fits at once, none waits for another.
-        give_up_times(cluster, jobs, q.left < q.wanted ? q.left : 0, now);
-        q.give_up = static_cast<uint32_t>(std::count_if(
-            jobs.begin(), jobs.end(), [&](Index j) { return cluster.jobs[j]->given_up > 0; }));
+        abandon_deadlines(cluster, jobs, q.left < q.wanted ? q.left : 0, now);
+        q.abandoning = static_cast<uint32_t>(std::count_if(jobs.begin(), jobs.end(), [&](Index j) {
+            return cluster.jobs[j]->abandoned_deadlines > 0;
+        }));
     }
     for (Index c = 0; c < cluster.classes.size(); ++c) {
-        auto& by_team = cluster.classes[c].stretch;
+        auto& by_team = cluster.classes[c].slowdown;
         by_team.resize(cluster.teams.size());
         for (Index t = 0; t < cluster.teams.size(); ++t) {
             auto it = queues_.find({t, c});
-            auto& stretch = by_team[t];
-            bool was = stretch > 0;
-            stretch = 0;
+            auto& slowdown = by_team[t];
+            bool was = slowdown > 0;
+            slowdown = 0;
             if (it == queues_.end() || it->second.within_s <= 0 || it->second.mean_work <= 0)
                 continue;
             auto& q = it->second;
@@ -129,12 +130,12 @@
             if (!now_pressed) continue;
             // A job of mean size waits as long as the queue takes to drain, others in proportion to
             // their work.
-            stretch = q.drain_s / q.mean_work;
-            ++pressed_;
+            slowdown = q.drain_s / q.mean_work;
+            ++overloaded_;
         }
     }
 }
 
-size_t Forecast::pressed() const { return pressed_; }
+size_t Forecast::overloaded() const { return overloaded_; }
 
 }  // namespace weirmill
--- a/src/coordination/overload/forecast.h
+++ b/src/coordination/overload/forecast.h
@@ -19,11 +19,11 @@
 struct QueueForecast {
     double waiting =
         0;  // work that waits, in seconds of units: GPUs where a task takes any, else CPUs
-    double in_use = 0;     // units that its tasks have
-    double wanted = 0;     // units that all its tasks, placed and waiting, would have at once
-    uint32_t jobs = 0;     // that wait
-    uint32_t give_up = 0;  // of those, one of their times
-    double mean_work = 0;  // of a waiting job, in seconds of units
+    double in_use = 0;        // units that its tasks have
+    double wanted = 0;        // units that all its tasks, placed and waiting, would have at once
+    uint32_t jobs = 0;        // that wait
+    uint32_t abandoning = 0;  // of those, one of their times
+    double mean_work = 0;     // of a waiting job, in seconds of units
     double within_s =
         0;  // what its users expect: the last of its class's times, or its jobs' deadlines
     double units =
@@ -43,13 +43,13 @@
     // seconds.
     void observe(ClusterState& cluster, double now);
     const std::map<QueueKey, QueueForecast>& queues() const { return queues_; }
-    size_t pressed() const;
+    size_t overloaded() const;
 
   private:
     std::map<QueueKey, double> used_;
     std::map<QueueKey, QueueForecast> queues_;
     double last_ = 0;
-    size_t pressed_ = 0;
+    size_t overloaded_ = 0;
 };
 
 // Work that a job still waits with, in seconds of units.
--- a/src/coordination/overload/in_time.cpp
+++ b/src/coordination/overload/in_time.cpp
@@ -7,15 +7,17 @@
 
 namespace weirmill {
 
-std::vector<Index> given_up(std::vector<Contender> jobs, double units, double before) {
+std::vector<Index> abandoned_deadlines(std::vector<DeadlineCandidate> jobs, double units,
+                                       double before) {
     std::vector<Index> out;
     if (units <= 0) return out;  // no machine yet: nothing is known
     std::sort(jobs.begin(), jobs.end(),
               [](auto& a, auto& b) { return std::tie(a.start, a.job) < std::tie(b.start, b.job); });
-    auto less = [](const Contender& a, const Contender& b) {
+    auto less = [](const DeadlineCandidate& a, const DeadlineCandidate& b) {
         return std::tie(a.work, a.job) < std::tie(b.work, b.job);
     };
-    std::priority_queue<Contender, std::vector<Contender>, decltype(less)> kept(less);
+    std::priority_queue<DeadlineCandidate, std::vector<DeadlineCandidate>, decltype(less)> kept(
+        less);
     double sum = before;
     for (auto& c : jobs) {
         sum += c.work;
@@ -28,13 +30,13 @@
     return out;
 }
 
-void give_up_times(ClusterState& cluster, const std::vector<Index>& queue, double units,
-                   double now) {
+void abandon_deadlines(ClusterState& cluster, const std::vector<Index>& queue, double units,
+                       double now) {
     std::vector<Index> jobs;
     size_t levels = 0;
     for (auto j : queue) {
         auto& job = *cluster.jobs[j];
-        job.given_up = 0;
+        job.abandoned_deadlines = 0;
         // A gang has machines cleared for it: what its queue has in use says little of when it
         // starts.
         if (job.spec.kind == JobKind::Array && job.pending > 0) jobs.push_back(j);
@@ -43,7 +45,7 @@
     double before = 0;
     // Those that can meet their first time go before those that can only meet the next.
     for (size_t level = 0; level < levels; ++level) {
-        std::vector<Contender> contenders;
+        std::vector<DeadlineCandidate> contenders;
         for (auto j : jobs) {
             auto& job = *cluster.jobs[j];
             double run = cluster.expected_run_s(job.spec);
@@ -54,9 +56,9 @@
         }
         double work = 0;
         for (auto& c : contenders) work += c.work;
-        for (auto j : given_up(std::move(contenders), units, before)) {
+        for (auto j : abandoned_deadlines(std::move(contenders), units, before)) {
             work -= waiting_work(cluster, *cluster.jobs[j]);
-            ++cluster.jobs[j]->given_up;
+            ++cluster.jobs[j]->abandoned_deadlines;
         }
         before += work;
     }
--- a/src/coordination/overload/in_time.h
+++ b/src/coordination/overload/in_time.h
@@ -8,7 +8,7 @@
 
 namespace weirmill {
 
-struct Contender {
+struct DeadlineCandidate {
     Index job = kNone;
     double work = 0;   // seconds of units that it waits with
     double start = 0;  // in how many seconds its last task must start for the job to be in time
@@ -18,10 +18,12 @@
 // that serve one job after the other, in the order of their times, after `before` seconds of units
 // of other work (Moore and Hodgson: where one would be late, the one with the most work among it
 // and those before it is given up).
-std::vector<Index> given_up(std::vector<Contender> jobs, double units, double before);
+std::vector<Index> abandoned_deadlines(std::vector<DeadlineCandidate> jobs, double units,
+                                       double before);
 
-// Sets how many of its times each waiting array job of the queue gives up (Job::given_up).
-void give_up_times(ClusterState& cluster, const std::vector<Index>& queue, double units,
-                   double now);
+// Sets how many of its times each waiting array job of the queue gives up
+// (Job::abandoned_deadlines).
+void abandon_deadlines(ClusterState& cluster, const std::vector<Index>& queue, double units,
+                       double now);
 
 }  // namespace weirmill
--- a/src/coordination/placement.cpp
+++ b/src/coordination/placement.cpp
@@ -57,9 +57,9 @@
         // Where they can't all be in time, shorter work goes first, so that as many as can be are;
         // a job waits in proportion to its work at the most, as later ones count from when they
         // came. What others wait for keeps the time by which those need it.
-        if (double stretch = cluster.stretch(job->spec); stretch > 0 && job->needed_by > 1e17) {
+        if (double slowdown = cluster.slowdown(job->spec); slowdown > 0 && job->needed_by > 1e17) {
             missed = 0;
-            due = job->came_at() + stretch * waiting_work(cluster, *job);
+            due = job->came_at() + slowdown * waiting_work(cluster, *job);
         }
         Rank rank{!job->guaranteed, -static_cast<int>(job->priority),
                   !cluster.within_guarantee(cluster.teams[job->spec.team], job->spec.demand),
--- a/src/coordination/preemption.cpp
+++ b/src/coordination/preemption.cpp
@@ -255,13 +255,13 @@
                          uint64_t number) {
     namespace json = boost::json;
     // Bounded, so that the record fits the smallest value the state service may allow.
-    constexpr size_t kMost = 8;
+    constexpr size_t kMax = 8;
     json::array clearings;
     for (auto& c : round.clearings) {
-        if (clearings.size() == kMost) break;
+        if (clearings.size() == kMax) break;
         json::array machines;
         for (auto m : c.machines)
-            if (machines.size() < kMost) machines.emplace_back(cluster.machines[m]->name);
+            if (machines.size() < kMax) machines.emplace_back(cluster.machines[m]->name);
         clearings.push_back(
             json::object{{"job", cluster.jobs[c.job]->spec.id}, {"machines", std::move(machines)}});
     }
--- a/src/coordination/sizing.cpp
+++ b/src/coordination/sizing.cpp
@@ -18,13 +18,13 @@
 constexpr double kStopping_s = 3;   // a task told to stop is gone soon
 constexpr double kOverdue = 0.15;   // of its expected run, or of the longer one it has had: what is
                                     // left when it should be over
-constexpr double kLeastCharge_s = 60;  // a machine costs this much even if it is returned sooner
-constexpr double kRecent_s = 120;      // what came in this time is what will come
-constexpr double kSettled_s = 30;      // a task that has just started is left alone
-constexpr double kMove_s = 6;          // from a task's exit to its start elsewhere
-constexpr int64_t kMostKept =
+constexpr double kMinCharge_s = 60;  // a machine costs this much even if it is returned sooner
+constexpr double kRecent_s = 120;    // what came in this time is what will come
+constexpr double kSettled_s = 30;    // a task that has just started is left alone
+constexpr double kMove_s = 6;        // from a task's exit to its start elsewhere
+constexpr int64_t kMaxKept =
     10;  // of the machines that suit, one in so many is kept empty at the most
-constexpr size_t kMostTasks = 400;  // of one job, looked at one by one
+constexpr size_t kMaxTasks = 400;  // of one job, looked at one by one
 
 // A machine that is up, coming up or to be rented, as far as it is known when it will have room.
 struct ExpectedCapacity {
@@ -208,7 +208,7 @@
                 if (m && m->up && cluster.machine_allowed(c.last, *m) &&
                     !cluster.reserves_gpus(c.last, m->type))
                     hold += c.last.demand.times_in(m->size);
-            headroom.at_once = std::min(within(settings.clear_s), hold / kMostKept);
+            headroom.at_once = std::min(within(settings.clear_s), hold / kMaxKept);
         }
         out.push_back(headroom);
     }
@@ -259,7 +259,7 @@
     template <class Gone>
     void tidy(Gone&& gone) {
         while (begin < base.size() && gone(base[begin])) ++begin;
-        if (fresh.size() < kMostFresh) return;
+        if (fresh.size() < kMaxFresh) return;
         std::vector<Opening> merged;
         merged.reserve(base.size() - begin + fresh.size());
         std::merge(base.begin() + static_cast<long>(begin), base.end(), fresh.begin(), fresh.end(),
@@ -281,7 +281,7 @@
     }
 
   private:
-    static constexpr size_t kMostFresh = 256;
+    static constexpr size_t kMaxFresh = 256;
 };
 
 // The machines for tasks that are alike in all that counts here, the one with room the soonest
@@ -566,7 +566,7 @@
         bool bound = spec.one_zone && (gang || job.placed > 0);
         ZoneRule rule(cluster, job);
         size_t left = 0;
-        while (left < job.pending && left < kMostTasks &&
+        while (left < job.pending && left < kMaxTasks &&
                cluster.within_limit(team, extra + spec.demand * static_cast<int64_t>(left + 1)))
             ++left;
         if (gang && left < job.pending) continue;
@@ -716,8 +716,7 @@
                         [&](auto* job) { return wants(cluster, *job, *m); }))
             continue;
         double keep = settings.idle_keep_boots * cluster.types[m->type].type.boot_s;
-        if (now - m->requested_at < kLeastCharge_s ||
-            now - std::max(m->empty_since, m->up_at) < keep)
+        if (now - m->requested_at < kMinCharge_s || now - std::max(m->empty_since, m->up_at) < keep)
             continue;
         if (!keeps(*m)) out.push_back(i);
     }
--- a/src/doors/decide.h
+++ b/src/doors/decide.h
@@ -56,11 +56,11 @@
         mean_ += (s - mean_) / 8;
     }
     double seconds() const {
-        return mean_ == 0 ? kFirst : std::min(kMost, std::max(kLeast, mean_ + 4 * deviation_));
+        return mean_ == 0 ? kFirst : std::min(kMax, std::max(kMin, mean_ + 4 * deviation_));
     }
 
   private:
-    static constexpr double kFirst = 0.3, kLeast = 0.08, kMost = 0.6;
+    static constexpr double kFirst = 0.3, kMin = 0.08, kMax = 0.6;
     double mean_ = 0, deviation_ = 0;
 };
 
--- a/src/doors/log_view.cpp
+++ b/src/doors/log_view.cpp
@@ -9,7 +9,7 @@
 namespace json = boost::json;
 
 namespace {
-constexpr size_t kMostEnded = 4096;
+constexpr size_t kMaxEnded = 4096;
 }
 
 void LogView::clear() {
@@ -73,7 +73,7 @@
 
 void LogView::end(const std::string& id) {
     ended_.push_back(id);
-    if (ended_.size() > kMostEnded) {
+    if (ended_.size() > kMaxEnded) {
         ended_.pop_front();
         ++first_ended_;
     }
--- a/src/membership/decide.cpp
+++ b/src/membership/decide.cpp
@@ -9,7 +9,7 @@
 
 constexpr double kUneven = 1.25;      // reports come this much later than usual at most
 constexpr uint32_t kSlackShare = 20;  // a twentieth of the workers is no difference
-constexpr uint32_t kMostDoublings = 5;
+constexpr uint32_t kMaxDoublings = 5;
 constexpr double kYieldFresh_s = 10;  // by then the one who was to follow would lead
 constexpr double kLetGo_s = 0.6;      // to the one to whom was yielded
 constexpr double kDeafer_s = 0.25;    // to one that hears far more workers
@@ -21,7 +21,7 @@
 
 double hold_after(const TransferRecord& last, const LinkTimes& times) {
     if (last.count == 0) return 0;
-    return times.hold_s * std::pow(2.0, std::min(last.count - 1, kMostDoublings));
+    return times.hold_s * std::pow(2.0, std::min(last.count - 1, kMaxDoublings));
 }
 
 }  // namespace
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -16,8 +16,8 @@
 constexpr double kTicks = 2;  // in the time between pings
 constexpr double kRead_s = 0.8;
 constexpr double kHint_s = 0.15;  // a campaign does not wait longer for what the last hand-over was
-constexpr double kRecordPings = 4;     // lease of a record of links, in times between pings
-constexpr double kLeastLease_s = 0.1;  // protocol, "POST /leases"
+constexpr double kRecordPings = 4;   // lease of a record of links, in times between pings
+constexpr double kMinLease_s = 0.1;  // protocol, "POST /leases"
 // A record is written anew where a count moved by this share.
 constexpr uint32_t kMovedShare = 10;
 
@@ -142,7 +142,7 @@
     }
     if (lease_ == 0) {
         auto lease =
-            co_await kv_.grant(std::max(kLeastLease_s, kRecordPings * settings_.ping_s), kRead_s);
+            co_await kv_.grant(std::max(kMinLease_s, kRecordPings * settings_.ping_s), kRead_s);
         if (!lease) co_return;
         lease_ = lease.value;
         // The record ended with its lease. Taken for standing, one whose writing then failed stayed
--- a/src/membership/roster.cpp
+++ b/src/membership/roster.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr size_t kMostWorkers = 20000;
-constexpr double kLeastRelay_s = 10, kMostRelay_s = 300;
+constexpr size_t kMaxWorkers = 20000;
+constexpr double kMinRelay_s = 10, kMaxRelay_s = 300;
 // A worker that comes back after its own patience has found the leader silent; sooner, it was
 // turned away, as by one that is not ready yet, and is sent there again at first.
 constexpr double kRecentVisits = 5;  // in such patiences
@@ -18,7 +18,7 @@
 Roster::Roster(const Settings& settings) : settings_(settings) {}
 
 bool Roster::relays(const std::string& machine, uint64_t seen, uint64_t leader, double now) {
-    if (workers_.size() > kMostWorkers && !workers_.count(machine)) workers_.clear();
+    if (workers_.size() > kMaxWorkers && !workers_.count(machine)) workers_.clear();
     auto& w = workers_[machine];
     bool relayed = now < w.relay_until;
     bool stranded = relayed;
@@ -40,8 +40,8 @@
         // From time to time it is sent to the leader again, more rarely each time that it comes
         // back.
         bool again = w.relay_until > 0 && now - w.relay_until < 3 * settings_.lease_s;
-        w.relay_span = again ? std::min(w.relay_span * 2, kMostRelay_s)
-                             : std::max(kLeastRelay_s, settings_.lease_s);
+        w.relay_span = again ? std::min(w.relay_span * 2, kMaxRelay_s)
+                             : std::max(kMinRelay_s, settings_.lease_s);
         w.relay_until = now + w.relay_span;
     }
     if (!stranded) {
--- a/src/settings/capacity.h
+++ b/src/settings/capacity.h
@@ -9,11 +9,11 @@
 namespace weirmill {
 
 // The largest fleet that one leader serves. All of its machines may report within the same second.
-inline constexpr size_t kMostMachines = 4000;
+inline constexpr size_t kMaxMachines = 4000;
 
 // Messages that users and workers may have waiting for the leader: a report of each machine, and as
 // many others.
-inline constexpr size_t kMostAsked = 2 * kMostMachines;
+inline constexpr size_t kMaxAsked = 2 * kMaxMachines;
 
 // Bytes of requests that may wait for the leader: 4 KiB for each machine at 128 MB.
 inline size_t most_asked_bytes(const Settings& s) {
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -165,7 +165,7 @@
         {"fleet.idle_keep_boots", &p.idle_keep_boots, 0.0, 100.0},
         {"scheduling.pause_s", &p.scheduling_pause_s, 0.01, 10.0},
         {"machines.quarantine_s", &p.quarantine_s, 0.0, 86400.0},
-        {"overload.begin_within_s", &p.begin_within_s, 0.0, 86400.0},
+        {"overload.begin_within_s", &p.start_deadline_s, 0.0, 86400.0},
     };
     Poco::AutoPtr<Poco::Util::PropertyFileConfiguration> file;
     try {
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -67,7 +67,7 @@
     bool doors_enabled = false;
     bool membership_enabled = false;
     bool overload_enabled = false;
-    double begin_within_s = 240.0;  // with overload_enabled; 0: no bound
+    double start_deadline_s = 240.0;  // with overload_enabled; 0: no bound
 };
 
 Settings load_settings(const std::string& path);
--- a/src/transport/http_server.cpp
+++ b/src/transport/http_server.cpp
@@ -20,7 +20,7 @@
 // second on, those of machines are closed with their answers. The rest is for users, and for
 // machines that come one after another.
 constexpr double kMany = 0.5, kNear = 0.75;
-constexpr auto kLeastSilent = 1s;  // one silent for less may have a request on its way
+constexpr auto kMinSilent = 1s;  // one silent for less may have a request on its way
 constexpr auto kRoomPause = 100ms;
 constexpr auto kRequest = 10s;  // from the first byte of a request to its last
 constexpr auto kWrite = 10s;
@@ -76,7 +76,7 @@
 void HttpServer::close_longest_silent() {
     auto now = std::chrono::steady_clock::now();
     for (auto* silent : {&silent_machines_, &silent_users_}) {
-        if (silent->empty() || now - silent->front().since < kLeastSilent) continue;
+        if (silent->empty() || now - silent->front().since < kMinSilent) continue;
         silent->front().stream->close();
         return;
     }
--- a/tests/begin_test.cpp
+++ b/tests/begin_test.cpp
@@ -26,8 +26,8 @@
     w.cluster.jobs[fresh]->seen_at = w.now - 167;
     w.cluster.jobs[waits]->waits = true;
     w.cluster.jobs[cancelled]->cancelled = true;
-    EXPECT_EQ(late_to_begin(w.cluster, 240, w.now), (std::vector<Index>{older, old}));
-    EXPECT_TRUE(late_to_begin(w.cluster, 0, w.now).empty());
+    EXPECT_EQ(jobs_near_start_deadline(w.cluster, 240, w.now), (std::vector<Index>{older, old}));
+    EXPECT_TRUE(jobs_near_start_deadline(w.cluster, 0, w.now).empty());
 }
 
 TEST(Begin, ALateJobGoesBeforeItsEqualsAndNoFurther) {
@@ -65,10 +65,10 @@
     spec.one_zone = true;
     auto wide = w.job(spec);
     w.running(w.spec("req-9", JobKind::Gang, 1, 7, 0, Priority::High), {on[4]});
-    EXPECT_EQ(gather_machines(w.cluster, any_machine, wide, w.now),
+    EXPECT_EQ(machines_for_gang(w.cluster, any_machine, wide, w.now),
               (std::vector<Index>{on[0], on[1]}));
     w.running(w.spec("req-8", JobKind::Gang, 1, 7, 0, Priority::High), {on[0]});
-    auto kept = gather_machines(w.cluster, any_machine, wide, w.now);
+    auto kept = machines_for_gang(w.cluster, any_machine, wide, w.now);
     EXPECT_EQ(kept, (std::vector<Index>{on[2], on[3]}));
     for (auto i : kept) {
         w.cluster.machines[i]->reserved_for = wide;
--- a/tests/door_service_test.cpp
+++ b/tests/door_service_test.cpp
@@ -27,7 +27,7 @@
         return out;
     }
     // Uploaded for the workers, as every job of a user is.
-    std::string upload(const std::string& id, int tasks, standin::Job job = {}) {
+    std::string upload(const std::string& id, int tasks, fakes::Job job = {}) {
         job.tasks = static_cast<uint32_t>(tasks);
         auto body = submission(id, "array", tasks);
         if (!job.awaits.empty()) body = with(body, "awaits", json::value_from(job.awaits));
@@ -97,7 +97,7 @@
         EXPECT_TRUE(status == 201 || status == 200) << status;
     }
     // What waits for a job that may not be collected yet.
-    standin::Job second;
+    fakes::Job second;
     second.awaits = {"req-2"};
     EXPECT_EQ(s.submit_at(f[0], s.upload("req-3", 2, second)), 201);
     EXPECT_TRUE(s.done("req-2"));
@@ -137,7 +137,7 @@
     Doors s(2, {false, true, 0, 40, 12});
     s.opened();
     auto node = s.followers()[0];
-    standin::Job endless;
+    fakes::Job endless;
     endless.run_s = 1000;
     EXPECT_EQ(s.submit_at(node, s.upload("req-2", 2, endless)), 201);
     ASSERT_TRUE(s.until([&] { return s.cloud->on_some_machine("req-2"); }));
--- a/tests/further_meetings_service_test.cpp
+++ b/tests/further_meetings_service_test.cpp
@@ -6,15 +6,15 @@
 
 namespace json = boost::json;
 using test::apart;
+using test::FaultScenario;
 using test::known;
-using test::Meeting;
 using test::Service;
 
 // A job of a team with a limit, or bound to a zone, as its user and its workers know it.
-void submit_as(Meeting& s, const std::string& id, const std::string& kind, int tasks, double cpus,
-               double run_s, const std::string& team, const std::string& zone = "",
+void submit_as(FaultScenario& s, const std::string& id, const std::string& kind, int tasks,
+               double cpus, double run_s, const std::string& team, const std::string& zone = "",
                const std::string& urgency = "normal") {
-    standin::Job job;
+    fakes::Job job;
     job.run_s = run_s;
     job.gang = kind == "ensemble";
     job.tasks = static_cast<uint32_t>(tasks);
@@ -33,7 +33,7 @@
 // each other, outside another controller leads, cancels, and starts nothing of the zone's work
 // before it is proven gone.
 TEST(FurtherMeetings, AZoneWithItsControllerCutOffForLongerThanALease) {
-    Meeting s(3, apart());
+    FaultScenario s(3, apart());
     s.start("req-2", 4);
     s.start("req-3", 4, 12);
     int old = s.leading();
@@ -62,7 +62,7 @@
 TEST(FurtherMeetings, AllControllersAreAwayForLongerThanALease) {
     for (bool end : {false, true}) {
         SCOPED_TRACE(end);
-        Meeting s(3, apart());
+        FaultScenario s(3, apart());
         s.start("req-2", 3, 3);
         s.start("req-3", 2);
         ASSERT_EQ(s.cancel_at(s.leading(), "req-3"), "aborted");
@@ -84,7 +84,7 @@
 TEST(FurtherMeetings, LeadersChangeTenTimesAlsoInsideAnOutage) {
     Service::With with = apart();
     with.lease_s = 0.8;
-    Meeting s(3, with);
+    FaultScenario s(3, with);
     s.start("req-2", 2, 4);
     for (int n = 0; n < 10; ++n) {
         auto work = "req-" + std::to_string(100 + n), off = "req-" + std::to_string(200 + n);
@@ -116,10 +116,10 @@
         SCOPED_TRACE(acted);
         Service::With with = apart();
         with.lease_s = 0.6;  // leaders change well within a worker's lease
-        Meeting s(3, with);
+        FaultScenario s(3, with);
         s.start("req-2", 3, 0.5);
         EXPECT_TRUE(s.done("req-2"));
-        std::map<standin::Worker*, size_t> before;  // reports of the time before the next two jobs
+        std::map<fakes::Worker*, size_t> before;  // reports of the time before the next two jobs
         for (auto& [name, w] : s.cloud->workers) before[w.get()] = w->reports();
         s.start("req-3", 3, 5);
         s.start("req-4", 2);
@@ -151,13 +151,13 @@
 TEST(FurtherMeetings, ATeamAtItsLimitCountsWhatMayStillBeOnMachinesOutOfReach) {
     struct Row {
         const char* what;
-        void (*away)(standin::Worker&, bool);
+        void (*away)(fakes::Worker&, bool);
     };
-    for (auto& row : {Row{"silent", [](standin::Worker& w, bool away) { w.silent = away; }},
-                      Row{"hung", [](standin::Worker& w, bool away) { w.hung = away; }},
-                      Row{"mute", [](standin::Worker& w, bool away) { w.mute = away; }}}) {
+    for (auto& row : {Row{"silent", [](fakes::Worker& w, bool away) { w.silent = away; }},
+                      Row{"hung", [](fakes::Worker& w, bool away) { w.hung = away; }},
+                      Row{"mute", [](fakes::Worker& w, bool away) { w.mute = away; }}}) {
         SCOPED_TRACE(row.what);
-        Meeting s(3, apart());
+        FaultScenario s(3, apart());
         s.cloud->limits["red"] = 32;  // as in the settings
         submit_as(s, "req-2", "array", 16, 1, 1000, "red");
         submit_as(s, "req-3", "array", 16, 1, 1000, "red");
@@ -193,7 +193,7 @@
         Service::With with;
         with.links = true;   // for a lease of the workers that outlasts the change
         with.lease_s = 0.8;  // over before what lags is carried out
-        Meeting s(3, with);
+        FaultScenario s(3, with);
         s.base.worker_patience_s = 1;                      // longer than a report is held
         submit_as(s, "req-2", "array", 24, 4, 2, "blue");  // more than is there has room for
         s.state->delay_txns = lag;
@@ -220,7 +220,7 @@
     for (double before : {-0.05, 0.0, 0.02}) {
         bool ends = before > 0;  // the leader, which alone was asked, in the outage
         SCOPED_TRACE(before);
-        Meeting s(3, apart());
+        FaultScenario s(3, apart());
         for (int j = 2; j < 8; ++j) s.start("req-" + std::to_string(j), 2);
         int old = s.leading();
         std::map<std::string, std::vector<std::shared_ptr<Service::Asked>>> asked;
@@ -264,14 +264,15 @@
 TEST(FurtherMeetings, CancellationsWhileOneControllersWorkChangesHands) {
     struct Row {
         const char* what;
-        std::function<void(Meeting&)> change;
+        std::function<void(FaultScenario&)> change;
     };
-    for (auto& row : {Row{"ends", [](Meeting& s) { s.crash(s.leading()); }},
-                      Row{"refused", [](Meeting& s) { s.state->refused = {s.leading()}; }},
-                      Row{"stands still",
-                          [](Meeting& s) { s.alive[static_cast<size_t>(s.leading())] = false; }}}) {
+    for (auto& row : {Row{"ends", [](FaultScenario& s) { s.crash(s.leading()); }},
+                      Row{"refused", [](FaultScenario& s) { s.state->refused = {s.leading()}; }},
+                      Row{"stands still", [](FaultScenario& s) {
+                              s.alive[static_cast<size_t>(s.leading())] = false;
+                          }}}) {
         SCOPED_TRACE(row.what);
-        Meeting s(3, apart());
+        FaultScenario s(3, apart());
         for (int j = 2; j < 12; ++j) s.start("req-" + std::to_string(j), 1);
         auto old = s.leader();
         std::vector<std::shared_ptr<Service::Asked>> asked;
@@ -307,7 +308,7 @@
     };
     for (auto& row : {Row{0.4, false}, Row{0.9, true}, Row{1.6, true}}) {
         SCOPED_TRACE(row.leases);
-        Meeting s(3, apart());
+        FaultScenario s(3, apart());
         s.start("req-2", 3);
         auto machines = s.machines_of("req-2");
         for (auto* w : machines) w->hung = true;
@@ -330,10 +331,10 @@
 TEST(FurtherMeetings, MachinesThatReachNoControllerButHearCommands) {
     Service::With with;
     with.links = true;  // for a lease of 6 s
-    Meeting s(2, with);
+    FaultScenario s(2, with);
     s.start("req-2", 3);
     s.start("req-3", 2, 1.0 + 2 * s.base.lease_s);
-    std::set<standin::Worker*> mute;
+    std::set<fakes::Worker*> mute;
     for (const char* id : {"req-2", "req-3"})
         for (auto* w : s.machines_of(id)) mute.insert(w);
     for (auto* w : mute) w->mute = w->no_commands = true;
@@ -356,7 +357,7 @@
 
 // Jobs bound to one zone, a gang and an array, lose their machines: they go on in that zone alone.
 TEST(FurtherMeetings, JobsBoundToOneZoneLoseTheirMachines) {
-    Meeting s(2);
+    FaultScenario s(2);
     for (const char* kind : {"array", "ensemble"}) {
         std::string id = kind[0] == 'a' ? "req-2" : "req-3";
         submit_as(s, id, kind, 3, 4, 2, "blue", "b");
@@ -372,7 +373,7 @@
 // More work than a team's limit has room for, urgent and not: the limit holds, all of it runs in
 // the end, and the urgent part is not the last.
 TEST(FurtherMeetings, MoreWorkThanRoomUrgentAndNot) {
-    Meeting s(3);
+    FaultScenario s(3);
     s.cloud->limits["red"] = 32;
     for (int j = 0; j < 4; ++j)
         submit_as(s, "req-" + std::to_string(10 + j), "array", 16, 1, 0.4, "red", "", "low");
@@ -393,7 +394,7 @@
 TEST(FurtherMeetings, ACampaignThatIsCarriedOutLateFindsItsLeaseAlive) {
     Service::With with = apart();
     with.lease_s = 0.7;  // half as long as a transaction takes here
-    Meeting s(2, with);
+    FaultScenario s(2, with);
     s.start("req-2", 2, 4);
     s.state->delay_txns = 1 << 20;
     s.crash_leader();
--- a/tests/hearing_test.cpp
+++ b/tests/hearing_test.cpp
@@ -175,7 +175,7 @@
 }
 
 // The machine on which a task of the job runs.
-std::shared_ptr<standin::Worker> machine_of(Service& s, const std::string& job) {
+std::shared_ptr<fakes::Worker> machine_of(Service& s, const std::string& job) {
     for (auto& [name, w] : s.cloud->workers)
         if (!w->dead() && w->runs(job)) return w;
     return nullptr;
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -149,8 +149,8 @@
     asio::io_context io{1};
     auto settings = small_settings();
     settings.heartbeat_interval_s = 60;  // nothing but this burst
-    standin::State state_service(io);
-    standin::Cloud cloud(io, settings);
+    fakes::State state_service(io);
+    fakes::Cloud cloud(io, settings);
     settings.state = state_service.door(0);
     settings.cloud = cloud.at();
     Properties properties;
--- a/tests/links_service_test.cpp
+++ b/tests/links_service_test.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 namespace json = boost::json;
-using standin::Cable;
+using fakes::FaultyLink;
 using test::Service;
-using Is = Cable::Is;
+using Is = FaultyLink::Is;
 
 Service::With cables(std::set<int> old = {}) {
     Service::With with;
@@ -21,14 +21,14 @@
 struct Links {
     Service& s;
     void peers(Is is) {
-        for (auto& [ends, cable] : s.peer_cables) cable->set(is);
+        for (auto& [ends, faulty_link] : s.peer_links) faulty_link->set(is);
     }
     void peer(int a, int b, Is is) {
-        s.peer_cables.at({a, b})->set(is);
-        s.peer_cables.at({b, a})->set(is);
+        s.peer_links.at({a, b})->set(is);
+        s.peer_links.at({b, a})->set(is);
     }
     void workers(int i, Is is) { s.worker_cables[i]->set(is); }
-    void state(int i, Is is) { s.state_cables[i]->set(is); }
+    void state(int i, Is is) { s.kv_links[i]->set(is); }
 };
 
 constexpr int kWork = 6;
@@ -36,7 +36,7 @@
 // Tasks that fill a machine each and run for longer than a worker's lease: they can't outlive a cut
 // in which nobody answers for them.
 void start_work(Service& s) {
-    standin::Job job;
+    fakes::Job job;
     job.run_s = s.base.lease_s + 2;
     job.tasks = kWork;
     s.cloud->jobs["req-1"] = job;
@@ -89,7 +89,7 @@
     links.state(b, Is::Refused);
     // A cancellation reaches the workers as well: its stops go by the controller that relays for
     // them.
-    standin::Job job;
+    fakes::Job job;
     job.run_s = 60;
     EXPECT_EQ(s.submit("req-2", "array", 2, job), 201);
     ASSERT_TRUE(s.until([&] { return s.cloud->on_some_machine("req-2"); }));
--- a/tests/meeting.h
+++ b/tests/meeting.h
@@ -5,8 +5,8 @@
 
 namespace weirmill::test {
 
-struct Meeting : Service {
-    explicit Meeting(int count, With with = {})
+struct FaultScenario : Service {
+    explicit FaultScenario(int count, With with = {})
         : Service(count, [&] {
               with.doors = true;
               with.patience_s = 1;  // longer than a report is held for records
@@ -19,7 +19,7 @@
     int leading() { return leader().back() - '0'; }
     // Its owner knows that it takes a while: nobody waits for its room.
     void start(const std::string& id, int tasks, double run_s = 1000) {
-        standin::Job job;
+        fakes::Job job;
         job.run_s = run_s;
         job.tasks = static_cast<uint32_t>(tasks);
         cloud->jobs[id] = job;
@@ -32,17 +32,17 @@
         for (auto& [name, w] : cloud->workers) n += w->dead() ? 0 : w->count(id);
         return n;
     }
-    // The node's answer, once it is not to come back; "" if `given_up` comes first.
+    // The node's answer, once it is not to come back; "" if `abandoned_deadlines` comes first.
     std::string cancel_at(
         int node, const std::string& id,
-        const std::function<bool()>& given_up = [] { return false; }) {
+        const std::function<bool()>& abandoned_deadlines = [] { return false; }) {
         std::string state;
         until([&] {
             auto reply =
                 ask_node(static_cast<size_t>(node), "POST", "/v2/runs/" + id + "/cancel", "");
             if (reply && reply->status == 200)
                 state = std::string(json::parse(reply->body).at("status").as_string());
-            return !state.empty() || given_up();
+            return !state.empty() || abandoned_deadlines();
         });
         return state;
     }
@@ -61,8 +61,8 @@
         EXPECT_FALSE(cloud->on_some_machine(id)) << id;
     }
     // Each machine that runs something of it.
-    std::vector<standin::Worker*> machines_of(const std::string& id) {
-        std::vector<standin::Worker*> out;
+    std::vector<fakes::Worker*> machines_of(const std::string& id) {
+        std::vector<fakes::Worker*> out;
         for (auto& [name, w] : cloud->workers)
             if (!w->dead() && w->runs(id)) out.push_back(w.get());
         return out;
--- a/tests/meetings_service_test.cpp
+++ b/tests/meetings_service_test.cpp
@@ -9,8 +9,8 @@
 
 namespace json = boost::json;
 using test::apart;
+using test::FaultScenario;
 using test::known;
-using test::Meeting;
 using test::Service;
 
 // The state service refuses the leader alone, another controller confirms a cancellation, and then
@@ -27,7 +27,7 @@
                       Row{"nothing of the next leader's arrives", false, false, false},
                       Row{"the next leader ends", false, true, false},
                       Row{"peers tell of it", false, false, true}}) {
-        Meeting s(3, row.peers ? Service::With{} : apart());
+        FaultScenario s(3, row.peers ? Service::With{} : apart());
         s.start("req-2", 3);
         auto old = s.leader();
         for (auto& [name, w] : s.cloud->workers) w->no_commands = !row.commands;
@@ -54,7 +54,7 @@
 // stands, doors read it and tell users, and the leader has no answer for it. The tasks used to run
 // on for as long as that lasted.
 TEST(Meetings, TasksOfACancelledJobEndAlthoughItsLeaderNeverLearnsThatItIsRecorded) {
-    Meeting s(2);
+    FaultScenario s(2);
     s.start("req-2", 3);
     s.state->delay_txns = 1 << 20;
     s.state->refuse_keys = true;  // and it can't read whether the transaction was carried out
@@ -73,7 +73,7 @@
 // waited for an answered copy did nothing for as long as none was, and polls of a job that was
 // being cancelled all failed.
 TEST(Meetings, WithoutAnyAnsweredTransactionWorkGoesOnAndEveryJobStaysKnown) {
-    Meeting s(2);
+    FaultScenario s(2);
     s.start("req-2", 2);
     s.state->delay_txns = 1 << 20;
     s.cloud->jobs["req-3"] = {};
@@ -100,7 +100,7 @@
 // afterwards.
 TEST(Meetings, NobodyCallsAJobRunningOfWhichADoorHasToldTheEnd) {
     for (bool cancelled : {false, true}) {
-        Meeting s(2, apart());
+        FaultScenario s(2, apart());
         s.start("req-2", 2, cancelled ? 1000 : 1.5);
         std::string end = cancelled ? "aborted" : "done";
         s.state->delay_txns = 1 << 20;
@@ -128,7 +128,7 @@
 TEST(Meetings, AStateServiceThatAnswersRenewalsSlowlyKeepsItsLeader) {
     Service::With with;
     with.lease_s = 6;
-    Meeting s(2, with);
+    FaultScenario s(2, with);
     auto leader = s.leader();
     s.state->slow_leases_s = 0.4 * with.lease_s;
     s.pass(1.2 * with.lease_s);  // by then what was renewed before is over
@@ -148,9 +148,9 @@
 // answers: nothing of it starts elsewhere before its lease is over, and all of it runs in the end.
 TEST(Meetings, LongTasksOnMachinesOutOfReachOutliveAChangeOfLeaderOrStartAnew) {
     for (bool downlink_lost : {false, true}) {
-        Meeting s(2);
+        FaultScenario s(2);
         s.start("req-2", 4, 6);
-        std::vector<standin::Worker*> lost;
+        std::vector<fakes::Worker*> lost;
         for (auto& [name, w] : s.cloud->workers)
             if (w->runs("req-2")) lost.push_back(w.get());
         ASSERT_FALSE(lost.empty());
@@ -171,8 +171,8 @@
 // Tasks of one job end far apart, with a change of leader after each: each is counted once, and the
 // job is done when the last is, not before and not never.
 TEST(Meetings, TasksThatEndFarApartAcrossChangesOfLeaderAreCountedOnce) {
-    Meeting s(3, apart());
-    standin::Job job;
+    FaultScenario s(3, apart());
+    fakes::Job job;
     job.run_s = 0.3;
     job.stagger_s = 3;  // each task as much longer than the one before it
     ASSERT_EQ(s.submit("req-2", "array", 3, job), 201);
@@ -194,7 +194,7 @@
 // A stop is held up on its way to the machine, whose worker goes on reporting; by the time that it
 // arrives the job has ended and another job's task, or a later attempt, is there.
 TEST(Meetings, AStopThatIsHeldUpStopsNothingThatCameLater) {
-    Meeting s(2, apart());
+    FaultScenario s(2, apart());
     s.start("req-2", 3);
     for (auto& [name, w] : s.cloud->workers) w->hold_commands = true;
     EXPECT_EQ(s.cancel_at(s.leading(), "req-2"), "aborted");
@@ -215,7 +215,7 @@
 // whatever node answers, no answer is older than one given, and "aborted" is told of recorded
 // cancellations alone.
 TEST(Meetings, NoAnswerGoesBackWhileTheStateServiceIsSlowThenRefusesOneThenAll) {
-    Meeting s(3, apart());
+    FaultScenario s(3, apart());
     s.start("req-2", 2);
     s.start("req-3", 2);
     s.start("req-4", 2);  // cancelled through the next leader alone
@@ -272,26 +272,26 @@
 TEST(Meetings, WhoeverAsksAtAnyNodeAroundAnEndIsToldNothingOlder) {
     struct Row {
         const char* what;
-        bool peers;                                  // controllers hear each other
-        std::function<void(Meeting&, int)> trouble;  // after so many jobs
+        bool peers;                                        // controllers hear each other
+        std::function<void(FaultScenario&, int)> trouble;  // after so many jobs
     };
     const Row rows[] = {
-        {"no trouble", true, [](Meeting&, int) {}},
-        {"doors and leader apart", false, [](Meeting&, int) {}},
+        {"no trouble", true, [](FaultScenario&, int) {}},
+        {"doors and leader apart", false, [](FaultScenario&, int) {}},
         {"answers are lost, and others read what was written", true,
-         [](Meeting& s, int n) {
+         [](FaultScenario& s, int n) {
              if (n % 5 == 0) s.state->lose_txn_answers = 1;
          }},
         {"transactions are carried out late", false,
-         [](Meeting& s, int n) {
+         [](FaultScenario& s, int n) {
              if (n % 7 == 0) s.state->delay_txns = 1;
          }},
         {"the leader ends", true,
-         [](Meeting& s, int n) {
+         [](FaultScenario& s, int n) {
              if (n == 12) s.crash(s.leading());
          }},
         {"the state service refuses the leader", false,
-         [](Meeting& s, int n) {
+         [](FaultScenario& s, int n) {
              if (n == 8)
                  s.state->refused.insert(s.leading());
              else if (n == 16)
@@ -305,7 +305,7 @@
         auto between = [&](double a, double b) {
             return std::uniform_real_distribution<double>(a, b)(random);
         };
-        Meeting s(3, row.peers ? Service::With{} : apart());
+        FaultScenario s(3, row.peers ? Service::With{} : apart());
         struct Job {
             std::string id, body;
             double started = 0, cancel_at = 1e18;
@@ -361,7 +361,7 @@
             job.id = "req-" + std::to_string(100 + n);
             job.body = Service::submission(job.id, "array", 1);
             job.cancels = n % 2 == 0;
-            standin::Job work;
+            fakes::Job work;
             work.run_s = between(0.1, 0.5);
             s.cloud->jobs[job.id] = work;
             jobs.push_back(std::move(job));
@@ -393,7 +393,7 @@
 TEST(Meetings, AllEndInTheMiddleOfAnElectionAndOneIsBackAtOnce) {
     Service::With with;
     with.links = true;  // for a lease of the workers that outlasts all this
-    Meeting s(2, with);
+    FaultScenario s(2, with);
     s.start("req-2", 3, 4);
     s.crash_leader();
     int second = s.leading();
--- a/tests/membership_model_test.cpp
+++ b/tests/membership_model_test.cpp
@@ -38,7 +38,7 @@
                               "proof only after our start",
                               "records before starts"};
 
-constexpr int kNodes = 2, kMachines = 2, kMostTokens = 3, kMostCopies = 3, kMostRecords = 2;
+constexpr int kNodes = 2, kMachines = 2, kMaxTokens = 3, kMaxCopies = 3, kMaxRecords = 2;
 
 struct Copy {  // of a transaction, or of an answer to a worker: executed at any time, a transaction
                // perhaps again
@@ -61,7 +61,7 @@
     uint8_t seen[kMachines],
         on[kMachines];  // by machine: highest token, and whether the task is there
     uint8_t again;      // so many transactions may still be executed a second time
-    Copy copies[kMostCopies];
+    Copy copies[kMaxCopies];
 };
 static_assert(std::is_trivially_copyable_v<State>);
 
@@ -125,7 +125,7 @@
 
     void step(const State& s) {
         for (int i = 0; i < kNodes; ++i) node(s, i);
-        for (int k = 0; k < kMostCopies; ++k) {
+        for (int k = 0; k < kMaxCopies; ++k) {
             if (s.copies[k].kind == Copy::kNone) continue;
             State n = s;
             auto c = n.copies[k];
@@ -178,7 +178,7 @@
     void node(const State& s, int i) {
         auto& me = s.nodes[i];
         if (!me.leads && s.key == 0 &&
-            s.last < kMostTokens) {  // it campaigns, wins, and reads the records
+            s.last < kMaxTokens) {  // it campaigns, wins, and reads the records
             State n = s;
             auto& x = n.nodes[i];
             x = {};
@@ -227,7 +227,7 @@
             bool proof = me.knows != 0 && !s.on[me.knows - 1] &&
                          (!holds(kProofWithOurToken) || s.seen[me.knows - 1] == me.fencing_token) &&
                          (!holds(kProofAfterOurStart) || !me.started);
-            if (m != me.knows && (me.knows == 0 || proof) && me.recorded && s.log < kMostRecords &&
+            if (m != me.knows && (me.knows == 0 || proof) && me.recorded && s.log < kMaxRecords &&
                 room(s))
                 with([&](State& n, State::Node& x) {
                     x.knows = m;
--- a/tests/odd_requests_service_test.cpp
+++ b/tests/odd_requests_service_test.cpp
@@ -8,7 +8,7 @@
 
 namespace json = boost::json;
 using test::apart;
-using test::Meeting;
+using test::FaultScenario;
 using test::Service;
 
 TEST(OddRequests, AreRefusedAtEveryNodeAndNeverRefuseWhatWasAccepted) {
@@ -50,7 +50,7 @@
     };
     rows.insert(rows.end(), std::begin(others), std::end(others));
     for (bool relays : {true, false}) {
-        Meeting s(2, relays ? Service::With{} : apart());
+        FaultScenario s(2, relays ? Service::With{} : apart());
         auto leader = static_cast<size_t>(s.leading());
         int n = 1000;
         auto status_at = [&](size_t node, const std::string& body) {
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -39,7 +39,7 @@
         auto it = all.find({cluster.names.teams.find(team), job_class});
         return it == all.end() ? QueueForecast{} : it->second;
     }
-    bool pressed(Index job) { return cluster.stretch(cluster.jobs[job]->spec) > 0; }
+    bool overloaded(Index job) { return cluster.slowdown(cluster.jobs[job]->spec) > 0; }
     std::vector<std::string> order() {
         std::vector<std::string> ids;
         for (auto j : waiting_jobs(cluster, now)) ids.push_back(cluster.jobs[j]->spec.id);
@@ -74,7 +74,7 @@
         uint32_t jobs, tasks;
         double run_s;
         const char* team;
-        bool pressed;
+        bool overloaded;
     };
     const Row rows[] = {
         {"nothing waits", 4, 0, 0, 0, "blue", false},
@@ -90,9 +90,9 @@
         Index last = kNone;
         for (uint32_t i = 0; i < row.jobs; ++i) last = c.wait(row.tasks, row.run_s, row.team);
         auto q = c.look(row.team);
-        EXPECT_EQ(last != kNone && c.pressed(last), row.pressed)
+        EXPECT_EQ(last != kNone && c.overloaded(last), row.overloaded)
             << row.what << ": drains in " << q.drain_s;
-        EXPECT_EQ(c.seen.pressed(), row.pressed ? 1u : 0u) << row.what;
+        EXPECT_EQ(c.seen.overloaded(), row.overloaded ? 1u : 0u) << row.what;
         EXPECT_DOUBLE_EQ(q.waiting, row.jobs * row.tasks * row.run_s) << row.what;
     }
 }
@@ -106,7 +106,7 @@
         more.clear();
         for (int n = 1; n * 30 < seconds * 32; ++n) more.push_back(c.wait(1, 30));
         c.look();
-        return c.pressed(j);
+        return c.overloaded(j);
     };
     EXPECT_FALSE(waits(100));
     EXPECT_TRUE(waits(130));
@@ -122,9 +122,9 @@
 TEST(Overload, AsManyJobsAsCanBeAreInTime) {
     struct Row {
         const char* why;
-        std::vector<Contender> jobs;  // job, work, must start within
+        std::vector<DeadlineCandidate> jobs;  // job, work, must start within
         double units, before;
-        std::vector<Index> given_up;
+        std::vector<Index> abandoned_deadlines;
     };
     const Row rows[] = {
         {"nothing waits", {}, 10, 0, {}},
@@ -140,7 +140,8 @@
         {"no machine yet", {{1, 50, 1}}, 0, 0, {}},
     };
     for (auto& row : rows)
-        EXPECT_EQ(given_up(row.jobs, row.units, row.before), row.given_up) << row.why;
+        EXPECT_EQ(abandoned_deadlines(row.jobs, row.units, row.before), row.abandoned_deadlines)
+            << row.why;
 }
 
 TEST(Overload, WhereNotAllCanBeInTimeTheLargestWaitsForItsNextTime) {
@@ -150,15 +151,17 @@
     auto large = c.wait(16, 10);
     auto small = c.wait(8, 10), other = c.wait(8, 10);
     c.look();
-    EXPECT_EQ(c.cluster.jobs[large]->given_up, 1u);
-    EXPECT_EQ(c.cluster.jobs[small]->given_up + c.cluster.jobs[other]->given_up, 0u);
+    EXPECT_EQ(c.cluster.jobs[large]->abandoned_deadlines, 1u);
+    EXPECT_EQ(
+        c.cluster.jobs[small]->abandoned_deadlines + c.cluster.jobs[other]->abandoned_deadlines,
+        0u);
     EXPECT_EQ(waiting_jobs(c.cluster, c.now), (std::vector<Index>{small, other, large}));
     int missed;
     EXPECT_DOUBLE_EQ(c.cluster.due(*c.cluster.jobs[large], c.now, missed), c.now + 60);
     EXPECT_EQ(missed, 1);
     for (int i = 0; i < 3; ++i) c.machine("more-" + std::to_string(i));
     c.look();
-    EXPECT_EQ(c.cluster.jobs[large]->given_up, 0u);
+    EXPECT_EQ(c.cluster.jobs[large]->abandoned_deadlines, 0u);
 }
 
 TEST(Overload, WhatAQueueHadInUseIsRememberedForAWhile) {
@@ -184,7 +187,7 @@
     auto big = c.wait(40, 30), small = c.wait(1, 10), middle = c.wait(10, 30);
     auto id = [&](Index j) { return c.cluster.jobs[j]->spec.id; };
     c.look();
-    ASSERT_TRUE(c.pressed(big));
+    ASSERT_TRUE(c.overloaded(big));
     EXPECT_EQ(c.order(), (std::vector{id(small), id(middle), id(big)}));
     // What a pipeline needs by some time keeps its due time, whatever its size.
     c.cluster.jobs[big]->needed_by = c.now + 100;
@@ -194,10 +197,10 @@
     for (uint32_t t = 0; t < 39; ++t) c.cluster.finish(big, t, c.now);
     EXPECT_EQ(c.order(), (std::vector{id(small), id(big), id(middle)}));
     // One of small work that comes a long while later finds the middle one in front.
-    double stretch = c.cluster.stretch(c.cluster.jobs[middle]->spec);
-    c.now += stretch * 300 + 10;
+    double slowdown = c.cluster.slowdown(c.cluster.jobs[middle]->spec);
+    c.now += slowdown * 300 + 10;
     auto late = c.wait(1, 10);
-    c.cluster.classes[c.job_class].stretch[c.cluster.jobs[late]->spec.team] = stretch;
+    c.cluster.classes[c.job_class].slowdown[c.cluster.jobs[late]->spec.team] = slowdown;
     auto order = c.order();
     EXPECT_LT(std::find(order.begin(), order.end(), id(middle)),
               std::find(order.begin(), order.end(), id(late)));
@@ -214,7 +217,7 @@
         b.wait(tasks, run);
     }
     a.look();
-    EXPECT_EQ(a.seen.pressed(), 0u);
+    EXPECT_EQ(a.seen.overloaded(), 0u);
     EXPECT_EQ(a.order(), b.order());
 }
 
--- a/tests/play_test.cpp
+++ b/tests/play_test.cpp
@@ -100,7 +100,7 @@
         for (int i = 0; i < count; ++i) {
             auto id = "req-" + std::to_string(i + 1);
             PlayJob job{0.05 * i, id, test::Service::submission(id, "array", 2), {}};
-            standin::Job known;
+            fakes::Job known;
             known.tasks = 2;
             if (i % 5 == 4) job.awaits = known.awaits = {"req-" + std::to_string(i)};
             if (!job.awaits.empty())
--- a/tests/service.h
+++ b/tests/service.h
@@ -25,8 +25,8 @@
     std::vector<std::unique_ptr<Settings>> settings;
     std::vector<std::unique_ptr<Properties>> node_properties;
     std::vector<std::unique_ptr<asio::io_context>> node_io;
-    std::unique_ptr<standin::State> state;
-    std::unique_ptr<standin::Cloud> cloud;
+    std::unique_ptr<fakes::State> state;
+    std::unique_ptr<fakes::Cloud> cloud;
     std::vector<std::unique_ptr<Front>> nodes;
     std::vector<bool> alive;
 
@@ -44,8 +44,8 @@
         std::set<int> old{};    // controllers whose version says nothing of links
     };
     // What a controller calls, or is called over; see standin/cable.h.
-    std::map<std::pair<int, int>, std::unique_ptr<standin::Cable>> peer_cables;  // from, to
-    std::vector<std::unique_ptr<standin::Cable>> state_cables, worker_cables;
+    std::map<std::pair<int, int>, std::unique_ptr<fakes::FaultyLink>> peer_links;  // from, to
+    std::vector<std::unique_ptr<fakes::FaultyLink>> kv_links, worker_cables;
     explicit Service(int count) : Service(count, With{}) {}
     Service(int count, With with) {
         // WEIRMILL_TEST_LOG: what the controllers log, when a case fails.
@@ -62,8 +62,8 @@
         properties.election_lease_s = with.lease_s;
         properties.preemption_round_s = 0.5;
         properties.idle_keep_boots = 100;
-        state = std::make_unique<standin::State>(io);
-        cloud = std::make_unique<standin::Cloud>(io, base);
+        state = std::make_unique<fakes::State>(io);
+        cloud = std::make_unique<fakes::Cloud>(io, base);
         base.cloud = cloud->at();
         base.worker_patience_s = with.patience_s;
         if (with.links) {
@@ -100,26 +100,26 @@
         // So are connections between the stand-ins and the cables, whose coroutines look at them
         // once more.
         for (auto& n : nodes) n.release();
-        for (auto& [ends, cable] : peer_cables) cable.release();
-        for (auto* cables : {&state_cables, &worker_cables})
-            for (auto& cable : *cables) cable.release();
+        for (auto& [ends, faulty_link] : peer_links) faulty_link.release();
+        for (auto* cables : {&kv_links, &worker_cables})
+            for (auto& faulty_link : *cables) faulty_link.release();
         state.release();
         cloud.release();
     }
 
-    uint16_t peer_port(int from, int to, bool cabled) {
+    uint16_t peer_port(int from, int to, bool through_faulty_link) {
         Endpoint at{"127.0.0.1", nodes[to]->peer_port()};
-        if (!cabled) return at.port;
-        return (peer_cables[{from, to}] = std::make_unique<standin::Cable>(io, at))->at().port;
+        if (!through_faulty_link) return at.port;
+        return (peer_links[{from, to}] = std::make_unique<fakes::FaultyLink>(io, at))->at().port;
     }
     void add_node(int i) { add_node(i, With{}); }
     void add_node(int i, const With& with) {
         settings.push_back(std::make_unique<Settings>(base));
         settings.back()->name = "node-" + std::to_string(i);
-        settings.back()->state = state->door(i);
+        settings.back()->state = state->endpoint_for(i);
         if (with.links) {
-            state_cables.push_back(std::make_unique<standin::Cable>(io, settings.back()->state));
-            settings.back()->state = state_cables.back()->at();
+            kv_links.push_back(std::make_unique<fakes::FaultyLink>(io, settings.back()->state));
+            settings.back()->state = kv_links.back()->at();
         }
         auto own = properties;
         own.membership_enabled = with.links && !with.old.count(i);
@@ -130,7 +130,7 @@
         alive.push_back(true);
         Endpoint api{"127.0.0.1", nodes.back()->api_port()};
         if (with.links) {
-            worker_cables.push_back(std::make_unique<standin::Cable>(io, api));
+            worker_cables.push_back(std::make_unique<fakes::FaultyLink>(io, api));
             api = worker_cables.back()->at();
         }
         cloud->nodes.push_back(api);
@@ -261,7 +261,7 @@
                                             {"tally_s", 0.0},
                                             {"bank_s", 0.0}});
     }
-    int submit(const std::string& id, const std::string& kind, int tasks, standin::Job job = {}) {
+    int submit(const std::string& id, const std::string& kind, int tasks, fakes::Job job = {}) {
         job.gang = kind == "ensemble";
         job.tasks = static_cast<uint32_t>(tasks);
         auto body = submission(id, kind, tasks);
@@ -270,7 +270,7 @@
         return ask("POST", "/v2/runs", body).status;
     }
     int submit_after(const std::string& id, std::vector<std::string> awaits, double run_s = 0.2) {
-        standin::Job job;
+        fakes::Job job;
         job.run_s = run_s;
         job.awaits = std::move(awaits);
         return submit(id, "array", 2, job);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -158,7 +158,7 @@
 
 TEST(Service, AJobThatFailsEverywhereStaysAcceptedAndDoesNotEatTheFleet) {
     Service s(1);
-    standin::Job bad;
+    fakes::Job bad;
     bad.fails = true;
     bad.run_s = 0.01;
     EXPECT_EQ(s.submit("req-1", "array", 2, bad), 201);
--- a/tests/standin/cable.cpp
+++ b/tests/standin/cable.cpp
@@ -4,13 +4,13 @@
 
 #include "transport/one_shot.h"
 
-namespace weirmill::standin {
+namespace weirmill::fakes {
 
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
 constexpr auto kQuiet = asio::as_tuple(asio::use_awaitable);
 
-struct Cable::Line {
+struct FaultyLink::Line {
     Line(Socket a, Socket b) : near(std::move(a)), far(std::move(b)) {}
     Socket near, far;
     void close() {
@@ -20,21 +20,21 @@
     }
 };
 
-Cable::Cable(asio::io_context& io, Endpoint to)
+FaultyLink::FaultyLink(asio::io_context& io, Endpoint to)
     : io_(io),
       to_(std::move(to)),
       acceptor_(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)) {
     asio::co_spawn(io_, accept_loop(), asio::detached);
 }
 
-void Cable::set(Is is) {
+void FaultyLink::set(Is is) {
     is_ = is;
     if (is_ != Is::Refused) return;
     for (auto& line : lines_) line->close();
     lines_.clear();
 }
 
-asio::awaitable<void> Cable::accept_loop() {
+asio::awaitable<void> FaultyLink::accept_loop() {
     for (;;) {
         auto [ec, near] = co_await acceptor_.async_accept(kQuiet);
         if (ec) co_return;
@@ -49,7 +49,7 @@
     }
 }
 
-asio::awaitable<void> Cable::pump(std::shared_ptr<Line> line, bool answers) {
+asio::awaitable<void> FaultyLink::pump(std::shared_ptr<Line> line, bool answers) {
     auto& from = answers ? line->far : line->near;
     auto& to = answers ? line->near : line->far;
     std::array<char, 16384> bytes;
@@ -66,4 +66,4 @@
     lines_.erase(line);
 }
 
-}  // namespace weirmill::standin
+}  // namespace weirmill::fakes
--- a/tests/standin/cable.h
+++ b/tests/standin/cable.h
@@ -7,9 +7,9 @@
 
 #include "transport/http_server.h"
 
-namespace weirmill::standin {
+namespace weirmill::fakes {
 
-class Cable {
+class FaultyLink {
   public:
     enum class Is : uint8_t {
         Up,
@@ -17,7 +17,7 @@
         Held,         // nothing passes; it is delivered once the link is up again
         AnswersLost,  // what is asked arrives and is carried out, what is answered is thrown away
     };
-    Cable(boost::asio::io_context& io, Endpoint to);
+    FaultyLink(boost::asio::io_context& io, Endpoint to);
     Endpoint at() const { return {"127.0.0.1", acceptor_.local_endpoint().port()}; }
     void set(Is is);
 
@@ -34,4 +34,4 @@
     std::set<std::shared_ptr<Line>> lines_;
 };
 
-}  // namespace weirmill::standin
+}  // namespace weirmill::fakes
--- a/tests/standin/standins.cpp
+++ b/tests/standin/standins.cpp
@@ -2,7 +2,7 @@
 
 #include <charconv>
 
-namespace weirmill::standin {
+namespace weirmill::fakes {
 
 namespace {
 
@@ -19,13 +19,13 @@
 
 State::State(asio::io_context& io) : io_(io) {}
 
-Endpoint State::door(int controller) {
-    auto& door = doors_[controller];
-    if (!door)
-        door = std::make_unique<HttpServer>(
+Endpoint State::endpoint_for(int controller) {
+    auto& endpoint_for = servers_[controller];
+    if (!endpoint_for)
+        endpoint_for = std::make_unique<HttpServer>(
             io_, kLoopback, 1000,
             [this, controller](HttpRequest r) { return handle(std::move(r), controller); });
-    return {"127.0.0.1", door->port()};
+    return {"127.0.0.1", endpoint_for->port()};
 }
 
 std::map<std::string, json::value> State::keys() const {
@@ -454,4 +454,4 @@
     co_return answer(200, json::object{{"millstones", list}, {"has_next", false}});
 }
 
-}  // namespace weirmill::standin
+}  // namespace weirmill::fakes
--- a/tests/standin/standins.h
+++ b/tests/standin/standins.h
@@ -13,7 +13,7 @@
 #include "transport/http_server.h"
 #include "transport/one_shot.h"
 
-namespace weirmill::standin {
+namespace weirmill::fakes {
 
 namespace asio = boost::asio;
 namespace json = boost::json;
@@ -25,7 +25,7 @@
   public:
     explicit State(asio::io_context& io);
     // One door for each controller, so that a single one can be refused.
-    Endpoint door(int controller);
+    Endpoint endpoint_for(int controller);
     std::set<int> refused;
 
     bool down = false;           // 503 to all; leases have their full time again afterwards
@@ -73,7 +73,7 @@
     std::deque<Change> history_;
     uint64_t revision_ = 0, next_lease_ = 1;
     asio::io_context& io_;
-    std::map<int, std::unique_ptr<HttpServer>> doors_;
+    std::map<int, std::unique_ptr<HttpServer>> servers_;
 };
 
 struct Job {
@@ -173,4 +173,4 @@
     friend class Worker;
 };
 
-}  // namespace weirmill::standin
+}  // namespace weirmill::fakes
