--- a/bench/trace_fuzz.cpp
+++ b/bench/trace_fuzz.cpp
@@ -54,13 +54,13 @@
         files.push_back(fd);
         paths.push_back("/proc/self/fd/" + std::to_string(fd));
     }
-    std::string jobs, told;
+    std::string jobs, adoption_recorded;
     auto account = import(
         *format, paths, Map{}, types, [&](std::string_view t) { jobs += t; },
-        [&](std::string_view t) { told += t; });
+        [&](std::string_view t) { adoption_recorded += t; });
     for (int fd : files) ::close(fd);
-    if (!account.holds() || lines_of(told, "{\"record\":") != account.records ||
-        lines_of(told, "{\"job\":") != account.accepted_jobs + account.rejected_jobs ||
+    if (!account.holds() || lines_of(adoption_recorded, "{\"record\":") != account.records ||
+        lines_of(adoption_recorded, "{\"job\":") != account.accepted_jobs + account.rejected_jobs ||
         lines_of(jobs, "{\"at_s\":") != account.accepted_jobs)
         std::abort();
     return 0;
--- a/src/bookkeeping/ledger.cpp
+++ b/src/bookkeeping/ledger.cpp
@@ -356,13 +356,13 @@
             if (!s.put(fresh[0])) return;
             base = s.number();
         } else {
-            auto& [entries, told, first] = found->second;
-            size_t n = told, until = s.bytes + kRetoldAtOnce;
+            auto& [entries, adoption_recorded, first] = found->second;
+            size_t n = adoption_recorded, until = s.bytes + kRetoldAtOnce;
             base = first;
             while (n + 1 < entries.size() && s.bytes < until && s.put(entries[n])) {
                 if (n++ == 0) base = s.number();
             }
-            if (n > told) b.told.push_back({index, n, base});
+            if (n > adoption_recorded) b.adoption_recorded.push_back({index, n, base});
             // Its last entry says what may have changed since the first.
             if (n + 1 < entries.size() || !s.put(record_head(job, n))) {
                 ++it;
@@ -372,8 +372,9 @@
         it = new_jobs_.erase(it);
         s.condition(b, final_key(job.spec.id), 0);
         // Nor was it accepted by a door, and maybe cancelled there, behind this leader's back.
-        auto door = doors_.find(index);
-        s.condition(b, door_key(job.spec.id), door == doors_.end() ? 0 : door->second);
+        auto standby = pending_versions_.find(index);
+        s.condition(b, pending_key(job.spec.id),
+                    standby == pending_versions_.end() ? 0 : standby->second);
         b.entries.push_back({EntryKind::NewJob, index, {}, job.cancel_recorded});
         b.bases.emplace_back(index, base);
         b.urgent = true;
@@ -386,7 +387,7 @@
     while (!queue.empty()) {
         Index index = queue.front().ref.job;
         std::string text;
-        std::vector<TaskChange> told;
+        std::vector<TaskChange> adoption_recorded;
         size_t n = 0;
         uint64_t through = b.through;
         for (; n < queue.size() && text.size() < entry_limit_; ++n) {
@@ -396,10 +397,10 @@
             // The end of a job replaces all of this.
             if (!cluster_.current(c) || cluster_.jobs[index]->ending) continue;
             add_row(text, *cluster_.jobs[index], c.ref.task, c.ref.task + 1, cluster_);
-            told.push_back(c);
+            adoption_recorded.push_back(c);
         }
         if (!text.empty() && !s.put(tasks_entry(cluster_.jobs[index]->spec.id, text))) return;
-        b.tasks.insert(b.tasks.end(), told.begin(), told.end());
+        b.tasks.insert(b.tasks.end(), adoption_recorded.begin(), adoption_recorded.end());
         b.through = through;
         queue.erase(queue.begin(), queue.begin() + static_cast<long>(n));
     }
@@ -495,7 +496,7 @@
     for (auto& job : cluster_.jobs)
         if (job && job->version != 0 && job->base <= retelling_) return;
     for (auto& [j, t] : telling_)
-        if (t.told > 0 && t.base <= retelling_) return;
+        if (t.adoption_recorded > 0 && t.base <= retelling_) return;
     size_t most = static_cast<size_t>(ops) - 1;
     uint64_t first = first_;
     for (auto& segment : segments_) {
@@ -523,9 +524,9 @@
     }
     for (auto& [j, base] : batch.bases)
         if (cluster_.jobs[j]) cluster_.jobs[j]->base = base;
-    for (auto& [j, n, base] : batch.told)
+    for (auto& [j, n, base] : batch.adoption_recorded)
         if (auto it = telling_.find(j); it != telling_.end())
-            it->second.told = n, it->second.base = base;
+            it->second.adoption_recorded = n, it->second.base = base;
     for (auto& e : batch.entries) {
         auto* job = e.job == kNone ? nullptr : cluster_.jobs[e.job].get();
         if (e.kind == EntryKind::Cancel) job->cancel_recorded = job->cancel_logged = true;
@@ -533,7 +534,7 @@
             job->version = revision;
             job->cancel_logged = e.cancelled;
             telling_.erase(e.job);
-            doors_.erase(e.job);
+            pending_versions_.erase(e.job);
         }
         if (e.kind == EntryKind::Note) notes_[e.key].version = revision;
     }
@@ -563,7 +564,7 @@
         auto& e = *it;
         if (e.kind == EntryKind::Cancel) cancels_.push_front(e.job);
         if (e.kind == EntryKind::Finish) finishes_.push_front(e.job);
-        if (e.kind == EntryKind::NewJob) telling_.erase(e.job), doors_.erase(e.job);
+        if (e.kind == EntryKind::NewJob) telling_.erase(e.job), pending_versions_.erase(e.job);
         if (e.kind == EntryKind::Forget && !e.key.empty()) forgets_.emplace_front(e.key, e.version);
         if (e.kind != EntryKind::Note) continue;
         // A newer value may have come meanwhile.
@@ -578,7 +579,7 @@
     cancels_.clear();
     finishes_.clear();
     forgets_.clear();
-    doors_.clear();
+    pending_versions_.clear();
     notes_.clear();
     segments_.clear();
     open_.clear();
--- a/src/bookkeeping/ledger.h
+++ b/src/bookkeeping/ledger.h
@@ -76,8 +76,9 @@
         size_t pieces;
         uint64_t base;
     };
-    std::vector<Told> told;  // new jobs of whose records so many pieces are recorded with it
-    uint64_t first = 0;      // the log's first segment after this
+    std::vector<Told>
+        adoption_recorded;  // new jobs of whose records so many pieces are recorded with it
+    uint64_t first = 0;     // the log's first segment after this
     bool empty() const { return txn.changes.empty(); }
     bool urgent = false;  // a user waits for it
 };
@@ -88,9 +89,9 @@
 
     // `door`: the version of its door record (doors/records.h), which it replaces; 0: there must be
     // none.
-    void new_job(Index job, uint64_t door = 0) {
+    void new_job(Index job, uint64_t standby = 0) {
         new_jobs_.push_back(job);
-        if (door != 0) doors_[job] = door;
+        if (standby != 0) pending_versions_[job] = standby;
     }
     // A door record that the log, or a final state, stands for by now: deleted when there are
     // changes to spare.
@@ -154,7 +155,7 @@
     bool pipelines_ = false;          // the log holds what versions without pipelines can't read
     std::deque<Index> new_jobs_, cancels_, finishes_;
     std::map<Index, uint64_t>
-        doors_;  // of new jobs that doors accepted: the versions of their records
+        pending_versions_;  // of new jobs that doors accepted: the versions of their records
     std::deque<std::pair<std::string, uint64_t>> forgets_;
     struct Note {
         std::string record;  // empty: nothing to write
@@ -176,8 +177,8 @@
     // New jobs whose records take several entries, as they stood when the first was told.
     struct Telling {
         std::vector<std::string> entries;
-        size_t told = 0;    // are recorded
-        uint64_t base = 0;  // from this segment on
+        size_t adoption_recorded = 0;  // are recorded
+        uint64_t base = 0;             // from this segment on
     };
     std::map<Index, Telling> telling_;
     // While loading: machine names by task; pieces of records, and in which segment the first is;
--- a/src/coordination/front.cpp
+++ b/src/coordination/front.cpp
@@ -26,7 +26,8 @@
 // written in place inside a co_await expression twice.
 }  // namespace
 
-Front::Front(asio::io_context& io, const Settings& settings, const Properties& properties)
+RequestRouter::RequestRouter(asio::io_context& io, const Settings& settings,
+                             const Properties& properties)
     : io_(io), settings_(settings), properties_(properties), kv_(io, settings), roster_(settings) {
     heard_leader_ = steady_now();
     Election::Events events;
@@ -48,8 +49,8 @@
     events.campaign_wait = [this] { return membership_->campaign_wait(); };
     set_up_membership();
     election_ = std::make_unique<Election>(io, settings_, properties_, kv_, std::move(events));
-    door_ = std::make_unique<Door>(io, settings_, properties_, kv_, metrics_,
-                                   [this] { return leader_ && leader_->ready(); });
+    standby_ = std::make_unique<StandbyService>(io, settings_, properties_, kv_, metrics_,
+                                                [this] { return leader_ && leader_->ready(); });
     peers_in_ = std::make_unique<PeerServer>(
         io, settings.peer, [this](PeerCall call) { return from_peer(std::move(call)); },
         most_peer_bytes(settings));
@@ -60,13 +61,13 @@
                  settings.api.text(), settings.peers.size());
 }
 
-void Front::set_up_membership() {
+void RequestRouter::set_up_membership() {
     Membership::Hooks hooks;
     hooks.workers = [this] {
         double now = steady_now();
         if (leader_ && leader_->ready())
             return leader_links(leader_->cluster(), membership_->times(), settings_.lease_s, now);
-        LinkReport r;
+        LinkStatus r;
         r.direct = roster_.stranded(leader_fencing_token(), membership_->times().cycle_s, now);
         return r;
     };
@@ -84,7 +85,7 @@
         std::make_unique<Membership>(io_, settings_, properties_, kv_, metrics_, std::move(hooks));
 }
 
-PeerClient* Front::link_to(const std::string& name) {
+PeerClient* RequestRouter::link_to(const std::string& name) {
     if (auto it = links_.find(name); it != links_.end()) return it->second.get();
     for (auto& p : settings_.peers)
         if (p.name == name) {
@@ -95,10 +96,10 @@
     return nullptr;
 }
 
-PeerClient* Front::leader_link() { return link_to(leader_name()); }
+PeerClient* RequestRouter::leader_link() { return link_to(leader_name()); }
 
 // The answer to a ping: 200 from the leader itself, else whom this node takes for it.
-PeerReply Front::who_leads() const {
+PeerReply RequestRouter::who_leads() const {
     PeerReply reply{503, leader_name(), 1, leader_fencing_token()};
     if (leader_ && leader_->lease_valid(steady_now()))
         reply = {200, settings_.name, 0, leader_->fencing_token()};
@@ -106,7 +107,7 @@
     return reply;
 }
 
-asio::awaitable<PeerReply> Front::from_peer(PeerCall call) {
+asio::awaitable<PeerReply> RequestRouter::from_peer(PeerCall call) {
     if (call.op == PeerOp::Ping) {
         if (!call.sender.empty()) membership_->heard(call.sender, call.links);
         co_return who_leads();
@@ -125,7 +126,7 @@
 
 // Stops for a worker that the leader can't reach. Like any that it sends itself they name token,
 // session and attempt, so a late or second copy does no harm.
-asio::awaitable<PeerReply> Front::pass_command(PeerCall call) {
+asio::awaitable<PeerReply> RequestRouter::pass_command(PeerCall call) {
     metrics_.count("stops_passed_on_total");
     std::string body = call.body;
     if (co_await send_commands(io_, call.subject, std::move(body), kWorker_s))
@@ -143,14 +144,14 @@
     co_return PeerReply{503, "{}"};
 }
 
-std::optional<std::string> Front::way_for(const PeerCall& call) const {
+std::optional<std::string> RequestRouter::relay_for(const PeerCall& call) const {
     if (!membership_->enabled() || call.via) return std::nullopt;
     auto views = membership_->views(steady_now());
-    if (auto way = way_to_leader(leader_name(), views)) return way;
+    if (auto way = relay_to_leader(leader_name(), views)) return way;
     return membership_->reaches_kv(steady_now()) ? std::nullopt : relay_to_kv(views);
 }
 
-asio::awaitable<PeerReply> Front::by_peer(std::string name, PeerCall call) {
+asio::awaitable<PeerReply> RequestRouter::by_peer(std::string name, PeerCall call) {
     auto* link = link_to(name);
     if (!link) co_return PeerReply{503, "{}", 1, 0, true};
     call.sender = settings_.name;
@@ -162,16 +163,17 @@
     co_return *reply;
 }
 
-bool Front::leader_uplink_lost() const {
+bool RequestRouter::leader_uplink_lost() const {
     auto links = membership_->view(leader_name(), steady_now());
-    return links && links->told && links->known > 0 && 2 * links->direct < links->known;
+    return links && links->adoption_recorded && links->known > 0 &&
+           2 * links->direct < links->known;
 }
 
-asio::awaitable<PeerReply> Front::to_leader(PeerCall call) {
+asio::awaitable<PeerReply> RequestRouter::to_leader(PeerCall call) {
     if (auto leader = leader_) co_return co_await leader->ask(std::move(call));
     auto* link = leader_link();
     if (!link || leader_silent()) {
-        if (auto way = way_for(call)) {
+        if (auto way = relay_for(call)) {
             metrics_.count("second_hops_total");
             call.via = true;
             auto reply = co_await by_peer(*way, std::move(call));
@@ -193,11 +195,11 @@
     }
     heard_leader_ = steady_now();
     silent_fencing_token_ = 0;
-    if (submits && reply->status < 300) patience_.took(heard_leader_ - asked);
+    if (submits && reply->status < 300) forward_timeout_.took(heard_leader_ - asked);
     co_return *reply;
 }
 
-asio::awaitable<void> Front::forward(PeerCall call, OneShot<PeerReply> out) {
+asio::awaitable<void> RequestRouter::forward(PeerCall call, OneShot<PeerReply> out) {
     auto reply = co_await to_leader(std::move(call));
     out.set(std::move(reply));
 }
@@ -205,11 +207,12 @@
 // The leader's answer, for as long as it is heard of at all, and at most `most_s`. One that is busy
 // answers pings: taken for gone after a time alone, a leader with a burst of submissions had the
 // doors' writes on top of its own.
-asio::awaitable<std::optional<PeerReply>> Front::while_heard(OneShot<PeerReply> forwarded,
-                                                             double started, double most_s) {
+asio::awaitable<std::optional<PeerReply>> RequestRouter::while_heard(OneShot<PeerReply> forwarded,
+                                                                     double started,
+                                                                     double most_s) {
     bool probed = false;
     for (;;) {
-        double quiet_until = std::max(started, heard_leader_) + patience_.seconds();
+        double quiet_until = std::max(started, heard_leader_) + forward_timeout_.seconds();
         double until = std::min(quiet_until, started + most_s);
         if (!probed) until = std::min(until, started + kProbe_s);
         double now = steady_now();
@@ -225,15 +228,15 @@
     }
 }
 
-asio::awaitable<PeerReply> Front::serve(PeerCall call) {
-    if (!door_->open()) co_return co_await to_leader(std::move(call));
+asio::awaitable<PeerReply> RequestRouter::serve(PeerCall call) {
+    if (!standby_->open()) co_return co_await to_leader(std::move(call));
     PeerCall again = call;
     if (auto leader = leader_) {
         auto reply = co_await leader->ask(std::move(call));
         if (!reply.undecided) co_return reply;
-        co_return co_await door_->serve(std::move(again));
+        co_return co_await standby_->serve(std::move(again));
     }
-    if (!leader_link() || leader_silent()) co_return co_await door_->serve(std::move(again));
+    if (!leader_link() || leader_silent()) co_return co_await standby_->serve(std::move(again));
     // The leader goes on while the door begins: what both take is one job, as their records exclude
     // each other.
     bool submits = call.op == PeerOp::Submit;
@@ -242,13 +245,13 @@
     asio::co_spawn(io_, forward(std::move(call), forwarded), asio::detached);
     auto reply = co_await while_heard(forwarded, started, submits ? kBusy_s : kAsked_s);
     if (reply && !reply->undecided) co_return *reply;
-    auto own = co_await door_->serve(std::move(again));
+    auto own = co_await standby_->serve(std::move(again));
     if (reply || own.status != 503) co_return own;
     auto late = co_await forwarded.wait(std::max(0.01, started + kForward_s - steady_now()));
     co_return late ? *late : own;
 }
 
-asio::awaitable<bool> Front::ask_peer(std::string name) {
+asio::awaitable<bool> RequestRouter::ask_peer(std::string name) {
     PeerCall ping;
     ping.sender = settings_.name;
     if (membership_->enabled()) ping.links = membership_->own(steady_now());
@@ -275,7 +278,7 @@
     co_return reply->status == 200;
 }
 
-asio::awaitable<void> Front::ping_loop() {
+asio::awaitable<void> RequestRouter::ping_loop() {
     for (;;) {
         co_await sleep_s(settings_.ping_s);
         if (term_ && told_fencing_token_ > term_->fencing_token) {
@@ -300,7 +303,7 @@
     }
 }
 
-bool Front::healthy() const {
+bool RequestRouter::healthy() const {
     // A leader that the state service refuses alone, while its peers refuse it too, is of use to
     // nobody: it used to keep its users for as long as that lasted.
     if (membership_->enabled() && leader_ && !leader_->lease_valid(steady_now())) {
@@ -308,11 +311,11 @@
         bool alone = membership_->views(now).empty() && !settings_.peers.empty();
         if (alone && now - kv_.answered_at() > kDeaf_s) return false;
     }
-    if (leader_ || door_->open()) return true;
+    if (leader_ || standby_->open()) return true;
     return steady_now() - heard_leader_ < kDeaf_s;
 }
 
-HttpReply Front::metrics_page() const {
+HttpReply RequestRouter::metrics_page() const {
     std::map<std::string, double> gauges{{"leading", leader_ ? 1 : 0},
                                          {"token", static_cast<double>(leader_fencing_token())}};
     if (leader_ && leader_->ready()) leader_->gauges(gauges);
@@ -323,7 +326,7 @@
     return reply;
 }
 
-asio::awaitable<HttpReply> Front::handle(HttpRequest r) {
+asio::awaitable<HttpReply> RequestRouter::handle(HttpRequest r) {
     double started = steady_now();
     const char* kind = "other";
     auto reply = co_await route(std::move(r), kind);
@@ -334,7 +337,7 @@
     co_return reply;
 }
 
-asio::awaitable<HttpReply> Front::route(HttpRequest r, const char*& kind) {
+asio::awaitable<HttpReply> RequestRouter::route(HttpRequest r, const char*& kind) {
     auto answer = [](PeerReply reply) {
         return HttpReply{reply.status, std::move(reply.body), reply.retry_after_s};
     };
@@ -376,7 +379,7 @@
 }
 
 // For a report, a call's subject is where it came from.
-asio::awaitable<HttpReply> Front::handle_heartbeat(HttpRequest r) {
+asio::awaitable<HttpReply> RequestRouter::handle_heartbeat(HttpRequest r) {
     if (auto leader = leader_) {
         PeerCall call{PeerOp::Heartbeat, std::move(r.from), std::move(r.body)};
         auto reply = co_await leader->ask(std::move(call));
--- a/src/coordination/front.h
+++ b/src/coordination/front.h
@@ -14,9 +14,10 @@
 
 namespace weirmill {
 
-class Front {
+class RequestRouter {
   public:
-    Front(boost::asio::io_context& io, const Settings& settings, const Properties& properties);
+    RequestRouter(boost::asio::io_context& io, const Settings& settings,
+                  const Properties& properties);
     uint16_t api_port() const { return http_->port(); }
     uint16_t peer_port() const { return peers_in_->port(); }
 
@@ -29,7 +30,7 @@
     boost::asio::awaitable<PeerReply> to_leader(PeerCall call);
     boost::asio::awaitable<PeerReply> by_peer(std::string name, PeerCall call);
     // The peer through which this call may reach the leader, where this controller can't.
-    std::optional<std::string> way_for(const PeerCall& call) const;
+    std::optional<std::string> relay_for(const PeerCall& call) const;
     boost::asio::awaitable<PeerReply> pass_command(PeerCall call);
     bool leader_silent() const {
         return silent_fencing_token_ != 0 && silent_fencing_token_ == leader_fencing_token();
@@ -68,16 +69,16 @@
     std::string told_leader_;               // what the other controllers said
     uint64_t told_fencing_token_ = 0;
     std::map<std::string, std::unique_ptr<PeerClient>> links_;
-    std::unique_ptr<Door> door_;
+    std::unique_ptr<StandbyService> standby_;
     std::unique_ptr<PeerServer> peers_in_;
     std::unique_ptr<HttpServer> http_;
     std::unique_ptr<Membership> membership_;
-    Roster roster_;
+    WorkerRoster roster_;
     Metrics metrics_;
     double heard_leader_ = 0;  // when the leader last answered this node
     uint64_t silent_fencing_token_ =
         0;  // the leader with this token was asked, and did not answer, since
-    Patience patience_;
+    ForwardTimeout forward_timeout_;
 };
 
 }  // namespace weirmill
--- a/src/coordination/leader.cpp
+++ b/src/coordination/leader.cpp
@@ -126,9 +126,9 @@
 }
 
 asio::awaitable<void> Leader::run(std::shared_ptr<Leader> self) {
-    std::optional<InboxChanged> inbox;
+    std::optional<PendingChanged> inbox;
     while (!stopped_) {
-        if (co_await load()) inbox = co_await read_inbox();
+        if (co_await load()) inbox = co_await read_pending();
         if (inbox) break;
         co_await sleep_s(0.3);
     }
@@ -153,7 +153,7 @@
     handle(*inbox);
     asio::co_spawn(io_, tick_loop(self), asio::detached);
     asio::co_spawn(io_, list_loop(self), asio::detached);
-    asio::co_spawn(io_, inbox_loop(self), asio::detached);
+    asio::co_spawn(io_, pending_loop(self), asio::detached);
     while (!stopped_) {
         auto [ec, message] = co_await mailbox_.async_receive(asio::as_tuple(asio::use_awaitable));
         if (ec) break;
@@ -228,7 +228,7 @@
 
 void Leader::handle(Tick&) {
     release_held(true);
-    collect_inbox();
+    adopt_pending();
     if (now_ >= next_check_) {
         next_check_ = now_ + 0.5;
         check_machines();
--- a/src/coordination/leader.h
+++ b/src/coordination/leader.h
@@ -79,11 +79,11 @@
         PeerCall call;
         Reply reply;
         std::vector<std::pair<std::string, FinalState>> ended;
-        std::string missing;    // was never accepted, as the state service has it
-        bool all = false;       // nothing is left to be read
-        bool collects = false;  // for a job that a door accepted
+        std::string missing;  // was never accepted, as the state service has it
+        bool all = false;     // nothing is left to be read
+        bool adopts = false;  // for a job that a door accepted
     };
-    struct InboxChanged {
+    struct PendingChanged {
         std::vector<KvEvent> events;
         bool whole = false;  // all records there are, not only what changed
     };
@@ -107,7 +107,7 @@
         std::function<void()> settled;
     };
     using Message = std::variant<Tick, Asked, FinalRead, DependenciesRead, TxnDone, TxnUnsure,
-                                 InboxChanged, TypesRead, ListRead, InstancesProvisioned,
+                                 PendingChanged, TypesRead, ListRead, InstancesProvisioned,
                                  ProvisionPassDone, InstancesTerminated, TransferLeadership>;
     using Mailbox = boost::asio::experimental::channel<void(boost::system::error_code, Message)>;
 
@@ -131,10 +131,10 @@
                                             Reply reply, PeerReply refusal);
     boost::asio::awaitable<void> read_dependencies(std::shared_ptr<Leader> self, PeerCall call,
                                                    Reply reply, std::vector<std::string> ids,
-                                                   bool collects);
+                                                   bool adopts);
     boost::asio::awaitable<KvResult<KvItem>> read_ended(std::string id, double timeout_s);
-    boost::asio::awaitable<std::optional<InboxChanged>> read_inbox();
-    boost::asio::awaitable<void> inbox_loop(std::shared_ptr<Leader> self);
+    boost::asio::awaitable<std::optional<PendingChanged>> read_pending();
+    boost::asio::awaitable<void> pending_loop(std::shared_ptr<Leader> self);
     boost::asio::awaitable<void> types_loop(std::shared_ptr<Leader> self);
     boost::asio::awaitable<void> list_loop(std::shared_ptr<Leader> self);
     boost::asio::awaitable<void> provision(std::shared_ptr<Leader> self,
@@ -154,7 +154,7 @@
     void handle(DependenciesRead& m);
     void handle(TxnDone& m);
     void handle(TxnUnsure&);
-    void handle(InboxChanged& m);
+    void handle(PendingChanged& m);
     void handle(TypesRead& m);
     void handle(ListRead& m);
     void handle(InstancesProvisioned& m);
@@ -182,9 +182,9 @@
     void check_cancelled(const std::vector<Index>& jobs);
 
     // A door's record, and what is done with it.
-    struct Inboxed {
+    struct PendingEntry {
         uint64_t version = 0;
-        DoorRecord record;
+        PendingRecord record;
         enum class Step : uint8_t {
             Waiting,
             Reading,
@@ -194,16 +194,16 @@
         } step = Step::Waiting;
         double not_before = 0;
     };
-    void take_door_record(const KvItem& item);
+    void receive_pending(const KvItem& item);
     // The job is told by its door record alone, as yet.
-    bool at_door(const std::string& id) const;
-    void collect_inbox();
-    void collect(const std::string& id, Inboxed& in);
-    void collect_again(const DependenciesRead& m);
-    void told(const std::string& id, bool recorded);
+    bool is_pending(const std::string& id) const;
+    void adopt_pending();
+    void adopt(const std::string& id, PendingEntry& in);
+    void resume_adoption(const DependenciesRead& m);
+    void adoption_recorded(const std::string& id, bool recorded);
     void forget(const std::string& id);
     void forgotten(const StateLogEntry& e);
-    uint64_t door_version(const std::string& id) const;
+    uint64_t pending_version(const std::string& id) const;
     std::optional<FinalState> final_state(const KvItem& item) const;
     void drop_new_job(Index job);
     void status(PeerCall& call, Reply& reply);
@@ -277,8 +277,8 @@
     std::map<std::string, std::vector<std::pair<PeerOp, Reply>>> waiters_;  // by job id
     std::map<Index, Held> held_;                                            // by machine
     std::map<Index, std::vector<Command>> direct_;  // stops to send, by machine
-    std::map<std::string, Inboxed> inbox_;          // by job id
-    uint64_t inbox_revision_ = 0;
+    std::map<std::string, PendingEntry> pending_;   // by job id
+    uint64_t pending_revision_ = 0;
     std::unordered_map<std::string, FinalState> finals_;
     std::deque<std::string> finals_order_;
 
--- a/src/coordination/leader_inbox.cpp
+++ b/src/coordination/leader_inbox.cpp
@@ -21,14 +21,14 @@
 constexpr double kWatch_s = 10;
 }  // namespace
 
-asio::awaitable<std::optional<Leader::InboxChanged>> Leader::read_inbox() {
-    InboxChanged read;
+asio::awaitable<std::optional<Leader::PendingChanged>> Leader::read_pending() {
+    PendingChanged read;
     read.whole = true;
     std::string after;
     for (bool more = true; more;) {
-        auto page = co_await kv_.list(kDoorKeys, after, kRecordsAPage, 3);
+        auto page = co_await kv_.list(kPendingPrefix, after, kRecordsAPage, 3);
         if (stopped_ || !page) co_return std::nullopt;
-        if (after.empty()) inbox_revision_ = page.value.revision;
+        if (after.empty()) pending_revision_ = page.value.revision;
         more = page.value.more && !page.value.items.empty();
         if (more) after = page.value.items.back().key;
         for (auto& item : page.value.items) read.events.push_back({std::move(item), false});
@@ -37,68 +37,70 @@
 }
 
 // What was read is posted, so that the records change between messages only.
-asio::awaitable<void> Leader::inbox_loop(std::shared_ptr<Leader> self) {
+asio::awaitable<void> Leader::pending_loop(std::shared_ptr<Leader> self) {
     (void)self;
     while (!stopped_) {
-        auto watched = co_await kv_.watch(kDoorKeys, inbox_revision_, kWatch_s);
+        auto watched = co_await kv_.watch(kPendingPrefix, pending_revision_, kWatch_s);
         if (stopped_) co_return;
         if (watched) {
-            inbox_revision_ = std::max(inbox_revision_, watched.value.revision);
-            if (!watched.value.events.empty()) post(InboxChanged{std::move(watched.value.events)});
+            pending_revision_ = std::max(pending_revision_, watched.value.revision);
+            if (!watched.value.events.empty())
+                post(PendingChanged{std::move(watched.value.events)});
             continue;
         }
         // Too old to be told on: all records are read again. Never without a pause, as any other
         // status that stays would else be asked for without an end.
         if (watched.outcome == KvOutcome::Invalid)
-            if (auto all = co_await read_inbox()) post(std::move(*all));
+            if (auto all = co_await read_pending()) post(std::move(*all));
         co_await sleep_s(kAgain_s);
     }
 }
 
-void Leader::take_door_record(const KvItem& item) {
-    auto id = item.key.substr(kDoorKeys.size());
-    if (auto it = inbox_.find(id); it != inbox_.end() && it->second.version >= item.version) return;
+void Leader::receive_pending(const KvItem& item) {
+    auto id = item.key.substr(kPendingPrefix.size());
+    if (auto it = pending_.find(id); it != pending_.end() && it->second.version >= item.version)
+        return;
     try {
-        inbox_[id] = {item.version, parse_door_record(item.value)};
+        pending_[id] = {item.version, parse_pending_record(item.value)};
     } catch (const BadMessage& e) {
         // Left as it is: its user is told to come back, which is never wrong.
         spdlog::error("leader: malformed record {}: {}", item.key, e.what());
     }
 }
 
-void Leader::handle(InboxChanged& m) {
+void Leader::handle(PendingChanged& m) {
     if (m.whole) {
         std::set<std::string> there;
         for (auto& e : m.events) there.insert(e.item.key);
-        std::erase_if(inbox_, [&](auto& in) { return !there.count(door_key(in.first)); });
+        std::erase_if(pending_, [&](auto& in) { return !there.count(pending_key(in.first)); });
     }
     for (auto& e : m.events) {
-        auto id = e.item.key.substr(std::min(kDoorKeys.size(), e.item.key.size()));
+        auto id = e.item.key.substr(std::min(kPendingPrefix.size(), e.item.key.size()));
         if (!e.deleted)
-            take_door_record(e.item);
-        else if (auto it = inbox_.find(id);
-                 it != inbox_.end() && it->second.version < e.item.version)
-            inbox_.erase(it);
+            receive_pending(e.item);
+        else if (auto it = pending_.find(id);
+                 it != pending_.end() && it->second.version < e.item.version)
+            pending_.erase(it);
     }
-    collect_inbox();
+    adopt_pending();
 }
 
 // A record that is to be deleted says nothing any more. Its job, should it have ended, was called
 // "not now" until the record was gone, which on a busy day took minutes.
-bool Leader::at_door(const std::string& id) const {
-    auto it = inbox_.find(id);
-    return it != inbox_.end() && it->second.step != Inboxed::Step::Forgetting;
+bool Leader::is_pending(const std::string& id) const {
+    auto it = pending_.find(id);
+    return it != pending_.end() && it->second.step != PendingEntry::Step::Forgetting;
 }
 
-void Leader::collect_inbox() {
-    if (inbox_.empty() || !lease_valid(now_)) return;
-    for (auto& [id, in] : inbox_) {
+void Leader::adopt_pending() {
+    if (pending_.empty() || !lease_valid(now_)) return;
+    for (auto& [id, in] : pending_) {
         if (state_log_.submissions() >= kCollectAtOnce) return;
-        if (in.step == Inboxed::Step::Waiting && now_ >= in.not_before) collect(id, in);
+        if (in.step == PendingEntry::Step::Waiting && now_ >= in.not_before) adopt(id, in);
     }
 }
 
-void Leader::collect(const std::string& id, Inboxed& in) {
+void Leader::adopt(const std::string& id, PendingEntry& in) {
     if (auto it = cluster_.job_index.find(id); it != cluster_.job_index.end()) {
         auto& job = *cluster_.jobs[it->second];
         if (job.version == 0) return;  // on its way to be recorded
@@ -116,14 +118,14 @@
         if (spec.team == kNone) read::bad("job.team");
         if (spec.id != id) read::bad("job.name_id");
     } catch (const BadMessage& e) {
-        spdlog::error("leader: malformed record {}: {}", door_key(id), e.what());
-        in.step = Inboxed::Step::Broken;
+        spdlog::error("leader: malformed record {}: {}", pending_key(id), e.what());
+        in.step = PendingEntry::Step::Broken;
         return;
     }
     auto depends = resolve(spec);
     if (depends.unsure) return;
     if (!depends.unread.empty()) {
-        in.step = Inboxed::Step::Reading;
+        in.step = PendingEntry::Step::Reading;
         PeerCall call{PeerOp::Submit, id, ""};
         asio::co_spawn(
             io_,
@@ -137,18 +139,18 @@
     // Doors open only where all controllers collect, so all can read a record in pieces.
     state_log_.allow_pieces();
     state_log_.new_job(index, in.version);
-    in.step = Inboxed::Step::Telling;
+    in.step = PendingEntry::Step::Telling;
     metrics_.count("door_jobs_collected_total");
 }
 
 // The dependencies of a door's job were read.
-void Leader::collect_again(const DependenciesRead& m) {
-    auto it = inbox_.find(m.call.subject);
-    if (it == inbox_.end() || it->second.step != Inboxed::Step::Reading) return;
-    it->second.step = Inboxed::Step::Waiting;
+void Leader::resume_adoption(const DependenciesRead& m) {
+    auto it = pending_.find(m.call.subject);
+    if (it == pending_.end() || it->second.step != PendingEntry::Step::Reading) return;
+    it->second.step = PendingEntry::Step::Waiting;
     if (m.missing.empty()) {
         if (!m.all) it->second.not_before = now_ + kAgain_s;
-        return collect_inbox();
+        return adopt_pending();
     }
     // The door saw that it was accepted, so this can't be; what was accepted is never refused.
     spdlog::error("leader: {} waits for {}, which was never accepted", m.call.subject, m.missing);
@@ -157,30 +159,32 @@
 
 // The log, or a final state, stands for the record.
 void Leader::forget(const std::string& id) {
-    auto it = inbox_.find(id);
-    if (it == inbox_.end() || it->second.step == Inboxed::Step::Forgetting) return;
-    it->second.step = Inboxed::Step::Forgetting;
-    state_log_.forget(door_key(id), it->second.version);
+    auto it = pending_.find(id);
+    if (it == pending_.end() || it->second.step == PendingEntry::Step::Forgetting) return;
+    it->second.step = PendingEntry::Step::Forgetting;
+    state_log_.forget(pending_key(id), it->second.version);
 }
 
-uint64_t Leader::door_version(const std::string& id) const {
-    auto it = inbox_.find(id);
-    return it != inbox_.end() && it->second.step == Inboxed::Step::Telling ? it->second.version : 0;
+uint64_t Leader::pending_version(const std::string& id) const {
+    auto it = pending_.find(id);
+    return it != pending_.end() && it->second.step == PendingEntry::Step::Telling
+               ? it->second.version
+               : 0;
 }
 
 // The transaction that told of a job is over. Its door's record, should there be one, is looked at
 // again: to be forgotten if the job was recorded, and otherwise, a little later, to be collected
 // anew.
-void Leader::told(const std::string& id, bool recorded) {
-    auto it = inbox_.find(id);
-    if (it == inbox_.end() || it->second.step != Inboxed::Step::Telling) return;
-    it->second.step = Inboxed::Step::Waiting;
+void Leader::adoption_recorded(const std::string& id, bool recorded) {
+    auto it = pending_.find(id);
+    if (it == pending_.end() || it->second.step != PendingEntry::Step::Telling) return;
+    it->second.step = PendingEntry::Step::Waiting;
     it->second.not_before = recorded ? 0 : now_ + kAgain_s;
 }
 
 void Leader::forgotten(const StateLogEntry& e) {
-    auto it = inbox_.find(e.key.substr(kDoorKeys.size()));
-    if (it != inbox_.end() && it->second.version == e.version) inbox_.erase(it);
+    auto it = pending_.find(e.key.substr(kPendingPrefix.size()));
+    if (it != pending_.end() && it->second.version == e.version) pending_.erase(it);
 }
 
 }  // namespace weirmill
--- a/src/coordination/leader_records.cpp
+++ b/src/coordination/leader_records.cpp
@@ -128,7 +128,7 @@
             if (e.kind == EntryKind::NewJob) {
                 auto& job = *cluster_.jobs[e.job];
                 answer_waiters(job.spec.id, job_reply(job, PeerOp::Submit, 201));
-                told(job.spec.id, true);
+                adoption_recorded(job.spec.id, true);
                 spdlog::debug("job: {} class={} tasks={} accepted, waits for {}", job.spec.id,
                               cluster_.names.classes.name(job.spec.job_class), job.spec.tasks,
                               cluster_.dependencies().of(e.job).size());
@@ -191,15 +191,15 @@
             }
             if (e.kind != EntryKind::NewJob) continue;
             auto id = cluster_.jobs[e.job]->spec.id;
-            bool ended = stands(final_key(id)), at_door = stands(door_key(id));
-            if (!ended && !at_door) {
-                again.emplace_back(e.job, door_version(id));
+            bool ended = stands(final_key(id)), is_pending = stands(pending_key(id));
+            if (!ended && !is_pending) {
+                again.emplace_back(e.job, pending_version(id));
                 continue;
             }
             auto waiting = std::move(waiters_[id]);
             waiters_.erase(id);
             drop_new_job(e.job);
-            ended ? forget(id) : told(id, false);
+            ended ? forget(id) : adoption_recorded(id, false);
             for (auto& [op, reply] : waiting)
                 asio::co_spawn(
                     io_, read_final(shared_from_this(), PeerCall{op, id, ""}, reply, kNotFound),
@@ -219,7 +219,7 @@
                 auto id = cluster_.jobs[e.job]->spec.id;
                 answer_waiters(id, come_back());
                 drop_new_job(e.job);
-                told(id, false);
+                adoption_recorded(id, false);
             } else if (e.kind == EntryKind::Cancel) {
                 answer_waiters(cluster_.jobs[e.job]->spec.id, come_back());
             }
@@ -234,7 +234,7 @@
     }
     mark_ends(m.batch, false);
     state_log_.rejected(m.batch);
-    for (auto& [j, door] : again) state_log_.new_job(j, door);
+    for (auto& [j, standby] : again) state_log_.new_job(j, standby);
 }
 
 }  // namespace weirmill
--- a/src/coordination/leader_users.cpp
+++ b/src/coordination/leader_users.cpp
@@ -103,7 +103,7 @@
         if (spec.id.empty()) return reply.set(std::move(*malformed));
     }
     // Accepted by a door: from its record, never anew.
-    if (inbox_.count(spec.id)) collect_inbox();
+    if (pending_.count(spec.id)) adopt_pending();
     if (auto* job = cluster_.find_job(spec.id)) {
         if (may_tell(*job)) return reply.set(job_reply(*job, PeerOp::Submit, 200));
         if (job->version != 0 || kv_unavailable()) return reply.set(undecided());
@@ -112,7 +112,7 @@
     }
     if (auto it = finals_.find(spec.id); it != finals_.end())
         return reply.set(final_reply(spec.id, it->second, PeerOp::Submit));
-    if (inbox_.count(spec.id)) return refuse_for_good(call, reply, spec.id, come_back());
+    if (pending_.count(spec.id)) return refuse_for_good(call, reply, spec.id, come_back());
     if (malformed) return refuse_for_good(call, reply, spec.id, std::move(*malformed));
     if (!cluster_.types_known) return reply.set(come_back(2));
     if (cluster_.never_runs(spec)) return refuse_for_good(call, reply, spec.id);
@@ -161,7 +161,7 @@
                 out.on.push_back(it->second);
         } else if (auto f = finals_.find(id); f != finals_.end()) {
             out.cancelled = out.cancelled || f->second.state == JobState::Cancelled;
-        } else if (at_door(id)) {
+        } else if (is_pending(id)) {
             out.unsure = true;  // accepted by a door, and soon collected
         } else {
             out.unread.push_back(id);
@@ -202,8 +202,8 @@
 // read is remembered, so that a list too long for one call gets further with each repetition.
 asio::awaitable<void> Leader::read_dependencies(std::shared_ptr<Leader> self, PeerCall call,
                                                 Reply reply, std::vector<std::string> ids,
-                                                bool collects) {
-    DependenciesRead read{std::move(call), reply, {}, {}, true, collects};
+                                                bool adopts) {
+    DependenciesRead read{std::move(call), reply, {}, {}, true, adopts};
     double until = steady_now() + kReadDependencies_s;
     double pause = 1 / (kReadShare * settings_.state_rps);
     for (auto& id : ids) {
@@ -226,7 +226,7 @@
 
 void Leader::handle(DependenciesRead& m) {
     for (auto& [id, f] : m.ended) remember_final(id, f);
-    if (m.collects) return collect_again(m);
+    if (m.adopts) return resume_adoption(m);
     if (!lease_valid(now_)) return m.reply.set(come_back());
     if (!m.missing.empty()) {
         // What was read is as old as the read: the job may have come, or ended, meanwhile.
@@ -249,7 +249,7 @@
     }
     if (auto it = finals_.find(call.subject); it != finals_.end())
         return reply.set(final_reply(call.subject, it->second, PeerOp::Status));
-    if (at_door(call.subject)) return reply.set(come_back());  // soon collected
+    if (is_pending(call.subject)) return reply.set(come_back());  // soon collected
     asio::co_spawn(io_, read_final(shared_from_this(), std::move(call), reply, kNotFound),
                    asio::detached);
 }
@@ -261,7 +261,7 @@
     if (it == cluster_.job_index.end()) {
         if (auto f = finals_.find(call.subject); f != finals_.end())
             return reply.set(final_reply(call.subject, f->second, PeerOp::Cancel));
-        if (at_door(call.subject)) return reply.set(come_back());
+        if (is_pending(call.subject)) return reply.set(come_back());
         asio::co_spawn(io_, read_final(shared_from_this(), std::move(call), reply, kNotFound),
                        asio::detached);
         return;
@@ -298,11 +298,11 @@
 // The final state of a job that is not in the tables. A door's record is read first, as jobs move
 // from there to the log and on: while it stands, a missing final state says nothing.
 asio::awaitable<KvResult<KvItem>> Leader::read_ended(std::string id, double timeout_s) {
-    auto door = co_await kv_.get(door_key(id), timeout_s);
+    auto standby = co_await kv_.get(pending_key(id), timeout_s);
     KvResult<KvItem> result;
-    if (door.outcome != KvOutcome::Missing && !door) co_return result;
+    if (standby.outcome != KvOutcome::Missing && !standby) co_return result;
     result = co_await kv_.get(final_key(id), timeout_s);
-    if (door && result.outcome == KvOutcome::Missing) result.outcome = KvOutcome::Unknown;
+    if (standby && result.outcome == KvOutcome::Missing) result.outcome = KvOutcome::Unknown;
     co_return result;
 }
 
--- a/src/doors/door.cpp
+++ b/src/doors/door.cpp
@@ -42,8 +42,9 @@
 
 }  // namespace
 
-Door::Door(asio::io_context& io, const Settings& settings, const Properties& properties,
-           KvClient& state, Metrics& metrics, std::function<bool()> resting)
+StandbyService::StandbyService(asio::io_context& io, const Settings& settings,
+                               const Properties& properties, KvClient& state, Metrics& metrics,
+                               std::function<bool()> resting)
     : io_(io),
       settings_(settings),
       properties_(properties),
@@ -55,16 +56,16 @@
       writes_(settings.state_write_rps * kWriteShare, 2.0),
       apart_(io) {
     asio::co_spawn(io_, mark_loop(), asio::detached);
-    if (properties_.doors_enabled) asio::co_spawn(io_, warm_loop(), asio::detached);
+    if (properties_.standby_enabled) asio::co_spawn(io_, warm_loop(), asio::detached);
 }
 
-bool Door::open() const {
-    return properties_.doors_enabled && collect_ && whole_ && cluster_.types_known &&
+bool StandbyService::open() const {
+    return properties_.standby_enabled && all_adopt_ && whole_ && cluster_.types_known &&
            steady_now() - heard_at_ < kQuiet_s;
 }
 
 template <class T>
-bool Door::heard(const KvResult<T>& result) {
+bool StandbyService::heard(const KvResult<T>& result) {
     bool answered =
         result || result.outcome == KvOutcome::Missing || result.outcome == KvOutcome::Conflict;
     if (answered) heard_at_ = steady_now();
@@ -73,22 +74,22 @@
 
 // The mark is written even where doors are closed here: this controller collects what others' doors
 // took.
-asio::awaitable<void> Door::mark_loop() {
+asio::awaitable<void> StandbyService::mark_loop() {
     for (bool marked = false;;) {
         if (!marked) {
-            auto mark = door_mark(settings_.name);
+            auto mark = adopter_transaction(settings_.name);
             auto result = co_await kv_.txn(std::move(mark), kWrite_s);
             marked = result || result.outcome == KvOutcome::Conflict;
         }
-        if (marked && !properties_.doors_enabled) co_return;
+        if (marked && !properties_.standby_enabled) co_return;
         if (marked) {
-            auto marks = co_await kv_.list(kMarkKeys, "", 1000, kRead_s);
+            auto marks = co_await kv_.list(kAdopterPrefix, "", 1000, kRead_s);
             if (marks) {
-                bool collect = all_collect(settings_, marks.value);
-                if (collect != collect_)
-                    spdlog::info("door: {}", collect ? "every controller collects"
-                                                     : "closed, not every controller collects");
-                collect_ = collect;
+                bool adopt = all_controllers_adopt(settings_, marks.value);
+                if (adopt != all_adopt_)
+                    spdlog::info("door: {}", adopt ? "every controller collects"
+                                                   : "closed, not every controller collects");
+                all_adopt_ = adopt;
             }
             auto types = co_await kv_.get(kTypesKey, kRead_s);
             try {
@@ -98,18 +99,18 @@
                 spdlog::error("door: malformed record {}: {}", kTypesKey, e.what());
             }
         }
-        co_await sleep_s(marked && collect_ && cluster_.types_known ? kMarks_s : 1.0);
+        co_await sleep_s(marked && all_adopt_ && cluster_.types_known ? kMarks_s : 1.0);
     }
 }
 
-asio::awaitable<void> Door::warm_loop() {
+asio::awaitable<void> StandbyService::warm_loop() {
     for (;;) {
         if (!resting_() && reads_.available(steady_now()) >= 1) (void)co_await fresh(false);
         co_await sleep_s(kWarm_s);
     }
 }
 
-asio::awaitable<bool> Door::fresh(bool at_once) {
+asio::awaitable<bool> StandbyService::fresh(bool at_once) {
     OneShot<bool> over(io_.get_executor());
     if (at_once) apart_.cancel();
     hurry_ = hurry_ || at_once;
@@ -124,7 +125,7 @@
     co_return ok.value_or(false) && whole_;
 }
 
-asio::awaitable<void> Door::pass_loop() {
+asio::awaitable<void> StandbyService::pass_loop() {
     while (!waiting_.empty()) {
         double pause = began_at_ + kApart_s - steady_now();
         if (!hurry_ && pause > 0) {
@@ -145,7 +146,7 @@
 }
 
 // Reads the log forward to what was recorded when the pass began, or more.
-asio::awaitable<bool> Door::pass() {
+asio::awaitable<bool> StandbyService::pass() {
     for (int tries = 0; tries < 2; ++tries) {
         std::string after = view_.after();
         bool begins = true, in_order = true;
@@ -175,9 +176,9 @@
     co_return false;
 }
 
-Door::Look Door::in_log(const std::string& id) const {
-    Look out;
-    Seen seen;
+StandbyService::JobLookup StandbyService::in_log(const std::string& id) const {
+    JobLookup out;
+    JobReads seen;
     seen.live = view_.find(id);
     if (seen.live) {
         seen.live_cancelled = view_.cancelled(id);
@@ -187,30 +188,31 @@
 }
 
 // Nothing: not known now. The door's record is read where the log does not hold the job, or always.
-asio::awaitable<std::optional<Door::Look>> Door::look(std::string id, bool record_too) {
+asio::awaitable<std::optional<StandbyService::JobLookup>> StandbyService::look(std::string id,
+                                                                               bool record_too) {
     if (!record_too) {
         if (!co_await fresh(false)) co_return std::nullopt;
         auto live = in_log(id);
-        if (live.standing.at == Standing::At::Log) co_return live;
+        if (live.standing.at == JobStanding::At::Log) co_return live;
     }
     reads_.take(1);
-    Look out;
-    Seen seen;
-    auto door = co_await kv_.get(door_key(id), kRead_s);
-    if (!heard(door)) co_return std::nullopt;
-    if (door) {
+    JobLookup out;
+    JobReads seen;
+    auto standby = co_await kv_.get(pending_key(id), kRead_s);
+    if (!heard(standby)) co_return std::nullopt;
+    if (standby) {
         try {
-            seen.door = parse_door_record(door.value.value);
+            seen.standby = parse_pending_record(standby.value.value);
         } catch (const BadMessage& e) {
-            spdlog::error("door: malformed record {}: {}", door_key(id), e.what());
+            spdlog::error("door: malformed record {}: {}", pending_key(id), e.what());
             co_return std::nullopt;
         }
-        out.record = seen.door;
-        out.version = door.value.version;
+        out.record = seen.standby;
+        out.version = standby.value.version;
     }
     if (!co_await fresh(false)) co_return std::nullopt;
     auto live = in_log(id);
-    if (live.standing.at == Standing::At::Log) {
+    if (live.standing.at == JobStanding::At::Log) {
         out.standing = live.standing;
         co_return out;
     }
@@ -227,7 +229,7 @@
     co_return out;
 }
 
-asio::awaitable<PeerReply> Door::serve(PeerCall call) {
+asio::awaitable<PeerReply> StandbyService::serve(PeerCall call) {
     bool named = call.op != PeerOp::Submit;
     if (named && !valid_job_id(call.subject)) co_return PeerReply{404, "{}"};
     PeerReply reply;
@@ -242,27 +244,27 @@
     } else {
         std::string id = call.subject;
         auto seen = co_await look(std::move(call.subject), false);
-        reply = seen ? door_reply(id, seen->standing, PeerOp::Status) : come_back();
+        reply = seen ? standby_reply(id, seen->standing, PeerOp::Status) : come_back();
     }
     metrics_.count(reply.status == 503 ? "door_refusals_total" : "door_answers_total");
     co_return reply;
 }
 
-bool Door::may_write(double now) {
+bool StandbyService::may_write(double now) {
     if (writes_.available(now) < 1) return false;
     writes_.take(1);
     return true;
 }
 
 // Refused for good, unless it was accepted at another time.
-asio::awaitable<PeerReply> Door::refuse(std::string id, PeerReply refusal) {
+asio::awaitable<PeerReply> StandbyService::refuse(std::string id, PeerReply refusal) {
     auto seen = co_await look(id, false);
     if (!seen) co_return come_back();
-    if (seen->standing.at == Standing::At::Nowhere) co_return refusal;
-    co_return door_reply(id, seen->standing, PeerOp::Submit);
+    if (seen->standing.at == JobStanding::At::Nowhere) co_return refusal;
+    co_return standby_reply(id, seen->standing, PeerOp::Submit);
 }
 
-asio::awaitable<PeerReply> Door::submit(std::string body) {
+asio::awaitable<PeerReply> StandbyService::submit(std::string body) {
     JobSpec spec;
     std::optional<PeerReply> malformed;
     try {
@@ -277,37 +279,37 @@
     }
     PeerReply never{422, R"({"error":"can never run"})"};
     if (cluster_.never_runs(spec)) co_return co_await refuse(spec.id, std::move(never));
-    DoorRecord record{submission_json(spec, cluster_.names), wall_now(), false};
+    PendingRecord record{submission_json(spec, cluster_.names), wall_now(), false};
     size_t read = 0;
     if (!spec.dependencies.empty() && !co_await fresh(true)) co_return come_back();
     for (auto& d : spec.dependencies) {
         if (d == spec.id || !valid_job_id(d)) co_return co_await refuse(spec.id, std::move(never));
         auto live = std::make_optional(in_log(d));
-        if (live->standing.at != Standing::At::Log) {
+        if (live->standing.at != JobStanding::At::Log) {
             if (++read > kDependenciesRead) co_return come_back();
             live = co_await look(d, false);
         }
-        if (!live || live->standing.at == Standing::At::Unclear) co_return come_back();
-        if (live->standing.at == Standing::At::Nowhere)
+        if (!live || live->standing.at == JobStanding::At::Unclear) co_return come_back();
+        if (live->standing.at == JobStanding::At::Nowhere)
             co_return co_await refuse(spec.id, std::move(never));
         // A job that names a cancelled one is accepted, and cancelled with it.
         if (live->standing.state == JobState::Cancelled) record.cancelled = true;
     }
     // A longer one is told in pieces by the leader; this door has one value for it.
-    if (door_record(record).size() + kRecordSpare > settings_.value_kb * 1024)
+    if (pending_record(record).size() + kRecordSpare > settings_.value_kb * 1024)
         co_return come_back();
     if (view_.tasks() + spec.tasks > cluster_.max_tasks) co_return come_back(10);
     if (!may_write(steady_now())) co_return come_back();
     auto moment = view_.moment();
-    auto txn = door_accept(spec.id, record);
+    auto txn = accept_transaction(spec.id, record);
     auto result = co_await kv_.txn(std::move(txn), kWrite_s);
     if (result.outcome == KvOutcome::Conflict || result.outcome == KvOutcome::Unknown) {
         heard(result);
         // Without an answer it may have been taken all the same, now or by an earlier try.
         auto seen = co_await look(spec.id, false);
         // Nowhere: what stood in the way is gone already.
-        if (!seen || seen->standing.at == Standing::At::Nowhere) co_return come_back();
-        co_return door_reply(spec.id, seen->standing, PeerOp::Submit);
+        if (!seen || seen->standing.at == JobStanding::At::Nowhere) co_return come_back();
+        co_return standby_reply(spec.id, seen->standing, PeerOp::Submit);
     }
     if (result.too_fast) writes_.too_fast();
     if (!heard(result)) co_return come_back();
@@ -315,8 +317,8 @@
     // now at least.
     if (!co_await fresh(true)) co_return come_back();
     auto live = in_log(spec.id);
-    if (live.standing.at == Standing::At::Log)
-        co_return door_reply(spec.id, live.standing, PeerOp::Submit);
+    if (live.standing.at == JobStanding::At::Log)
+        co_return standby_reply(spec.id, live.standing, PeerOp::Submit);
     if (view_.may_have_ended(spec.id, moment)) co_return come_back();
     metrics_.count("door_jobs_accepted_total");
     spdlog::debug("door: {} accepted", spec.id);
@@ -324,19 +326,19 @@
         201, job_answer(spec.id, record.cancelled ? JobState::Cancelled : JobState::Queued)};
 }
 
-asio::awaitable<PeerReply> Door::cancel(std::string id) {
+asio::awaitable<PeerReply> StandbyService::cancel(std::string id) {
     auto seen = co_await look(id, true);
     if (!seen) co_return come_back();
     auto& s = seen->standing;
     bool open = s.state == JobState::Queued || s.state == JobState::Running;
-    if (s.at == Standing::At::Nowhere || s.at == Standing::At::Unclear || !open)
-        co_return door_reply(id, s, PeerOp::Cancel);
+    if (s.at == JobStanding::At::Nowhere || s.at == JobStanding::At::Unclear || !open)
+        co_return standby_reply(id, s, PeerOp::Cancel);
     // In the log, the leader alone can cancel it: a request is left for it. A job that no leader
     // has collected is cancelled by its door's record.
     bool requested = seen->record && seen->record->cancelled;
     if (!requested) {
         if (!may_write(steady_now())) co_return come_back();
-        auto txn = door_cancel(id, seen->version, seen->record.value_or(DoorRecord{}));
+        auto txn = cancel_transaction(id, seen->version, seen->record.value_or(PendingRecord{}));
         auto result = co_await kv_.txn(std::move(txn), kWrite_s);
         if (result.too_fast) writes_.too_fast();
         // Without an answer it may have been carried out, or be later: what is recorded is looked
@@ -351,11 +353,11 @@
 }
 
 // A cancellation, or a request for one, is recorded; told is what is made of it.
-asio::awaitable<PeerReply> Door::until_cancelled(std::string id) {
+asio::awaitable<PeerReply> StandbyService::until_cancelled(std::string id) {
     for (double until = steady_now() + kCancelled_s; steady_now() < until;) {
         auto seen = co_await look(id, false);
         if (!seen) break;
-        auto reply = door_reply(id, seen->standing, PeerOp::Cancel);
+        auto reply = standby_reply(id, seen->standing, PeerOp::Cancel);
         if (reply.status == 200) {
             spdlog::debug("door: {} told as cancelled, or as ended", id);
             co_return reply;
--- a/src/doors/door.h
+++ b/src/doors/door.h
@@ -14,11 +14,12 @@
 
 namespace weirmill {
 
-class Door {
+class StandbyService {
   public:
     // `resting`: whether this node leads, and so needs no copy of the log.
-    Door(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
-         KvClient& state, Metrics& metrics, std::function<bool()> resting);
+    StandbyService(boost::asio::io_context& io, const Settings& settings,
+                   const Properties& properties, KvClient& state, Metrics& metrics,
+                   std::function<bool()> resting);
 
     // It can serve: every controller collects, the copy of the log is whole, and the state service
     // answered lately.
@@ -28,9 +29,9 @@
     boost::asio::awaitable<PeerReply> serve(PeerCall call);
 
   private:
-    struct Look {
-        Standing standing;
-        std::optional<DoorRecord> record;
+    struct JobLookup {
+        JobStanding standing;
+        std::optional<PendingRecord> record;
         uint64_t version = 0;  // of the record; 0: none
     };
     boost::asio::awaitable<void> mark_loop();
@@ -40,12 +41,12 @@
     // The view shows all that was recorded before this was asked. `at_once`: without waiting for
     // others who ask.
     boost::asio::awaitable<bool> fresh(bool at_once);
-    boost::asio::awaitable<std::optional<Look>> look(std::string id, bool record_too);
+    boost::asio::awaitable<std::optional<JobLookup>> look(std::string id, bool record_too);
     boost::asio::awaitable<PeerReply> submit(std::string body);
     boost::asio::awaitable<PeerReply> refuse(std::string id, PeerReply refusal);
     boost::asio::awaitable<PeerReply> cancel(std::string id);
     boost::asio::awaitable<PeerReply> until_cancelled(std::string id);
-    Look in_log(const std::string& id) const;
+    JobLookup in_log(const std::string& id) const;
     bool may_write(double now);
     template <class T>
     bool heard(const KvResult<T>& result);
@@ -57,9 +58,9 @@
     Metrics& metrics_;
     std::function<bool()> resting_;
     ClusterState cluster_;  // names, teams, machine types and limits only
-    LogView view_;
-    bool whole_ = false;    // the view
-    bool collect_ = false;  // every controller collects
+    StateLogView view_;
+    bool whole_ = false;      // the view
+    bool all_adopt_ = false;  // every controller collects
     double heard_at_ = -1e9;
     RateLimiter reads_, writes_;
     // Passes over the log are shared: who asks waits for the first that begins after that.
--- a/src/doors/log_view.cpp
+++ b/src/doors/log_view.cpp
@@ -12,15 +12,15 @@
 constexpr size_t kMaxEnded = 4096;
 }
 
-void LogView::clear() {
+void StateLogView::clear() {
     auto moment = this->moment();
-    *this = LogView();
+    *this = StateLogView();
     first_ended_ = moment + 1;  // what ends until it is read anew can't be told
 }
 
-std::string LogView::after() const { return open_ > 0 ? segment_key(open_ - 1) : ""; }
+std::string StateLogView::after() const { return open_ > 0 ? segment_key(open_ - 1) : ""; }
 
-bool LogView::take(const KvPage& page, bool begins) {
+bool StateLogView::take(const KvPage& page, bool begins) {
     if (begins && open_ > 0 && (page.items.empty() || page.items[0].key != segment_key(open_)))
         return false;
     for (auto& item : page.items) {
@@ -44,12 +44,12 @@
     return true;
 }
 
-const LogView::Job* LogView::find(const std::string& id) const {
+const StateLogView::Job* StateLogView::find(const std::string& id) const {
     auto it = jobs_.find(id);
     return it == jobs_.end() ? nullptr : &it->second;
 }
 
-bool LogView::cancelled(const std::string& id) const {
+bool StateLogView::cancelled(const std::string& id) const {
     std::vector<const std::string*> left{&id};
     std::unordered_set<std::string> seen{id};
     while (!left.empty()) {
@@ -65,13 +65,13 @@
     return false;
 }
 
-bool LogView::may_have_ended(const std::string& id, uint64_t since) const {
+bool StateLogView::may_have_ended(const std::string& id, uint64_t since) const {
     if (since < first_ended_) return true;
     return std::find(ended_.begin() + static_cast<long>(since - first_ended_), ended_.end(), id) !=
            ended_.end();
 }
 
-void LogView::end(const std::string& id) {
+void StateLogView::end(const std::string& id) {
     ended_.push_back(id);
     if (ended_.size() > kMaxEnded) {
         ended_.pop_front();
@@ -84,7 +84,7 @@
 }
 
 // The entries are those of bookkeeping/ledger.cpp.
-void LogView::entry(const json::array& e) {
+void StateLogView::entry(const json::array& e) {
     std::string_view tag = e[0].get_string();
     if (tag == "j") {
         auto& o = read::object(e[1]);
@@ -124,7 +124,7 @@
     }
 }
 
-void LogView::add_job(const json::object& record, const json::value& body) {
+void StateLogView::add_job(const json::object& record, const json::value& body) {
     auto& o = read::object(body);
     auto id = read::text(o, "name_id");
     auto tasks = read::count(o, "lots");
@@ -140,7 +140,7 @@
     tasks_ += tasks;
 }
 
-void LogView::add_rows(Job& job, const json::array& e) {
+void StateLogView::add_rows(Job& job, const json::array& e) {
     auto set = [&](uint64_t t, TaskState state) {
         auto was = static_cast<TaskState>(job.tasks[t]);
         job.done += (state == TaskState::Done) - (was == TaskState::Done);
--- a/src/doors/log_view.h
+++ b/src/doors/log_view.h
@@ -16,7 +16,7 @@
 
 namespace weirmill {
 
-class LogView {
+class StateLogView {
   public:
     struct Job {
         uint32_t done = 0, placed = 0;
--- a/src/doors/records.cpp
+++ b/src/doors/records.cpp
@@ -6,10 +6,10 @@
 
 namespace json = boost::json;
 
-std::string door_key(const std::string& id) { return kDoorKeys + id; }
-std::string mark_key(const std::string& controller) { return kMarkKeys + controller; }
+std::string pending_key(const std::string& id) { return kPendingPrefix + id; }
+std::string adopter_key(const std::string& controller) { return kAdopterPrefix + controller; }
 
-std::string door_record(const DoorRecord& r) {
+std::string pending_record(const PendingRecord& r) {
     json::object o;
     if (r.accepted()) {
         o["job"] = r.job;
@@ -19,9 +19,9 @@
     return json::serialize(o);
 }
 
-DoorRecord parse_door_record(const json::value& v) {
+PendingRecord parse_pending_record(const json::value& v) {
     auto& o = read::object(v);
-    DoorRecord r;
+    PendingRecord r;
     r.cancelled = read::flag(o, "cancelled", false);
     if (auto* job = read::field(o, "job")) {
         r.job = *job;
@@ -32,17 +32,17 @@
     return r;
 }
 
-CasTransaction door_accept(const std::string& id, const DoorRecord& r) {
-    return {{{door_key(id), 0}, {final_key(id), 0}}, {{door_key(id), door_record(r), 0}}};
+CasTransaction accept_transaction(const std::string& id, const PendingRecord& r) {
+    return {{{pending_key(id), 0}, {final_key(id), 0}}, {{pending_key(id), pending_record(r), 0}}};
 }
 
-CasTransaction door_cancel(const std::string& id, uint64_t version, DoorRecord r) {
+CasTransaction cancel_transaction(const std::string& id, uint64_t version, PendingRecord r) {
     r.cancelled = true;
-    return {{{door_key(id), version}}, {{door_key(id), door_record(r), 0}}};
+    return {{{pending_key(id), version}}, {{pending_key(id), pending_record(r), 0}}};
 }
 
-CasTransaction door_mark(const std::string& controller) {
-    return {{{mark_key(controller), 0}}, {{mark_key(controller), R"({"collects":1})", 0}}};
+CasTransaction adopter_transaction(const std::string& controller) {
+    return {{{adopter_key(controller), 0}}, {{adopter_key(controller), R"({"collects":1})", 0}}};
 }
 
 }  // namespace weirmill
--- a/src/doors/records.h
+++ b/src/doors/records.h
@@ -13,28 +13,28 @@
 
 namespace weirmill {
 
-inline const std::string kDoorKeys = "d/";
-inline const std::string kMarkKeys = "v/";
-std::string door_key(const std::string& id);
-std::string mark_key(const std::string& controller);
+inline const std::string kPendingPrefix = "d/";
+inline const std::string kAdopterPrefix = "v/";
+std::string pending_key(const std::string& id);
+std::string adopter_key(const std::string& controller);
 
 // A job that was accepted, a job that was accepted and then cancelled, or (`job` null) a request to
 // cancel one that the log holds.
-struct DoorRecord {
+struct PendingRecord {
     boost::json::value job;  // as submission_json writes it
     double at = 0;           // when it was submitted, by the time of day, seconds
     bool cancelled = false;
     bool accepted() const { return !job.is_null(); }
 };
-std::string door_record(const DoorRecord& r);
-DoorRecord parse_door_record(const boost::json::value& v);  // throws BadMessage
+std::string pending_record(const PendingRecord& r);
+PendingRecord parse_pending_record(const boost::json::value& v);  // throws BadMessage
 
 // The job was not accepted by a door before, and has not ended.
-CasTransaction door_accept(const std::string& id, const DoorRecord& r);
+CasTransaction accept_transaction(const std::string& id, const PendingRecord& r);
 // The record still stands as it was read at `version` (0: none). Whether the cancellation holds is
 // read afterwards: the job may have been collected, or have ended.
-CasTransaction door_cancel(const std::string& id, uint64_t version, DoorRecord r);
+CasTransaction cancel_transaction(const std::string& id, uint64_t version, PendingRecord r);
 // This controller collects door records whenever it leads.
-CasTransaction door_mark(const std::string& controller);
+CasTransaction adopter_transaction(const std::string& controller);
 
 }  // namespace weirmill
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -61,7 +61,7 @@
             return 0;
         }
         boost::asio::io_context io(1);
-        weirmill::Front front(io, settings, properties);
+        weirmill::RequestRouter front(io, settings, properties);
         io.run();
     } catch (const std::exception& e) {
         std::cerr << e.what() << "\n";
--- a/src/membership/decide.cpp
+++ b/src/membership/decide.cpp
@@ -19,15 +19,15 @@
     return theirs > 2 * mine + std::max(known, theirs) / kSlackShare;
 }
 
-double hold_after(const TransferRecord& last, const LinkTimes& times) {
+double hold_after(const TransferRecord& last, const LinkTimeouts& times) {
     if (last.count == 0) return 0;
     return times.hold_s * std::pow(2.0, std::min(last.count - 1, kMaxDoublings));
 }
 
 }  // namespace
 
-LinkTimes LinkTimes::of(const Settings& s) {
-    LinkTimes t;
+LinkTimeouts LinkTimeouts::of(const Settings& s) {
+    LinkTimeouts t;
     t.heard_s = 1.2 * kUneven * s.heartbeat_interval_s + s.worker_next_s;
     t.cycle_s = kUneven * s.heartbeat_interval_s + s.worker_patience_s +
                 s.worker_next_s * (1.0 + static_cast<double>(s.peers.size()));
@@ -37,11 +37,12 @@
     return t;
 }
 
-std::optional<std::string> better_leader(const LinkReport& mine, std::span<const PeerView> others) {
+std::optional<std::string> preferred_leader(const LinkStatus& mine,
+                                            std::span<const PeerView> others) {
     const PeerView* best = nullptr;
     bool best_reaches = false;
     for (auto& p : others) {
-        if (!p.links.told || !p.links.state) continue;
+        if (!p.links.adoption_recorded || !p.links.state) continue;
         bool reaches = far_more(p.links.reach, mine.reach, mine.known);
         bool hears = far_more(p.links.direct, mine.direct, mine.known) &&
                      2 * mine.direct < std::max(mine.known, p.links.direct);
@@ -62,12 +63,12 @@
 
 uint32_t reach_through(uint32_t own, std::span<const PeerView> others) {
     for (auto& p : others)
-        if (p.heard && p.links.told) own = std::max(own, p.links.direct);
+        if (p.heard && p.links.adoption_recorded) own = std::max(own, p.links.direct);
     return own;
 }
 
-std::optional<std::string> way_to_leader(const std::string& leader,
-                                         std::span<const PeerView> others) {
+std::optional<std::string> relay_to_leader(const std::string& leader,
+                                           std::span<const PeerView> others) {
     for (auto& p : others) {
         auto& h = p.links.hears;
         if (p.heard && p.name != leader && std::find(h.begin(), h.end(), leader) != h.end())
@@ -78,30 +79,30 @@
 
 std::optional<std::string> relay_to_kv(std::span<const PeerView> others) {
     for (auto& p : others)
-        if (p.heard && p.links.told && p.links.state) return p.name;
+        if (p.heard && p.links.adoption_recorded && p.links.state) return p.name;
     return std::nullopt;
 }
 
-bool may_transfer(const TransferRecord& last, const LinkTimes& times, double clock_off_s,
+bool may_transfer(const TransferRecord& last, const LinkTimeouts& times, double clock_off_s,
                   double wall) {
     return last.count == 0 || wall - last.at > hold_after(last, times) + 2 * clock_off_s;
 }
 
-TransferRecord next_transfer(const TransferRecord& last, const LinkTimes& times, std::string from,
-                             std::string to, double wall) {
+TransferRecord next_transfer(const TransferRecord& last, const LinkTimeouts& times,
+                             std::string from, std::string to, double wall) {
     // As long again without one as was waited for several times over: the links have come to rest.
     bool quiet = wall - last.at > 8 * hold_after(last, times);
     return {std::move(from), std::move(to), quiet ? 1 : last.count + 1, wall};
 }
 
-double campaign_wait(const std::string& self, const LinkReport& own,
+double campaign_wait(const std::string& self, const LinkStatus& own,
                      std::span<const PeerView> others, const TransferRecord& last,
                      double clock_off_s, double wall) {
     bool fresh = last.count > 0 && std::abs(wall - last.at) < kYieldFresh_s + 2 * clock_off_s;
     if (fresh && last.to == self) return -1;
     double wait = fresh ? (last.from == self ? 2 * kLetGo_s : kLetGo_s) : 0;
     for (auto& p : others)
-        if (p.links.told && p.links.state && far_more(p.links.reach, own.reach, 0))
+        if (p.links.adoption_recorded && p.links.state && far_more(p.links.reach, own.reach, 0))
             wait = std::max(wait, kDeafer_s);
     return wait;
 }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -25,16 +25,16 @@
     return a > b ? (a - b) * kMovedShare > a : (b - a) * kMovedShare > b;
 }
 
-bool moved(const LinkReport& a, const LinkReport& b) {
+bool moved(const LinkStatus& a, const LinkStatus& b) {
     return a.state != b.state || a.hears != b.hears || moved(a.direct, b.direct) ||
            moved(a.reach, b.reach);
 }
 
 }  // namespace
 
-LinkReport leader_links(const ClusterState& cluster, const LinkTimes& times, double lease_s,
+LinkStatus leader_links(const ClusterState& cluster, const LinkTimeouts& times, double lease_s,
                         double now) {
-    LinkReport r;
+    LinkStatus r;
     for (auto& m : cluster.machines) {
         if (!m || m->last_heartbeat <= 0) continue;
         r.direct += m->direct_at > 0 && now - m->direct_at < times.heard_s;
@@ -49,7 +49,7 @@
     : io_(io),
       settings_(settings),
       properties_(properties),
-      times_(LinkTimes::of(settings)),
+      times_(LinkTimeouts::of(settings)),
       kv_(state),
       metrics_(metrics),
       hooks_(std::move(hooks)) {
@@ -63,16 +63,16 @@
     return out;
 }
 
-LinkReport Membership::own(double now) const {
-    LinkReport r = hooks_.workers();
-    r.told = enabled();
+LinkStatus Membership::own(double now) const {
+    LinkStatus r = hooks_.workers();
+    r.adoption_recorded = enabled();
     r.state = reaches_kv(now);
     r.hears = hears(now);
     if (!hooks_.leads_since()) r.reach = reach_through(r.direct, views(now));
     return r;
 }
 
-std::optional<LinkReport> Membership::view(const std::string& peer, double now) const {
+std::optional<LinkStatus> Membership::view(const std::string& peer, double now) const {
     auto it = peers_.find(peer);
     if (it == peers_.end()) return std::nullopt;
     auto& p = it->second;
@@ -94,7 +94,7 @@
     return named ? &peers_[name] : nullptr;
 }
 
-void Membership::heard(const std::string& name, const LinkReport& links) {
+void Membership::heard(const std::string& name, const LinkStatus& links) {
     auto* known = peer(name);
     if (!known) return;
     auto& p = *known;
@@ -134,7 +134,7 @@
     }
 }
 
-asio::awaitable<void> Membership::publish(LinkReport links) {
+asio::awaitable<void> Membership::publish(LinkStatus links) {
     if (lease_ != 0) {
         auto renewed = co_await kv_.renew(lease_, kRead_s);
         if (renewed.outcome == KvOutcome::Missing) lease_ = 0;
@@ -182,7 +182,7 @@
     }
     auto mine = own(now);
     auto others = views(now);
-    auto better = better_leader(mine, others);
+    auto better = preferred_leader(mine, others);
     if (!better) {
         better_.clear();
         co_return;
--- a/src/membership/records.cpp
+++ b/src/membership/records.cpp
@@ -4,7 +4,7 @@
 
 namespace json = boost::json;
 
-CasTransaction link_record(const std::string& controller, const LinkReport& links, uint64_t lease) {
+CasTransaction link_record(const std::string& controller, const LinkStatus& links, uint64_t lease) {
     json::object o{{"state", links.state},
                    {"direct", links.direct},
                    {"reach", links.reach},
@@ -13,13 +13,13 @@
     return {{}, {{kLinkKeys + controller, json::serialize(o), lease}}};
 }
 
-LinkReport parse_link_record(const json::value& v) {
+LinkStatus parse_link_record(const json::value& v) {
     auto& o = read::object(v);
     auto count = [&](const char* name) {
         return static_cast<uint32_t>(std::min<uint64_t>(read::count(o, name, 0), 1u << 30));
     };
-    LinkReport r;
-    r.told = true;
+    LinkStatus r;
+    r.adoption_recorded = true;
     r.state = read::flag(o, "state", false);
     r.direct = count("direct");
     r.reach = count("reach");
--- a/src/membership/records.h
+++ b/src/membership/records.h
@@ -12,8 +12,8 @@
 inline const std::string kLinkKeys = "m/c/";
 inline const std::string kTransferKey = "m/yield";
 
-CasTransaction link_record(const std::string& controller, const LinkReport& links, uint64_t lease);
-LinkReport parse_link_record(const boost::json::value& v);  // throws BadMessage
+CasTransaction link_record(const std::string& controller, const LinkStatus& links, uint64_t lease);
+LinkStatus parse_link_record(const boost::json::value& v);  // throws BadMessage
 
 // Ends the leadership with this token and says to whom. The tenure has ended before this is sent,
 // and is not taken up again whatever the answer: a copy may be executed at any later time. It names
--- a/src/membership/roster.cpp
+++ b/src/membership/roster.cpp
@@ -15,9 +15,9 @@
 
 }  // namespace
 
-Roster::Roster(const Settings& settings) : settings_(settings) {}
+WorkerRoster::WorkerRoster(const Settings& settings) : settings_(settings) {}
 
-bool Roster::relays(const std::string& machine, uint64_t seen, uint64_t leader, double now) {
+bool WorkerRoster::relays(const std::string& machine, uint64_t seen, uint64_t leader, double now) {
     if (workers_.size() > kMaxWorkers && !workers_.count(machine)) workers_.clear();
     auto& w = workers_[machine];
     bool relayed = now < w.relay_until;
@@ -54,19 +54,19 @@
     return stranded;
 }
 
-void Roster::gave_up(const std::string& machine) {
+void WorkerRoster::gave_up(const std::string& machine) {
     if (auto it = workers_.find(machine); it != workers_.end())
         it->second.relay_until = it->second.relay_span = 0;
 }
 
-uint32_t Roster::stranded(uint64_t leader, double window_s, double now) const {
+uint32_t WorkerRoster::stranded(uint64_t leader, double window_s, double now) const {
     return static_cast<uint32_t>(std::count_if(workers_.begin(), workers_.end(), [&](auto& w) {
         return now - w.second.stranded_at < window_s &&
                (leader == 0 || w.second.stranded == leader);
     }));
 }
 
-size_t Roster::relayed(double now) const {
+size_t WorkerRoster::relayed(double now) const {
     return static_cast<size_t>(std::count_if(workers_.begin(), workers_.end(),
                                              [&](auto& w) { return now < w.second.relay_until; }));
 }
--- a/src/membership/roster.h
+++ b/src/membership/roster.h
@@ -9,9 +9,9 @@
 
 namespace weirmill {
 
-class Roster {
+class WorkerRoster {
   public:
-    explicit Roster(const Settings& settings);
+    explicit WorkerRoster(const Settings& settings);
 
     // What to do with the report of a worker that has seen `seen`, while the leader has `leader`
     // (0: nobody leads). True: it can't do with the leader, its reports are to be relayed for now.
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -184,7 +184,7 @@
             throw SettingsError(std::string("properties: ") + row.name + " must lie between " +
                                 std::to_string(row.low) + " and " + std::to_string(row.high));
     }
-    const std::pair<const char*, bool*> flags[] = {{"doors.enabled", &p.doors_enabled},
+    const std::pair<const char*, bool*> flags[] = {{"doors.enabled", &p.standby_enabled},
                                                    {"membership.enabled", &p.membership_enabled},
                                                    {"overload.enabled", &p.overload_enabled}};
     for (const auto& [name, value] : flags) {
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -64,7 +64,7 @@
     double idle_keep_boots = 0.3;
     double scheduling_pause_s = 0.1;
     double quarantine_s = 120.0;
-    bool doors_enabled = false;
+    bool standby_enabled = false;
     bool membership_enabled = false;
     bool overload_enabled = false;
     double start_deadline_s = 240.0;  // with overload_enabled; 0: no bound
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -34,7 +34,7 @@
     return {reinterpret_cast<const kj::byte*>(s.data()), s.size()};
 }
 
-void write_links(peer::Links::Builder out, const LinkReport& links) {
+void write_links(peer::Links::Builder out, const LinkStatus& links) {
     out.setState(links.state);
     out.setDirect(links.direct);
     out.setReach(links.reach);
@@ -45,11 +45,11 @@
 
 // A version that knows nothing of links leaves them out.
 template <class Message>
-LinkReport read_links(Message in) {
-    LinkReport links;
+LinkStatus read_links(Message in) {
+    LinkStatus links;
     if (!in.hasLinks()) return links;
     auto l = in.getLinks();
-    links.told = true;
+    links.adoption_recorded = true;
     links.state = l.getState();
     links.direct = l.getDirect();
     links.reach = l.getReach();
@@ -174,7 +174,7 @@
                     r.setRetryAfterS(static_cast<uint16_t>(reply.retry_after_s));
                     r.setToken(reply.fencing_token);
                     r.setUndecided(reply.undecided);
-                    if (reply.links.told) write_links(r.initLinks(), reply.links);
+                    if (reply.links.adoption_recorded) write_links(r.initLinks(), reply.links);
                     to->send(frame_text(message));
                 }(handler_, wire->shared_from_this(), frame.getSeq(), std::move(call)),
                 asio::detached);
@@ -259,7 +259,7 @@
     c.setBody(data_of(call.body));
     c.setVia(call.via);
     if (!call.sender.empty()) c.setSender(call.sender);
-    if (call.links.told) write_links(c.initLinks(), call.links);
+    if (call.links.adoption_recorded) write_links(c.initLinks(), call.links);
     OneShot<PeerReply> answer(io_.get_executor());
     link->waiting.emplace(seq, answer);
     double sent_at = steady_now();
--- a/src/transport/peer_link.h
+++ b/src/transport/peer_link.h
@@ -23,7 +23,7 @@
     bool via =
         false;  // the sender can't reach the leader: to be passed on, but by the callee alone
     std::string sender{};  // the controller that calls; empty: this one
-    LinkReport links{};    // with a ping
+    LinkStatus links{};    // with a ping
 };
 
 struct PeerReply {
@@ -32,7 +32,7 @@
     int retry_after_s = 0;
     uint64_t fencing_token = 0;
     bool undecided = false;  // who answered does not lead, or not yet, or is unsure of it
-    LinkReport links{};      // to a ping
+    LinkStatus links{};      // to a ping
 };
 
 using PeerHandler = std::function<boost::asio::awaitable<PeerReply>(PeerCall)>;
--- a/tests/door_model_test.cpp
+++ b/tests/door_model_test.cpp
@@ -45,7 +45,8 @@
 
 // One byte each, so that states compare as memory.
 struct DoorNode {
-    uint8_t step, seen, door, door_version, answered_by_log, submits, cancels, asks, cancelling;
+    uint8_t step, seen, standby, pending_version, answered_by_log, submits, cancels, asks,
+        cancelling;
     uint8_t in_flight, ended_when_sent, drops_when_sent;
     Txn txn;
 };
@@ -61,7 +62,7 @@
 
 struct State {
     uint8_t value[kKeys], version[kKeys], last[kKeys];
-    uint8_t told;
+    uint8_t adoption_recorded;
     uint8_t drops;      // how often the log's segments were dropped after the job's end
     uint8_t late_left;  // so many more late executions, of any of the copies below
     DoorNode doors[2];
@@ -144,12 +145,13 @@
     }
 
     void check(const State& s) {
-        bool at_door = s.value[kDoor] == kAccepted || s.value[kDoor] == kAcceptedCancelled;
-        if (s.told && !at_door && !live(s) && !s.value[kFinal]) fail("an accepted job is nowhere");
+        bool is_pending = s.value[kDoor] == kAccepted || s.value[kDoor] == kAcceptedCancelled;
+        if (s.adoption_recorded && !is_pending && !live(s) && !s.value[kFinal])
+            fail("an accepted job is nowhere");
         if ((s.value[kSegmentA] & kTold) && (s.value[kSegmentB] & kTold))
             fail("two leaders took the job for new");
         if (live(s) && s.value[kFinal]) fail("a job that has ended is alive");
-        if ((s.told & kSaidCancelled) && s.value[kFinal] == kDone)
+        if ((s.adoption_recorded & kSaidCancelled) && s.value[kFinal] == kDone)
             fail("called cancelled, and done in the end");
     }
 
@@ -163,7 +165,7 @@
             fail("went back to waiting");
         if (what == kSaidCancelled && (knew & kSaidDone)) fail("done, then cancelled");
         if (what == kSaidDone && (knew & kSaidCancelled)) fail("cancelled, then done");
-        s.told |= what;
+        s.adoption_recorded |= what;
     }
 
     bool execute(State& s, Txn& t) {
@@ -223,7 +225,7 @@
     // The real transactions of doors, as the model's.
     Txn of(const CasTransaction& real, Kind kind, uint8_t door_value) const {
         Txn t = empty();
-        auto key = [](const std::string& k) { return k == door_key(kJob) ? kDoor : kFinal; };
+        auto key = [](const std::string& k) { return k == pending_key(kJob) ? kDoor : kFinal; };
         for (auto& c : real.conditions) t.conditions[key(c.key)] = static_cast<uint8_t>(c.version);
         for (auto& c : real.changes) t.values[key(c.key)] = door_value;
         take_away(t, kind);
@@ -231,7 +233,7 @@
     }
 
     void next(const State& s) {
-        for (int i = 0; i < 2; ++i) door(s, i);
+        for (int i = 0; i < 2; ++i) standby(s, i);
         for (int i = 0; i < 2; ++i) leader(s, i);
         for (int i = 0; i < s.lates; ++i) {
             State n = s;
@@ -276,7 +278,7 @@
         d.asks = keep.asks;
     }
 
-    void door(const State& s, int i) {
+    void standby(const State& s, int i) {
         auto& d = s.doors[i];
         State n = s;
         auto& m = n.doors[i];
@@ -286,12 +288,12 @@
                     State a = s;
                     auto& x = a.doors[i];
                     --x.submits;
-                    x.seen = s.told;
+                    x.seen = s.adoption_recorded;
                     x.step = kSending;
                     x.in_flight = kAccept;
                     x.ended_when_sent = ended_in_log(s);
                     x.drops_when_sent = s.drops;
-                    x.txn = of(door_accept(kJob, {boost::json::object{}, 1, false}), kAccept,
+                    x.txn = of(accept_transaction(kJob, {boost::json::object{}, 1, false}), kAccept,
                                kAccepted);
                     push(a);
                 }
@@ -299,7 +301,7 @@
                     State a = s;
                     auto& x = a.doors[i];
                     --x.cancels;
-                    x.seen = s.told;
+                    x.seen = s.adoption_recorded;
                     x.cancelling = 1;
                     look(x);
                     push(a);
@@ -308,7 +310,7 @@
                     State a = s;
                     auto& x = a.doors[i];
                     --x.asks;
-                    x.seen = s.told;
+                    x.seen = s.adoption_recorded;
                     look(x);
                     push(a);
                 }
@@ -337,13 +339,13 @@
                 if (live(s))
                     tell(n, d.seen, cancelled_in_log(s) ? kSaidCancelled : kSaidAccepted);
                 else if (d.drops_when_sent == s.drops && (d.ended_when_sent || !ended_in_log(s)))
-                    // Otherwise LogView::may_have_ended: it is to come back.
+                    // Otherwise StateLogView::may_have_ended: it is to come back.
                     tell(n, d.seen, kSaidAccepted);
                 idle(m);
                 return push(n);
             case kReadDoor:
-                m.door = s.value[kDoor];
-                m.door_version = s.version[kDoor];
+                m.standby = s.value[kDoor];
+                m.pending_version = s.version[kDoor];
                 m.step = kReadLog;
                 return push(n);
             case kReadLog:
@@ -364,13 +366,13 @@
     // The real decision on what was read.
     void decide(State& n, int i, bool alive, bool cancelled, uint8_t ended) {
         auto& d = n.doors[i];
-        Seen seen;
-        LogView::Job job;
-        if (d.door != kNothing) {
-            DoorRecord record;
-            if (d.door != kRequest) record.job = boost::json::object{};
-            record.cancelled = d.door != kAccepted;
-            seen.door = record;
+        JobReads seen;
+        StateLogView::Job job;
+        if (d.standby != kNothing) {
+            PendingRecord record;
+            if (d.standby != kRequest) record.job = boost::json::object{};
+            record.cancelled = d.standby != kAccepted;
+            seen.standby = record;
         }
         if (alive) {
             seen.live = &job;
@@ -381,14 +383,15 @@
         auto where = standing(seen);
         bool open = where.state == JobState::Queued || where.state == JobState::Running;
         bool cancels = d.cancelling != 0;
-        auto reply = door_reply(kJob, where, cancels ? PeerOp::Cancel : PeerOp::Status);
-        bool may_cancel = open && (where.at == Standing::At::Door || where.at == Standing::At::Log);
-        if (d.cancelling == 1 && may_cancel && (d.door == kAccepted || d.door == kNothing)) {
+        auto reply = standby_reply(kJob, where, cancels ? PeerOp::Cancel : PeerOp::Status);
+        bool may_cancel = open && (where.at == JobStanding::At::StandbyService ||
+                                   where.at == JobStanding::At::Log);
+        if (d.cancelling == 1 && may_cancel && (d.standby == kAccepted || d.standby == kNothing)) {
             // Door::cancel
-            DoorRecord record;
-            if (d.door == kAccepted) record.job = boost::json::object{};
-            d.txn = of(door_cancel(kJob, d.door_version, record), kDoorCancel,
-                       d.door == kAccepted ? kAcceptedCancelled : kRequest);
+            PendingRecord record;
+            if (d.standby == kAccepted) record.job = boost::json::object{};
+            d.txn = of(cancel_transaction(kJob, d.pending_version, record), kDoorCancel,
+                       d.standby == kAccepted ? kAcceptedCancelled : kRequest);
             d.in_flight = kDoorCancel;
             d.step = kSending;
             return;
@@ -477,7 +480,7 @@
         if (l.job == kUnknown && l.inbox == kNothing && l.submits) {
             State n = s;
             --n.leaders[i].submits;
-            n.leaders[i].seen = s.told;
+            n.leaders[i].seen = s.adoption_recorded;
             n.leaders[i].from_door = 0;
             send(n, i, kNewJob, own | kTold);
         }
@@ -491,13 +494,14 @@
         bool asked_by_door = l.inbox == kAcceptedCancelled || l.inbox == kRequest;
         if (l.job == kAlive && (l.cancels || asked_by_door)) {
             State n = s;
-            n.leaders[i].cancel_seen = s.told;
+            n.leaders[i].cancel_seen = s.adoption_recorded;
             n.leaders[i].from_door = asked_by_door;
             if (!asked_by_door) --n.leaders[i].cancels;
             send(n, i, kLogCancel, own | kCancel);
         }
         if (l.job == kAlive && !l.started) {
-            if (s.told & kSaidCancelled) return fail("a task of a cancelled job is started");
+            if (s.adoption_recorded & kSaidCancelled)
+                return fail("a task of a cancelled job is started");
             State n = s;
             n.leaders[i].started = 1;
             push(n);
@@ -514,16 +518,16 @@
         // What it answers: from its tables, or from what it reads in the order door record, final
         // state, tables.
         State n = s;
-        if (l.job == kAlive) tell(n, s.told, kSaidAccepted);
-        if (l.job == kAliveCancelled) tell(n, s.told, kSaidCancelled);
+        if (l.job == kAlive) tell(n, s.adoption_recorded, kSaidAccepted);
+        if (l.job == kAliveCancelled) tell(n, s.adoption_recorded, kSaidCancelled);
         if (l.job == kUnknown && l.inbox == kNothing && !s.value[kDoor]) {
             if (s.value[kFinal])
-                tell(n, s.told, s.value[kFinal] == kDone ? kSaidDone : kSaidCancelled);
+                tell(n, s.adoption_recorded, s.value[kFinal] == kDone ? kSaidDone : kSaidCancelled);
             else
-                tell(n, s.told, 0, true);
+                tell(n, s.adoption_recorded, 0, true);
         }
         if (l.job == kOver && s.value[kFinal])
-            tell(n, s.told, s.value[kFinal] == kDone ? kSaidDone : kSaidCancelled);
+            tell(n, s.adoption_recorded, s.value[kFinal] == kDone ? kSaidDone : kSaidCancelled);
         push(n);
     }
 
@@ -551,7 +555,8 @@
                 if (!ok) break;
                 l.job = kOver;
                 l.started = 0;
-                if (lease_valid) tell(n, n.told, was_cancelled ? kSaidCancelled : kSaidDone);
+                if (lease_valid)
+                    tell(n, n.adoption_recorded, was_cancelled ? kSaidCancelled : kSaidDone);
                 break;
             default:
                 if (ok) l.inbox = kNothing, l.inbox_version = 0;
--- a/tests/door_service_test.cpp
+++ b/tests/door_service_test.cpp
@@ -53,7 +53,7 @@
         return a.status == 200 ? std::string(json::parse(a.body).at("status").as_string())
                                : std::to_string(a.status);
     }
-    size_t door_records() { return state->count(kDoorKeys); }
+    size_t door_records() { return state->count(kPendingPrefix); }
     bool collected() {
         return until([&] { return door_records() == 0; });
     }
@@ -65,7 +65,7 @@
     void expect_no_rule_broken() { EXPECT_TRUE(cloud->broken.empty()) << cloud->broken[0]; }
     // Every controller has left its mark.
     void opened() {
-        EXPECT_TRUE(until([&] { return state->count(kMarkKeys) == settings.size(); }));
+        EXPECT_TRUE(until([&] { return state->count(kAdopterPrefix) == settings.size(); }));
     }
 };
 
@@ -213,7 +213,7 @@
     EXPECT_EQ(reply->status, 503);
     EXPECT_EQ(s.door_records(), 0u);
     // Its mark comes, as when it is replaced by this version.
-    s.state->put(mark_key("stranger-0"), json::object{{"collects", 1}});
+    s.state->put(adopter_key("stranger-0"), json::object{{"collects", 1}});
     EXPECT_LT(s.submit_at(static_cast<int>(node), s.upload("req-2", 1)), 300);
     EXPECT_TRUE(s.done("req-2"));
     s.expect_no_rule_broken();
@@ -223,10 +223,10 @@
     // Its polls were answered 503 for as long as the record could not be deleted.
     Doors s(1);
     s.crash(0);
-    DoorRecord record{json::parse(s.upload("req-2", 1)), wall_now(), false};
+    PendingRecord record{json::parse(s.upload("req-2", 1)), wall_now(), false};
     s.asked_elsewhere("req-2");
     s.state->put("f/req-2", json::parse(final_record(JobState::Done, 1)));
-    s.state->put(door_key("req-2"), json::parse(door_record(record)));
+    s.state->put(pending_key("req-2"), json::parse(pending_record(record)));
     s.state->refuse_drops = true;
     s.add_node(1);
     EXPECT_EQ(s.state_at(1, "req-2"), "done");
@@ -245,15 +245,15 @@
     constexpr int kJobs = 2000;
     for (int i = 0; i < kJobs; ++i) {
         auto id = "req-" + std::to_string(10000 + i);
-        DoorRecord record{json::parse(Service::submission(id, "array", 1)), wall_now(),
-                          i % 100 != 0};
+        PendingRecord record{json::parse(Service::submission(id, "array", 1)), wall_now(),
+                             i % 100 != 0};
         s.asked_elsewhere(id, record.cancelled);
         s.cloud->jobs[id] = {};
-        s.state->put(door_key(id), json::parse(door_record(record)));
+        s.state->put(pending_key(id), json::parse(pending_record(record)));
     }
-    s.state->put(door_key("req-5"),
+    s.state->put(pending_key("req-5"),
                  json::object{{"cancelled", true}});  // of a job that nobody knows
-    s.state->put(door_key("req-6"),
+    s.state->put(pending_key("req-6"),
                  json::object{{"job", 7}, {"at", wall_now()}});  // of nobody's making
     s.add_node(1);
     ASSERT_TRUE(s.until([&] { return s.state->count("f/") == kJobs + 1; }));
--- a/tests/door_test.cpp
+++ b/tests/door_test.cpp
@@ -31,7 +31,7 @@
 }
 
 // As Door::pass, with small pages.
-void follow(LogView& view, const Store& store) {
+void follow(StateLogView& view, const Store& store) {
     for (int tries = 0; tries < 2; ++tries) {
         std::string after = view.after();
         bool begins = true, in_order = true;
@@ -50,7 +50,7 @@
 TEST(DoorRecords, TheLeadersTransactionsAreThoseOfTheModel) {
     // tests/door_model_test.cpp takes these conditions for granted.
     struct Row {
-        uint64_t door;
+        uint64_t standby;
         std::map<std::string, uint64_t> conditions;
     };
     for (auto& row :
@@ -60,7 +60,7 @@
         World w;
         StateLog state_log(w.cluster, 41, kSmall);
         auto j = w.cluster.add_job(w.spec("req-1", JobKind::Array, 2, 1), 1000, w.now);
-        state_log.new_job(j, row.door);
+        state_log.new_job(j, row.standby);
         auto b = state_log.next(12);
         std::map<std::string, uint64_t> seen;
         for (auto& c : b.txn.conditions) seen[c.key] = c.version;
@@ -88,12 +88,12 @@
     Store store;
     for (int i = 0; i < 300; ++i) {
         auto id = "req-" + std::to_string(i);
-        store.keys[door_key(id)] = {"{}", 5};
+        store.keys[pending_key(id)] = {"{}", 5};
         state_log.new_job(w.cluster.add_job(w.spec(id, JobKind::Array, 1, 0.01), 1000, w.now), 5);
-        state_log.forget(door_key(id), 5);
+        state_log.forget(pending_key(id), 5);
     }
     test::flush(state_log, w.cluster, store, kSmall, w.now);
-    EXPECT_TRUE(store.keys.lower_bound(kDoorKeys) == store.keys.lower_bound("d0"))
+    EXPECT_TRUE(store.keys.lower_bound(kPendingPrefix) == store.keys.lower_bound("d0"))
         << "records are left";
     World fresh;
     StateLog loaded(fresh.cluster, 42, kSmall);
@@ -103,40 +103,42 @@
 
 TEST(DoorRecords, AreReadAsTheyWereWrittenAndRefusedWhenTheyMakeNoSense) {
     World w;
-    DoorRecord r{submission_json(w.spec("req-1", JobKind::Gang, 3, 2), w.cluster.names), 1234.5,
-                 true};
-    auto again = parse_door_record(json::parse(door_record(r)));
+    PendingRecord r{submission_json(w.spec("req-1", JobKind::Gang, 3, 2), w.cluster.names), 1234.5,
+                    true};
+    auto again = parse_pending_record(json::parse(pending_record(r)));
     EXPECT_EQ(again.job, r.job);
     EXPECT_EQ(again.at, 1234.5);
     EXPECT_TRUE(again.cancelled && again.accepted());
-    EXPECT_FALSE(parse_door_record(json::parse(door_record({nullptr, 0, true}))).accepted());
+    EXPECT_FALSE(parse_pending_record(json::parse(pending_record({nullptr, 0, true}))).accepted());
     for (const char* bad : {"[]", "{}", R"({"job":{}})", R"({"job":{},"at":-1})",
                             R"({"cancelled":false})", R"({"cancelled":3})"})
-        EXPECT_THROW(parse_door_record(json::parse(bad)), BadMessage) << bad;
+        EXPECT_THROW(parse_pending_record(json::parse(bad)), BadMessage) << bad;
 }
 
 TEST(DoorDecision, WhatIsFurtherAlongCounts) {
-    DoorRecord taken{json::object{}, 1, false}, cancelled{json::object{}, 1, true},
+    PendingRecord taken{json::object{}, 1, false}, cancelled{json::object{}, 1, true},
         request{nullptr, 0, true};
-    LogView::Job waiting, running;
+    StateLogView::Job waiting, running;
     running.placed = 2;
     running.done = 1;
-    using At = Standing::At;
+    using At = JobStanding::At;
     struct Row {
         const char* what;
-        Seen seen;
+        JobReads seen;
         At at;
         JobState state;
         int submit, status, cancel;  // what its user is told
     };
-    auto seen = [](std::optional<DoorRecord> d, const LogView::Job* live = nullptr,
-                   bool gone = false,
-                   std::optional<FinalState> f = {}) { return Seen{std::move(d), live, gone, f}; };
+    auto seen = [](std::optional<PendingRecord> d, const StateLogView::Job* live = nullptr,
+                   bool gone = false, std::optional<FinalState> f = {}) {
+        return JobReads{std::move(d), live, gone, f};
+    };
     FinalState done{JobState::Done, 3}, aborted{JobState::Cancelled, 0};
     const Row rows[] = {
         {"never accepted", seen({}), At::Nowhere, JobState::Queued, 404, 404, 404},
-        {"at a door", seen(taken), At::Door, JobState::Queued, 200, 200, 503},
-        {"cancelled at a door", seen(cancelled), At::Door, JobState::Cancelled, 200, 200, 200},
+        {"at a door", seen(taken), At::StandbyService, JobState::Queued, 200, 200, 503},
+        {"cancelled at a door", seen(cancelled), At::StandbyService, JobState::Cancelled, 200, 200,
+         200},
         {"a request for a job that was not found", seen(request), At::Unclear, JobState::Queued,
          503, 503, 503},
         {"alive", seen({}, &waiting), At::Log, JobState::Queued, 200, 200, 503},
@@ -157,9 +159,9 @@
         auto s = standing(row.seen);
         EXPECT_EQ(s.at, row.at) << row.what;
         EXPECT_EQ(s.state, row.state) << row.what;
-        EXPECT_EQ(door_reply("req-1", s, PeerOp::Submit).status, row.submit) << row.what;
-        EXPECT_EQ(door_reply("req-1", s, PeerOp::Status).status, row.status) << row.what;
-        EXPECT_EQ(door_reply("req-1", s, PeerOp::Cancel).status, row.cancel) << row.what;
+        EXPECT_EQ(standby_reply("req-1", s, PeerOp::Submit).status, row.submit) << row.what;
+        EXPECT_EQ(standby_reply("req-1", s, PeerOp::Status).status, row.status) << row.what;
+        EXPECT_EQ(standby_reply("req-1", s, PeerOp::Cancel).status, row.cancel) << row.what;
     }
 }
 
@@ -174,8 +176,8 @@
                       Row{{"node-0", "node-1"}, false}, Row{{"node-0", "node-1", "node-2"}, true},
                       Row{{"node-0", "node-1", "node-2", "node-9"}, true}}) {
         KvPage page;
-        for (auto& m : row.marks) page.items.push_back({mark_key(m), json::object{}, 1, 0});
-        EXPECT_EQ(all_collect(s, page), row.open) << row.marks.size();
+        for (auto& m : row.marks) page.items.push_back({adopter_key(m), json::object{}, 1, 0});
+        EXPECT_EQ(all_controllers_adopt(s, page), row.open) << row.marks.size();
     }
 }
 
@@ -193,21 +195,21 @@
         {"very slow", std::vector<double>(20, 5.0), 0.6, 0.6},
     };
     for (auto& row : rows) {
-        Patience p;
+        ForwardTimeout p;
         for (double s : row.took) p.took(s);
         EXPECT_GE(p.seconds(), row.low) << row.what;
         EXPECT_LE(p.seconds(), row.high) << row.what;
     }
 }
 
-TEST(LogView, ShowsWhatWasRecordedWhateverSegmentsWereDroppedMeanwhile) {
+TEST(StateLogView, ShowsWhatWasRecordedWhateverSegmentsWereDroppedMeanwhile) {
     for (unsigned seed = 1; seed <= 12; ++seed) {
         std::mt19937 random(seed);
         auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
         World w;
         Store store;
         StateLog state_log(w.cluster, 41, kSmall);
-        LogView often, seldom;  // one that reads all the time, one that misses whole segments
+        StateLogView often, seldom;  // one that reads all the time, one that misses whole segments
         std::vector<Index> machines;
         for (int i = 0; i < 4; ++i) machines.push_back(w.machine("vm-00000" + std::to_string(i)));
         int jobs = 0, compared = 0, drops = 0;
@@ -262,7 +264,7 @@
     }
 }
 
-TEST(LogView, AGapInTheSegmentsStartsItOver) {
+TEST(StateLogView, AGapInTheSegmentsStartsItOver) {
     auto page = [](std::initializer_list<uint64_t> numbers) {
         KvPage p;
         for (auto n : numbers) p.items.push_back({segment_key(n), json::array{}, n, 0});
@@ -283,20 +285,20 @@
         {"a hole within a page", page({3, 4}), page({4, 6}), true, false},
     };
     for (auto& row : rows) {
-        LogView view;
+        StateLogView view;
         ASSERT_TRUE(view.take(row.first, true));
         EXPECT_EQ(view.take(row.second, row.begins), row.kept) << row.what;
     }
     // What ended while it was read anew can't be told.
-    LogView view;
+    StateLogView view;
     auto moment = view.moment();
     EXPECT_FALSE(view.may_have_ended("req-1", moment));
     view.clear();
     EXPECT_TRUE(view.may_have_ended("req-1", moment));
 }
 
-TEST(LogView, ACancellationIsThatOfAllWhoNeedTheJob) {
-    LogView view;
+TEST(StateLogView, ACancellationIsThatOfAllWhoNeedTheJob) {
+    StateLogView view;
     auto job = [](const char* id, json::array awaits) {
         json::object body{{"name_id", id}, {"lots", 1}};
         if (!awaits.empty()) body["awaits"] = std::move(awaits);
@@ -316,7 +318,7 @@
     for (const char* bad :
          {R"([[1,"x"]])", R"([["j",{}]])", R"([["t",5]])", R"([["z","req-1"]])",
           R"([["t","req-4",[7,1]]])", R"([["p","req-5"]])", R"([["t","req-4",[0,3,"d"]]])"}) {
-        LogView fresh = view;
+        StateLogView fresh = view;
         KvPage next;
         next.items.push_back({segment_key(2), json::parse(bad), 2, 0});
         EXPECT_THROW(fresh.take(next, false), BadMessage) << bad;
--- a/tests/meeting.h
+++ b/tests/meeting.h
@@ -14,7 +14,7 @@
           }()) {
         EXPECT_EQ(submit("req-1", "array", 1), 201);
         EXPECT_TRUE(done("req-1"));
-        EXPECT_TRUE(until([&] { return state->count(kMarkKeys) == settings.size(); }));
+        EXPECT_TRUE(until([&] { return state->count(kAdopterPrefix) == settings.size(); }));
     }
     int leading() { return leader().back() - '0'; }
     // Its owner knows that it takes a while: nobody waits for its room.
@@ -54,10 +54,11 @@
         until([&] { return steady_now() > end; });
     }
     // Whether nobody on any machine runs it from now on, for as long as a cancellation may take.
-    void expect_gone_by(double told, const std::string& id) {
-        EXPECT_TRUE(until(
-            [&] { return !cloud->on_some_machine(id) || steady_now() > told + base.cancel_s; }));
-        pass(std::max(0.0, told + base.cancel_s - steady_now()));
+    void expect_gone_by(double adoption_recorded, const std::string& id) {
+        EXPECT_TRUE(until([&] {
+            return !cloud->on_some_machine(id) || steady_now() > adoption_recorded + base.cancel_s;
+        }));
+        pass(std::max(0.0, adoption_recorded + base.cancel_s - steady_now()));
         EXPECT_FALSE(cloud->on_some_machine(id)) << id;
     }
     // Each machine that runs something of it.
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -13,7 +13,7 @@
 namespace weirmill {
 namespace {
 
-LinkReport links(bool state, uint32_t direct, uint32_t reach, uint32_t known = 0,
+LinkStatus links(bool state, uint32_t direct, uint32_t reach, uint32_t known = 0,
                  std::vector<std::string> hears = {}) {
     return {true, state, direct, reach, known, std::move(hears)};
 }
@@ -21,11 +21,11 @@
 TEST(Links, ALeaderYieldsOnlyToOneThatServesFarMoreWorkers) {
     struct Row {
         const char* what;
-        LinkReport mine;
+        LinkStatus mine;
         std::vector<PeerView> others;
         const char* to;  // null: it stays
     };
-    LinkReport old;  // a version that says nothing of links
+    LinkStatus old;  // a version that says nothing of links
     const Row rows[] = {
         {"all is well", links(true, 1000, 1000, 1000), {{"b", links(true, 3, 3), true}}, nullptr},
         {"deaf, and a peer hears all",
@@ -90,13 +90,13 @@
          "b"},
     };
     for (auto& row : rows) {
-        auto to = better_leader(row.mine, row.others);
+        auto to = preferred_leader(row.mine, row.others);
         EXPECT_EQ(to.value_or("-"), row.to ? row.to : "-") << row.what;
     }
 }
 
 TEST(Links, HandOversFollowEachOtherMoreAndMoreRarely) {
-    auto times = LinkTimes::of(test::small_settings());
+    auto times = LinkTimeouts::of(test::small_settings());
     TransferRecord last;
     double wall = 1e9;
     EXPECT_TRUE(may_transfer(last, times, 0.1, wall));
@@ -173,7 +173,7 @@
         {"nobody leads", {{0, 7, 0, false}}, 1},
     };
     for (auto& row : rows) {
-        Roster roster(settings);
+        WorkerRoster roster(settings);
         for (auto& v : row.visits)
             EXPECT_EQ(roster.relays("vm-1", v.seen, v.leader, 100 + v.at), v.relays)
                 << row.what << " at " << v.at;
@@ -182,7 +182,7 @@
         EXPECT_EQ(roster.stranded(0, 10, 100 + last.at + 11), 0u) << row.what;
     }
     // Given up, it is still counted: that is what shows that the leader serves it not.
-    Roster roster(settings);
+    WorkerRoster roster(settings);
     EXPECT_TRUE(roster.relays("vm-1", 7, 7, 100));
     EXPECT_EQ(roster.relayed(100), 1u);
     roster.gave_up("vm-1");
@@ -192,7 +192,7 @@
 
 TEST(Links, ALeaderCountsWhatCameByItselfAndWhatWasRelayed) {
     test::World w;
-    auto times = LinkTimes::of(w.settings);
+    auto times = LinkTimeouts::of(w.settings);
     for (int i = 0; i < 6; ++i) w.machine("vm-" + std::to_string(i));
     auto at = [&](int i) -> Machine& { return *w.cluster.machines[i]; };
     for (int i = 0; i < 6; ++i) at(i).last_heartbeat = at(i).direct_at = w.now;
@@ -266,12 +266,12 @@
             std::vector<PeerView> views;
             for (int p = 0; p < kNodes; ++p) {
                 if (p == c || !peer[c][p]) continue;
-                LinkReport r = links(state[p], 0, 0);
+                LinkStatus r = links(state[p], 0, 0);
                 for (int q = 0; q < kNodes; ++q)
                     if (q != p && peer[p][q]) r.hears.push_back(kNames[q]);
                 views.push_back({kNames[p], r, true});
             }
-            if (way_to_leader(kNames[leader], views)) best = 3;
+            if (relay_to_leader(kNames[leader], views)) best = 3;
         }
         return best;
     }
@@ -286,8 +286,8 @@
         // Those that can do with the leader stay with it.
         return cut.workers[i] && (leader < 0 || !cut.workers[leader]) ? kFleet : 0;
     }
-    LinkReport own(int i) const {
-        LinkReport r = links(cut.state[i], direct(i), 0, leader == i ? kFleet : 0);
+    LinkStatus own(int i) const {
+        LinkStatus r = links(cut.state[i], direct(i), 0, leader == i ? kFleet : 0);
         std::vector<PeerView> heard;
         for (int k = 0; k < kNodes; ++k) {
             if (k == i || !cut.peer[i][k]) continue;
@@ -313,7 +313,7 @@
     // campaign.
     int next(int favoured) const {
         if (leader >= 0 && cut.state[leader]) {
-            auto to = better_leader(own(leader), views(leader));
+            auto to = preferred_leader(own(leader), views(leader));
             return to ? static_cast<int>(std::find(kNames.begin(), kNames.end(), *to) -
                                          kNames.begin())
                       : leader;
--- a/tests/service.h
+++ b/tests/service.h
@@ -27,7 +27,7 @@
     std::vector<std::unique_ptr<asio::io_context>> node_io;
     std::unique_ptr<fakes::State> state;
     std::unique_ptr<fakes::Cloud> cloud;
-    std::vector<std::unique_ptr<Front>> nodes;
+    std::vector<std::unique_ptr<RequestRouter>> nodes;
     std::vector<bool> alive;
 
     // What the controllers take from each other's addresses; `cut`: they refuse each other for
@@ -58,7 +58,7 @@
         base.cloud_rps = 50;
         base.state_write_rps = with.write_rps;
         base.txn_ops = with.txn_ops;
-        properties.doors_enabled = with.doors;
+        properties.standby_enabled = with.doors;
         properties.election_lease_s = with.lease_s;
         properties.preemption_round_s = 0.5;
         properties.idle_keep_boots = 100;
@@ -125,8 +125,8 @@
         own.membership_enabled = with.links && !with.old.count(i);
         node_properties.push_back(std::make_unique<Properties>(own));
         node_io.push_back(std::make_unique<asio::io_context>(1));
-        nodes.push_back(
-            std::make_unique<Front>(*node_io.back(), *settings.back(), *node_properties.back()));
+        nodes.push_back(std::make_unique<RequestRouter>(*node_io.back(), *settings.back(),
+                                                        *node_properties.back()));
         alive.push_back(true);
         Endpoint api{"127.0.0.1", nodes.back()->api_port()};
         if (with.links) {
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -203,8 +203,8 @@
 
 TEST(Properties, HaveDefaultsAndRanges) {
     EXPECT_EQ(load_properties(File("# nothing set\n").path).preemption_round_s, 10.0);
-    EXPECT_FALSE(load_properties(File("# nothing set\n").path).doors_enabled);
-    EXPECT_TRUE(load_properties(File("doors.enabled = true\n").path).doors_enabled);
+    EXPECT_FALSE(load_properties(File("# nothing set\n").path).standby_enabled);
+    EXPECT_TRUE(load_properties(File("doors.enabled = true\n").path).standby_enabled);
     EXPECT_EQ(load_properties(File("preemption.round_s = 4.5\n").path).preemption_round_s, 4.5);
     for (const char* bad : {"preemption.round_s = 0\n", "preemption.round_s = often\n",
                             "election.lease_s: 1000\n", "doors.enabled = perhaps\n"})
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -164,8 +164,8 @@
 
 TEST(Upgrade, EitherVersionReadsTheOthersFramesBetweenControllers) {
     const auto call = from_hex(test::kOldCall), reply = from_hex(test::kOldReply);
-    LinkReport links;
-    links.told = links.state = true;
+    LinkStatus links;
+    links.adoption_recorded = links.state = true;
     links.direct = 7;
     links.hears = {"node-1", "node-2"};
     asio::io_context io;
@@ -209,7 +209,7 @@
     EXPECT_EQ(heard.op, PeerOp::Status);
     EXPECT_EQ(heard.subject, "req-000412");
     EXPECT_EQ(heard.body, "x");
-    EXPECT_FALSE(heard.links.told);
+    EXPECT_FALSE(heard.links.adoption_recorded);
     // A call of ours, as an old callee reads it, and that one's answer.
     tcp::acceptor acceptor(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     PeerClient client(io, {"127.0.0.1", acceptor.local_endpoint().port()});
@@ -237,7 +237,7 @@
     EXPECT_EQ(got->status, 200);
     EXPECT_EQ(got->fencing_token, 41u);
     EXPECT_EQ(got->retry_after_s, 3);
-    EXPECT_FALSE(got->links.told);
+    EXPECT_FALSE(got->links.adoption_recorded);
     // What is said of links arrives as it was said.
     PeerClient placed_this_term(io, {"127.0.0.1", server.port()});
     got.reset();
