--- a/bench/pass_bench.cpp
+++ b/bench/pass_bench.cpp
@@ -13,11 +13,11 @@
 #include <random>
 #include <string>
 
-#include "bookkeeping/ledger.h"
-#include "coordination/overload/forecast.h"
-#include "coordination/placement.h"
-#include "coordination/preemption.h"
-#include "coordination/sizing.h"
+#include "autoscaler/autoscaler.h"
+#include "scheduler/overload_forecast.h"
+#include "scheduler/placement.h"
+#include "scheduler/preemption.h"
+#include "state/state_log.h"
 
 using namespace weirmill;
 
--- a/src/coordination/sizing.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -1,4 +1,4 @@
-#include "coordination/sizing.h"
+#include "autoscaler/autoscaler.h"
 
 #include <algorithm>
 #include <functional>
--- a/src/tools/completion.cpp
+++ b/src/cli/completion.cpp
@@ -1,4 +1,4 @@
-#include "tools/completion.h"
+#include "cli/completion.h"
 
 namespace weirmill::tools {
 
--- a/src/tools/weirmillctl.cpp
+++ b/src/cli/weirmillctl.cpp
@@ -15,9 +15,9 @@
 #include <iostream>
 #include <sstream>
 
+#include "cli/completion.h"
+#include "config/settings.h"
 #include "protocol/cloud_codec.h"
-#include "settings/settings.h"
-#include "tools/completion.h"
 #include "traces/import.h"
 #include "traces/play.h"
 #include "traces/stats.h"
--- a/src/settings/capacity.h
+++ b/src/config/capacity.h
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cstddef>
 
-#include "settings/settings.h"
+#include "config/settings.h"
 
 namespace weirmill {
 
--- a/src/settings/settings.cpp
+++ b/src/config/settings.cpp
@@ -1,4 +1,4 @@
-#include "settings/settings.h"
+#include "config/settings.h"
 
 #include <Poco/Exception.h>
 #include <Poco/Util/PropertyFileConfiguration.h>
--- a/src/coordination/leader.cpp
+++ b/src/controller/leader.cpp
@@ -1,15 +1,15 @@
-#include "coordination/leader.h"
+#include "controller/leader.h"
 
 #include <spdlog/spdlog.h>
 
 #include <boost/asio.hpp>
 
-#include "coordination/account.h"
-#include "coordination/begin/begin.h"
-#include "coordination/starved.h"
+#include "config/capacity.h"
 #include "protocol/cloud_codec.h"
 #include "protocol/worker_codec.h"
-#include "settings/capacity.h"
+#include "scheduler/capacity_breakdown.h"
+#include "scheduler/start_deadline.h"
+#include "scheduler/starvation.h"
 
 namespace weirmill {
 
--- a/src/coordination/leader_inbox.cpp
+++ b/src/controller/leader_adoption.cpp
@@ -5,7 +5,7 @@
 
 #include <boost/asio.hpp>
 
-#include "coordination/leader.h"
+#include "controller/leader.h"
 #include "protocol/user_codec.h"
 
 namespace weirmill {
--- a/src/coordination/leader_workers.cpp
+++ b/src/controller/leader_heartbeats.cpp
@@ -3,10 +3,10 @@
 
 #include <boost/asio.hpp>
 
-#include "coordination/gangs/gather.h"
-#include "coordination/hearing/hearing.h"
-#include "coordination/leader.h"
+#include "controller/leader.h"
+#include "liveness/downlink.h"
 #include "protocol/worker_codec.h"
+#include "scheduler/gang_launch.h"
 
 namespace weirmill {
 
--- a/src/coordination/leader_fleet.cpp
+++ b/src/controller/leader_instances.cpp
@@ -3,7 +3,7 @@
 
 #include <boost/asio.hpp>
 
-#include "coordination/leader.h"
+#include "controller/leader.h"
 #include "protocol/cloud_codec.h"
 #include "protocol/paths.h"
 
--- a/src/coordination/leader_records.cpp
+++ b/src/controller/leader_records.cpp
@@ -3,7 +3,7 @@
 
 #include <boost/asio.hpp>
 
-#include "coordination/leader.h"
+#include "controller/leader.h"
 
 namespace weirmill {
 
--- a/src/coordination/leader_tasks.cpp
+++ b/src/controller/leader_tasks.cpp
@@ -3,10 +3,10 @@
 
 #include <boost/asio.hpp>
 
-#include "coordination/leader.h"
+#include "config/capacity.h"
+#include "controller/leader.h"
 #include "protocol/paths.h"
 #include "protocol/worker_codec.h"
-#include "settings/capacity.h"
 
 namespace weirmill {
 
--- a/src/coordination/front.cpp
+++ b/src/controller/request_router.cpp
@@ -1,12 +1,12 @@
-#include "coordination/front.h"
+#include "controller/request_router.h"
 
 #include <spdlog/spdlog.h>
 
 #include <boost/asio.hpp>
 
+#include "config/capacity.h"
 #include "protocol/paths.h"
 #include "protocol/worker_codec.h"
-#include "settings/capacity.h"
 
 namespace weirmill {
 
--- a/src/coordination/front.h
+++ b/src/controller/request_router.h
@@ -4,11 +4,11 @@
 #include <map>
 #include <memory>
 
-#include "coordination/election.h"
-#include "coordination/leader.h"
-#include "doors/door.h"
+#include "controller/leader.h"
+#include "leadership/election.h"
 #include "membership/membership.h"
-#include "membership/roster.h"
+#include "membership/worker_roster.h"
+#include "standby/standby_service.h"
 #include "transport/http_server.h"
 #include "transport/peer_link.h"
 
--- a/src/coordination/election.cpp
+++ b/src/leadership/election.cpp
@@ -1,11 +1,11 @@
-#include "coordination/election.h"
+#include "leadership/election.h"
 
 #include <spdlog/spdlog.h>
 
 #include <random>
 
-#include "bookkeeping/ledger.h"
-#include "membership/records.h"
+#include "membership/link_records.h"
+#include "state/state_log.h"
 #include "transport/one_shot.h"
 
 namespace weirmill {
--- a/src/coordination/election.h
+++ b/src/leadership/election.h
@@ -8,10 +8,10 @@
 #include <memory>
 #include <string>
 
-#include "bookkeeping/state_client.h"
-#include "bookkeeping/tables.h"
-#include "membership/decide.h"
-#include "settings/settings.h"
+#include "config/settings.h"
+#include "membership/link_policy.h"
+#include "state/cluster_state.h"
+#include "storage/kv_client.h"
 #include "transport/one_shot.h"
 
 namespace weirmill {
--- a/src/coordination/hearing/hearing.cpp
+++ b/src/liveness/downlink.cpp
@@ -1,4 +1,4 @@
-#include "coordination/hearing/hearing.h"
+#include "liveness/downlink.h"
 
 #include <algorithm>
 
--- a/src/coordination/hearing/hearing.h
+++ b/src/liveness/downlink.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <utility>
 
-#include "settings/settings.h"
+#include "config/settings.h"
 
 namespace weirmill {
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -7,8 +7,8 @@
 #include <cstdlib>
 #include <iostream>
 
-#include "coordination/front.h"
-#include "settings/settings.h"
+#include "config/settings.h"
+#include "controller/request_router.h"
 
 namespace {
 
--- a/src/membership/decide.cpp
+++ b/src/membership/link_policy.cpp
@@ -1,4 +1,4 @@
-#include "membership/decide.h"
+#include "membership/link_policy.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/membership/decide.h
+++ b/src/membership/link_policy.h
@@ -8,8 +8,8 @@
 #include <string>
 #include <tuple>
 
+#include "config/settings.h"
 #include "protocol/links.h"
-#include "settings/settings.h"
 
 namespace weirmill {
 
--- a/src/membership/records.cpp
+++ b/src/membership/link_records.cpp
@@ -1,4 +1,4 @@
-#include "membership/records.h"
+#include "membership/link_records.h"
 
 namespace weirmill {
 
--- a/src/membership/records.h
+++ b/src/membership/link_records.h
@@ -4,8 +4,8 @@
 #pragma once
 #include <string>
 
-#include "membership/decide.h"
-#include "protocol/state_codec.h"
+#include "membership/link_policy.h"
+#include "protocol/kv_codec.h"
 
 namespace weirmill {
 
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -4,7 +4,7 @@
 
 #include <boost/asio.hpp>
 
-#include "membership/records.h"
+#include "membership/link_records.h"
 #include "transport/one_shot.h"
 
 namespace weirmill {
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -7,10 +7,10 @@
 #include <functional>
 #include <map>
 
-#include "bookkeeping/metrics.h"
-#include "bookkeeping/state_client.h"
-#include "bookkeeping/tables.h"
-#include "membership/decide.h"
+#include "membership/link_policy.h"
+#include "metrics/metrics.h"
+#include "state/cluster_state.h"
+#include "storage/kv_client.h"
 
 namespace weirmill {
 
--- a/src/membership/roster.cpp
+++ b/src/membership/worker_roster.cpp
@@ -1,4 +1,4 @@
-#include "membership/roster.h"
+#include "membership/worker_roster.h"
 
 #include <algorithm>
 
--- a/src/membership/roster.h
+++ b/src/membership/worker_roster.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "settings/settings.h"
+#include "config/settings.h"
 
 namespace weirmill {
 
--- a/src/bookkeeping/metrics.cpp
+++ b/src/metrics/metrics.cpp
@@ -1,4 +1,4 @@
-#include "bookkeeping/metrics.h"
+#include "metrics/metrics.h"
 
 #include <spdlog/fmt/fmt.h>
 
--- a/src/protocol/state_codec.cpp
+++ b/src/protocol/kv_codec.cpp
@@ -1,4 +1,4 @@
-#include "protocol/state_codec.h"
+#include "protocol/kv_codec.h"
 
 namespace weirmill {
 
--- a/src/coordination/account.cpp
+++ b/src/scheduler/capacity_breakdown.cpp
@@ -1,4 +1,4 @@
-#include "coordination/account.h"
+#include "scheduler/capacity_breakdown.h"
 
 namespace weirmill {
 
--- a/src/coordination/overload/in_time.cpp
+++ b/src/scheduler/deadline_feasibility.cpp
@@ -1,9 +1,9 @@
-#include "coordination/overload/in_time.h"
+#include "scheduler/deadline_feasibility.h"
 
 #include <algorithm>
 #include <queue>
 
-#include "coordination/overload/forecast.h"
+#include "scheduler/overload_forecast.h"
 
 namespace weirmill {
 
--- a/src/coordination/overload/in_time.h
+++ b/src/scheduler/deadline_feasibility.h
@@ -4,7 +4,7 @@
 #pragma once
 #include <vector>
 
-#include "bookkeeping/tables.h"
+#include "state/cluster_state.h"
 
 namespace weirmill {
 
--- a/src/coordination/fit_queues.cpp
+++ b/src/scheduler/fit_queues.cpp
@@ -1,9 +1,9 @@
-#include "coordination/fit_queues.h"
+#include "scheduler/fit_queues.h"
 
 #include <algorithm>
 #include <functional>
 
-#include "coordination/placement.h"
+#include "scheduler/placement.h"
 
 namespace weirmill {
 
--- a/src/coordination/fit_queues.h
+++ b/src/scheduler/fit_queues.h
@@ -17,7 +17,7 @@
 #include <tuple>
 #include <vector>
 
-#include "bookkeeping/tables.h"
+#include "state/cluster_state.h"
 
 namespace weirmill {
 
--- a/src/coordination/gangs/gather.cpp
+++ b/src/scheduler/gang_launch.cpp
@@ -1,4 +1,4 @@
-#include "coordination/gangs/gather.h"
+#include "scheduler/gang_launch.h"
 
 namespace weirmill {
 
--- a/src/coordination/gangs/gather.h
+++ b/src/scheduler/gang_launch.h
@@ -1,7 +1,7 @@
 // When the tasks of a gang are launched, so that none waits for the others longer than a worker
 // lets it. Pure functions of the tables and a given time; they own nothing.
 #pragma once
-#include "bookkeeping/tables.h"
+#include "state/cluster_state.h"
 
 namespace weirmill {
 
--- a/src/coordination/overload/forecast.cpp
+++ b/src/scheduler/overload_forecast.cpp
@@ -1,9 +1,9 @@
-#include "coordination/overload/forecast.h"
+#include "scheduler/overload_forecast.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "coordination/overload/in_time.h"
+#include "scheduler/deadline_feasibility.h"
 
 namespace weirmill {
 
--- a/src/coordination/overload/forecast.h
+++ b/src/scheduler/overload_forecast.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <vector>
 
-#include "bookkeeping/tables.h"
+#include "state/cluster_state.h"
 
 namespace weirmill {
 
--- a/src/coordination/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -1,12 +1,12 @@
-#include "coordination/placement.h"
+#include "scheduler/placement.h"
 
 #include <algorithm>
 #include <map>
 #include <optional>
 #include <tuple>
 
-#include "coordination/fit_queues.h"
-#include "coordination/overload/forecast.h"
+#include "scheduler/fit_queues.h"
+#include "scheduler/overload_forecast.h"
 
 namespace weirmill {
 
--- a/src/coordination/placement.h
+++ b/src/scheduler/placement.h
@@ -3,7 +3,7 @@
 #include <functional>
 #include <vector>
 
-#include "bookkeeping/tables.h"
+#include "state/cluster_state.h"
 
 namespace weirmill {
 
--- a/src/coordination/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -1,4 +1,4 @@
-#include "coordination/preemption.h"
+#include "scheduler/preemption.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
--- a/src/coordination/preemption.h
+++ b/src/scheduler/preemption.h
@@ -4,8 +4,8 @@
 #include <string>
 #include <vector>
 
-#include "bookkeeping/tables.h"
-#include "coordination/placement.h"
+#include "scheduler/placement.h"
+#include "state/cluster_state.h"
 
 namespace weirmill {
 
--- a/src/coordination/begin/begin.cpp
+++ b/src/scheduler/start_deadline.cpp
@@ -1,4 +1,4 @@
-#include "coordination/begin/begin.h"
+#include "scheduler/start_deadline.h"
 
 #include <algorithm>
 #include <map>
--- a/src/coordination/begin/begin.h
+++ b/src/scheduler/start_deadline.h
@@ -5,7 +5,7 @@
 #pragma once
 #include <vector>
 
-#include "coordination/placement.h"
+#include "scheduler/placement.h"
 
 namespace weirmill {
 
--- a/src/coordination/starved.h
+++ b/src/scheduler/starvation.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <vector>
 
-#include "bookkeeping/tables.h"
-#include "coordination/placement.h"
+#include "scheduler/placement.h"
+#include "state/cluster_state.h"
 
 namespace weirmill {
 
--- a/src/doors/records.cpp
+++ b/src/standby/pending_records.cpp
@@ -1,6 +1,6 @@
-#include "doors/records.h"
+#include "standby/pending_records.h"
 
-#include "bookkeeping/ledger.h"
+#include "state/state_log.h"
 
 namespace weirmill {
 
--- a/src/doors/records.h
+++ b/src/standby/pending_records.h
@@ -9,7 +9,7 @@
 #include <boost/json.hpp>
 #include <string>
 
-#include "protocol/state_codec.h"
+#include "protocol/kv_codec.h"
 
 namespace weirmill {
 
--- a/src/doors/decide.cpp
+++ b/src/standby/standby_decisions.cpp
@@ -1,4 +1,4 @@
-#include "doors/decide.h"
+#include "standby/standby_decisions.h"
 
 #include <algorithm>
 
--- a/src/doors/decide.h
+++ b/src/standby/standby_decisions.h
@@ -4,9 +4,9 @@
 #include <optional>
 #include <string>
 
-#include "bookkeeping/ledger.h"
-#include "doors/log_view.h"
-#include "doors/records.h"
+#include "standby/pending_records.h"
+#include "standby/state_log_view.h"
+#include "state/state_log.h"
 #include "transport/peer_link.h"
 
 namespace weirmill {
--- a/src/doors/door.cpp
+++ b/src/standby/standby_service.cpp
@@ -1,4 +1,4 @@
-#include "doors/door.h"
+#include "standby/standby_service.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/doors/door.h
+++ b/src/standby/standby_service.h
@@ -6,10 +6,10 @@
 #include <deque>
 #include <functional>
 
-#include "bookkeeping/metrics.h"
-#include "bookkeeping/state_client.h"
-#include "bookkeeping/tables.h"
-#include "doors/decide.h"
+#include "metrics/metrics.h"
+#include "standby/standby_decisions.h"
+#include "state/cluster_state.h"
+#include "storage/kv_client.h"
 #include "transport/one_shot.h"
 
 namespace weirmill {
--- a/src/doors/log_view.cpp
+++ b/src/standby/state_log_view.cpp
@@ -1,8 +1,8 @@
-#include "doors/log_view.h"
+#include "standby/state_log_view.h"
 
 #include <algorithm>
 
-#include "bookkeeping/ledger.h"
+#include "state/state_log.h"
 
 namespace weirmill {
 
--- a/src/doors/log_view.h
+++ b/src/standby/state_log_view.h
@@ -12,7 +12,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "protocol/state_codec.h"
+#include "protocol/kv_codec.h"
 
 namespace weirmill {
 
--- a/src/bookkeeping/tables.cpp
+++ b/src/state/cluster_state.cpp
@@ -1,4 +1,4 @@
-#include "bookkeeping/tables.h"
+#include "state/cluster_state.h"
 
 #include <algorithm>
 
--- a/src/bookkeeping/tables.h
+++ b/src/state/cluster_state.h
@@ -8,10 +8,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "bookkeeping/dependencies.h"
-#include "coordination/hearing/hearing.h"
+#include "config/settings.h"
+#include "liveness/downlink.h"
 #include "protocol/types.h"
-#include "settings/settings.h"
+#include "state/dependency_graph.h"
 
 namespace weirmill {
 
--- a/src/bookkeeping/dependencies.cpp
+++ b/src/state/dependency_graph.cpp
@@ -1,4 +1,4 @@
-#include "bookkeeping/dependencies.h"
+#include "state/dependency_graph.h"
 
 #include <algorithm>
 #include <unordered_set>
--- a/src/bookkeeping/ledger.cpp
+++ b/src/state/state_log.cpp
@@ -1,4 +1,4 @@
-#include "bookkeeping/ledger.h"
+#include "state/state_log.h"
 
 #include <fmt/format.h>
 #include <spdlog/spdlog.h>
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <charconv>
 
-#include "doors/records.h"
+#include "standby/pending_records.h"
 
 namespace weirmill {
 
--- a/src/bookkeeping/ledger.h
+++ b/src/state/state_log.h
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
-#include "bookkeeping/tables.h"
-#include "protocol/state_codec.h"
+#include "protocol/kv_codec.h"
 #include "protocol/user_codec.h"
+#include "state/cluster_state.h"
 
 namespace weirmill {
 
--- a/src/bookkeeping/state_client.cpp
+++ b/src/storage/kv_client.cpp
@@ -1,4 +1,4 @@
-#include "bookkeeping/state_client.h"
+#include "storage/kv_client.h"
 
 #include <spdlog/spdlog.h>
 
--- a/src/bookkeeping/state_client.h
+++ b/src/storage/kv_client.h
@@ -3,7 +3,7 @@
 #include <memory>
 #include <vector>
 
-#include "protocol/state_codec.h"
+#include "protocol/kv_codec.h"
 #include "transport/http_client.h"
 
 namespace weirmill {
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "settings/settings.h"
+#include "config/settings.h"
 
 namespace weirmill {
 
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -11,7 +11,7 @@
 #include <memory>
 #include <string>
 
-#include "settings/settings.h"
+#include "config/settings.h"
 
 namespace weirmill {
 
--- a/src/transport/peer_link.h
+++ b/src/transport/peer_link.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
+#include "config/settings.h"
 #include "protocol/links.h"
-#include "settings/settings.h"
 #include "transport/one_shot.h"
 
 namespace weirmill {
--- a/tests/cancel_model_test.cpp
+++ b/tests/cancel_model_test.cpp
@@ -15,8 +15,8 @@
 #include <iostream>
 #include <unordered_set>
 
-#include "coordination/election.h"
 #include "fixtures.h"
+#include "leadership/election.h"
 
 namespace weirmill {
 namespace {
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -2,7 +2,7 @@
 
 #include "fixtures.h"
 #include "protocol/cloud_codec.h"
-#include "protocol/state_codec.h"
+#include "protocol/kv_codec.h"
 #include "protocol/user_codec.h"
 #include "protocol/worker_codec.h"
 
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -3,12 +3,12 @@
 
 #include <random>
 
-#include "coordination/gangs/gather.h"
-#include "coordination/placement.h"
-#include "coordination/preemption.h"
-#include "coordination/sizing.h"
+#include "autoscaler/autoscaler.h"
 #include "fixtures.h"
 #include "placement_reference.h"
+#include "scheduler/gang_launch.h"
+#include "scheduler/placement.h"
+#include "scheduler/preemption.h"
 
 namespace weirmill {
 namespace {
--- a/tests/hearing_test.cpp
+++ b/tests/downlink_test.cpp
@@ -1,6 +1,6 @@
 // Machines that do not hear their answers, late copies of reports, and workers that begin anew:
 // what reports show, and the whole service over loopback with such machines. docs/failures.md.
-#include "coordination/hearing/hearing.h"
+#include "liveness/downlink.h"
 
 #include <random>
 
--- a/tests/standin/standins.cpp
+++ b/tests/fakes/fakes.cpp
@@ -1,4 +1,4 @@
-#include "standin/standins.h"
+#include "fakes/fakes.h"
 
 #include <charconv>
 
--- a/tests/standin/cable.cpp
+++ b/tests/fakes/faulty_link.cpp
@@ -1,4 +1,4 @@
-#include "standin/cable.h"
+#include "fakes/faulty_link.h"
 
 #include <array>
 
--- a/tests/meetings_service_test.cpp
+++ b/tests/fault_scenarios_service_test.cpp
@@ -2,7 +2,7 @@
 // held or refused stays so until a condition holds; the bounds are those of the settings.
 #include <random>
 
-#include "meeting.h"
+#include "fault_scenario.h"
 
 namespace weirmill {
 namespace {
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -1,7 +1,7 @@
 // Tables and settings for tests, built in a few words.
 #pragma once
-#include "bookkeeping/ledger.h"
-#include "bookkeeping/tables.h"
+#include "state/cluster_state.h"
+#include "state/state_log.h"
 
 namespace weirmill::test {
 
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -3,11 +3,11 @@
 
 #include <boost/asio.hpp>
 
-#include "coordination/leader.h"
+#include "config/capacity.h"
+#include "controller/leader.h"
 #include "fixtures.h"
 #include "protocol/paths.h"
 #include "service.h"
-#include "settings/capacity.h"
 #include "transport/http_client.h"
 #include "transport/http_server.h"
 #include "transport/peer_link.h"
--- a/tests/membership_model_test.cpp
+++ b/tests/membership_model_test.cpp
@@ -13,8 +13,8 @@
 #include <set>
 #include <string>
 
-#include "bookkeeping/ledger.h"
-#include "membership/records.h"
+#include "membership/link_records.h"
+#include "state/state_log.h"
 
 namespace weirmill {
 namespace {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -7,8 +7,8 @@
 #include <array>
 
 #include "fixtures.h"
-#include "membership/records.h"
-#include "membership/roster.h"
+#include "membership/link_records.h"
+#include "membership/worker_roster.h"
 
 namespace weirmill {
 namespace {
--- a/tests/further_meetings_service_test.cpp
+++ b/tests/more_fault_scenarios_service_test.cpp
@@ -1,5 +1,5 @@
 // The further meetings of the operators' page, over loopback (docs/failures.md, "Meetings").
-#include "meeting.h"
+#include "fault_scenario.h"
 
 namespace weirmill {
 namespace {
--- a/tests/odd_requests_service_test.cpp
+++ b/tests/odd_requests_service_test.cpp
@@ -1,7 +1,7 @@
 // Submissions that make no sense, at a leader, at a follower that relays them and at a door:
 // refused for good as the protocol says, and never accepted. Under the id of a job that was
 // accepted they tell its state.
-#include "meeting.h"
+#include "fault_scenario.h"
 
 namespace weirmill {
 namespace {
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -4,10 +4,10 @@
 
 #include <random>
 
-#include "coordination/overload/forecast.h"
-#include "coordination/overload/in_time.h"
-#include "coordination/placement.h"
 #include "fixtures.h"
+#include "scheduler/deadline_feasibility.h"
+#include "scheduler/overload_forecast.h"
+#include "scheduler/placement.h"
 
 namespace weirmill {
 namespace {
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -3,9 +3,9 @@
 
 #include <random>
 
-#include "coordination/placement.h"
-#include "coordination/preemption.h"
 #include "fixtures.h"
+#include "scheduler/placement.h"
+#include "scheduler/preemption.h"
 #include "store.h"
 
 namespace weirmill {
--- a/tests/placement_reference.h
+++ b/tests/placement_reference.h
@@ -6,7 +6,7 @@
 #include <set>
 #include <tuple>
 
-#include "coordination/placement.h"
+#include "scheduler/placement.h"
 
 namespace weirmill::test {
 
--- a/tests/service.h
+++ b/tests/service.h
@@ -4,11 +4,11 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
-#include "coordination/front.h"
+#include "controller/request_router.h"
+#include "fakes/fakes.h"
+#include "fakes/faulty_link.h"
 #include "fixtures.h"
 #include "history.h"
-#include "standin/cable.h"
-#include "standin/standins.h"
 
 namespace weirmill::test {
 
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,11 +1,11 @@
-#include "settings/settings.h"
+#include "config/settings.h"
 
 #include <gtest/gtest.h>
 
 #include <cstdio>
 #include <fstream>
 
-#include "coordination/election.h"
+#include "leadership/election.h"
 
 namespace weirmill {
 namespace {
--- a/tests/door_model_test.cpp
+++ b/tests/standby_model_test.cpp
@@ -13,8 +13,8 @@
 #include <set>
 #include <unordered_set>
 
-#include "doors/decide.h"
 #include "fixtures.h"
+#include "standby/standby_decisions.h"
 #include "store.h"
 
 namespace weirmill {
--- a/tests/door_test.cpp
+++ b/tests/standby_test.cpp
@@ -3,8 +3,8 @@
 
 #include <random>
 
-#include "doors/decide.h"
 #include "fixtures.h"
+#include "standby/standby_decisions.h"
 #include "store.h"
 
 namespace weirmill {
--- a/tests/begin_test.cpp
+++ b/tests/start_deadline_test.cpp
@@ -1,5 +1,5 @@
 // The bound on the wait until a job begins.
-#include "coordination/begin/begin.h"
+#include "scheduler/start_deadline.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/starved_test.cpp
+++ b/tests/starvation_test.cpp
@@ -1,4 +1,4 @@
-#include "coordination/starved.h"
+#include "scheduler/starvation.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/ledger_test.cpp
+++ b/tests/state_log_test.cpp
@@ -2,11 +2,11 @@
 
 #include <random>
 
-#include "bookkeeping/state_client.h"
-#include "coordination/election.h"
-#include "coordination/placement.h"
-#include "doors/log_view.h"
 #include "fixtures.h"
+#include "leadership/election.h"
+#include "scheduler/placement.h"
+#include "standby/state_log_view.h"
+#include "storage/kv_client.h"
 #include "store.h"
 
 namespace weirmill {
--- a/tests/store.h
+++ b/tests/store.h
@@ -4,7 +4,7 @@
 
 #include <map>
 
-#include "bookkeeping/ledger.h"
+#include "state/state_log.h"
 
 namespace weirmill::test {
 
