--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -31,30 +31,25 @@
 
 Leader::Leader(asio::io_context& io, const Settings& settings, const Properties& properties,
                KvClient& state, Metrics& metrics, std::shared_ptr<LeadershipTerm> term)
-    : io_(io),
-      settings_(settings),
-      properties_(properties),
-      kv_(state),
+    : context_(io, settings, properties, state, metrics, std::move(term)),
       cloud_(io, settings.cloud, 1024 * 1024),
-      metrics_(metrics),
-      term_(std::move(term)),
       mailbox_(io, kMailbox),
-      cluster_(settings),
-      state_log_(cluster_, term_->fencing_token, {settings.txn_ops, settings.value_kb}),
-      random_(std::random_device{}()),
       // A share is left to renewals and to what other controllers ask for.
       writes_(settings.state_write_rps * 0.9, 0.8),
-      cloud_budget_(settings.cloud_rps * 0.85, 1.0) {}
+      cloud_budget_(settings.cloud_rps * 0.85, 1.0) {
+    context_.post = [this](LeaderMessage message) { post(std::move(message)); };
+    context_.keep_alive = [this] { return shared_from_this(); };
+}
 
 void Leader::start() {
-    asio::co_spawn(io_, run(shared_from_this()), asio::detached);
-    asio::co_spawn(io_, types_loop(shared_from_this()), asio::detached);
+    asio::co_spawn(context_.io, run(shared_from_this()), asio::detached);
+    asio::co_spawn(context_.io, types_loop(shared_from_this()), asio::detached);
 }
 
 void Leader::stop() {
-    stopped_ = true;
+    context_.stopped = true;
     ready_ = false;
-    term_->ended = true;
+    context_.term->ended = true;
     mailbox_.close();
     for (auto& [id, list] : waiters_)
         for (auto& [op, reply] : list) reply.set(undecided());
@@ -66,16 +61,16 @@
 asio::awaitable<PeerReply> Leader::ask(PeerCall call) {
     if (!ready_) co_return undecided();
     size_t bytes = call.body.size();
-    if (asked_ >= kMaxAsked || asked_bytes_ + bytes > most_asked_bytes(settings_))
+    if (asked_ >= kMaxAsked || asked_bytes_ + bytes > most_asked_bytes(context_.settings))
         co_return come_back();
-    Reply reply(io_.get_executor());
+    ReplyPromise reply(context_.io.get_executor());
     bool is_heartbeat = call.op == PeerOp::Heartbeat;
     ++asked_;
     asked_bytes_ += bytes;
-    post(Asked{std::move(call), reply, bytes});
+    post(RequestReceived{std::move(call), reply, bytes});
     // A worker waits for as long as its own patience: with a burst of reports on a small share of a
     // core, some are answered late.
-    double wait_s = is_heartbeat ? std::max(kAsk_s, settings_.worker_patience_s) : kAsk_s;
+    double wait_s = is_heartbeat ? std::max(kAsk_s, context_.settings.worker_patience_s) : kAsk_s;
     auto answer = co_await reply.wait(wait_s);
     if (answer) co_return *answer;
     co_return is_heartbeat ? PeerReply{503, "{}"} : come_back();
@@ -83,29 +78,30 @@
 
 void Leader::gauges(std::map<std::string, double>& out) const {
     size_t up = 0, downlink_lost = 0, placed = 0, pending = 0;
-    for (auto& m : cluster_.machines) {
+    for (auto& m : context_.cluster.machines) {
         up += m && m->up;
         downlink_lost += m && m->up && m->downlink.downlink_lost();
     }
-    for (auto& job : cluster_.jobs) {
+    for (auto& job : context_.cluster.jobs) {
         if (!job) continue;
         placed += job->placed;
         pending += job->pending;
     }
-    out["jobs_waiting"] = static_cast<double>(cluster_.dependencies().waiting());
-    out["jobs"] = static_cast<double>(cluster_.job_index.size());
-    out["machines"] = static_cast<double>(cluster_.machine_index.size());
+    out["jobs_waiting"] = static_cast<double>(context_.cluster.dependencies().waiting());
+    out["jobs"] = static_cast<double>(context_.cluster.job_index.size());
+    out["machines"] = static_cast<double>(context_.cluster.machine_index.size());
     out["machines_up"] = static_cast<double>(up);
     out["machines_deaf"] = static_cast<double>(downlink_lost);
     out["tasks_placed"] = static_cast<double>(placed);
     out["tasks_pending"] = static_cast<double>(pending);
     out["queues_pressed"] = static_cast<double>(forecast_.overloaded());
-    capacity_gauges(capacity_breakdown(cluster_, usable_now(), now_), out);
-    starved_gauges(starved_jobs(cluster_, usable_now(), now_, kStarvedAfter_s), out);
+    capacity_gauges(capacity_breakdown(context_.cluster, usable_now(), context_.now), out);
+    starved_gauges(starved_jobs(context_.cluster, usable_now(), context_.now, kStarvedAfter_s),
+                   out);
 }
 
 PeerReply Leader::come_back(int seconds) const {
-    return {503, R"({"error":"not now"})", seconds, term_->fencing_token};
+    return {503, R"({"error":"not now"})", seconds, context_.term->fencing_token};
 }
 
 PeerReply Leader::undecided() const {
@@ -114,53 +110,54 @@
     return reply;
 }
 
-void Leader::post(Message m) {
-    if (stopped_) return;
+void Leader::post(LeaderMessage m) {
+    if (context_.stopped) return;
     if (mailbox_.try_send(boost::system::error_code(), std::move(m))) {
         return;
     }
     // Without an outcome that was lost, this leader would wait for ever: the next one starts
     // afresh.
     spdlog::error("leader: mailbox full, giving up the leadership");
-    term_->ended = true;
+    context_.term->ended = true;
 }
 
 asio::awaitable<void> Leader::run(std::shared_ptr<Leader> self) {
-    std::optional<PendingChanged> inbox;
-    while (!stopped_) {
+    std::optional<PendingRecordsChanged> inbox;
+    while (!context_.stopped) {
         if (co_await load()) inbox = co_await read_pending();
         if (inbox) break;
         co_await sleep_s(0.3);
     }
-    if (stopped_) co_return;
-    now_ = steady_now();
+    if (context_.stopped) co_return;
+    context_.now = steady_now();
     // A predecessor's rentals may not be listed yet: without waiting, they would be rented again.
-    if (!cluster_.jobs.empty()) provision_not_before_ = term_->won + 2 * settings_.list_lag_s;
-    next_round_ = now_ + properties_.preemption_round_s / 2;
+    if (!context_.cluster.jobs.empty())
+        provision_not_before_ = context_.term->won + 2 * context_.settings.list_lag_s;
+    next_round_ = context_.now + context_.properties.preemption_round_s / 2;
     ready_ = true;
-    spdlog::info("leader: ready token={} jobs={} machines={}", term_->fencing_token,
-                 cluster_.job_index.size(), cluster_.machine_index.size());
-    for (Index j = 0; j < cluster_.jobs.size(); ++j) {
-        if (!cluster_.jobs[j]) continue;
-        auto& job = *cluster_.jobs[j];
-        job.seen_at = now_ - std::max(0.0, wall_now() - job.submitted);
-        job.ready_at = now_ - std::max(0.0, wall_now() - job.ready);
+    spdlog::info("leader: ready token={} jobs={} machines={}", context_.term->fencing_token,
+                 context_.cluster.job_index.size(), context_.cluster.machine_index.size());
+    for (Index j = 0; j < context_.cluster.jobs.size(); ++j) {
+        if (!context_.cluster.jobs[j]) continue;
+        auto& job = *context_.cluster.jobs[j];
+        job.seen_at = context_.now - std::max(0.0, wall_now() - job.submitted);
+        job.ready_at = context_.now - std::max(0.0, wall_now() - job.ready);
         check_job(j);
     }
-    cluster_.spread_needs();
+    context_.cluster.spread_needs();
     if (!inbox->events.empty())
         spdlog::info("leader: {} door records to collect", inbox->events.size());
     handle(*inbox);
-    asio::co_spawn(io_, tick_loop(self), asio::detached);
-    asio::co_spawn(io_, list_loop(self), asio::detached);
-    asio::co_spawn(io_, pending_loop(self), asio::detached);
-    while (!stopped_) {
+    asio::co_spawn(context_.io, tick_loop(self), asio::detached);
+    asio::co_spawn(context_.io, list_loop(self), asio::detached);
+    asio::co_spawn(context_.io, pending_loop(self), asio::detached);
+    while (!context_.stopped) {
         auto [ec, message] = co_await mailbox_.async_receive(asio::as_tuple(asio::use_awaitable));
         if (ec) break;
-        now_ = steady_now();
+        context_.now = steady_now();
         std::visit([this](auto& m) { handle(m); }, message);
-        if (stopped_) break;
-        if (dirty_ && now_ >= next_schedule_) schedule();
+        if (context_.stopped) break;
+        if (context_.scheduling_needed && context_.now >= next_schedule_) schedule();
         flush_stops();
         flush();
         if (on_settled_) settle();
@@ -169,15 +166,15 @@
 
 // Single records first, the head of the log among them, then its segments, page by page.
 asio::awaitable<bool> Leader::load() {
-    cluster_.clear_work();
-    state_log_.clear();
+    context_.cluster.clear_work();
+    context_.state_log.clear();
     double started = steady_now();
     size_t segments = 0;
     for (const std::string& prefix : {kRoundKey, kTypesKey, kLogKey, kSegmentPrefix, kOldJobs}) {
         std::string after;
         for (bool more = true; more;) {
-            auto page = co_await kv_.list(prefix, after, kSegmentsAPage, 3);
-            if (stopped_) co_return false;
+            auto page = co_await context_.kv.list(prefix, after, kSegmentsAPage, 3);
+            if (context_.stopped) co_return false;
             if (!page) {
                 if (page.outcome == KvOutcome::Unknown)
                     spdlog::info("leader: loading waits for the state service");
@@ -188,17 +185,17 @@
                 after = item.key;
                 try {
                     if (item.key == kRoundKey) {
-                        state_log_.load_note(item.key, item.version);
+                        context_.state_log.load_note(item.key, item.version);
                         rounds_ = read::count(read::object(item.value), "number", 0);
                     } else if (item.key == kTypesKey) {
-                        state_log_.load_note(item.key, item.version);
+                        context_.state_log.load_note(item.key, item.version);
                         recorded_types_ = boost::json::serialize(item.value);
-                        if (!cluster_.types_known)
-                            cluster_.set_types(parse_machine_types(recorded_types_));
+                        if (!context_.cluster.types_known)
+                            context_.cluster.set_types(parse_machine_types(recorded_types_));
                     } else if (item.key == kLogKey) {
-                        state_log_.load_head(item);
+                        context_.state_log.load_head(item);
                     } else if (prefix == kSegmentPrefix) {
-                        state_log_.load_segment(item, steady_now());
+                        context_.state_log.load_segment(item, steady_now());
                         ++segments;
                     } else if (prefix == kOldJobs) {
                         throw BadMessage(
@@ -213,39 +210,39 @@
             }
         }
     }
-    state_log_.loaded(steady_now());
+    context_.state_log.loaded(steady_now());
     spdlog::info("leader: read {} segments in {:.2f}s", segments, steady_now() - started);
     co_return true;
 }
 
 asio::awaitable<void> Leader::tick_loop(std::shared_ptr<Leader> self) {
     (void)self;
-    while (!stopped_) {
+    while (!context_.stopped) {
         co_await sleep_s(0.1);
-        post(Tick{});
+        post(TimerTick{});
     }
 }
 
-void Leader::handle(Tick&) {
+void Leader::handle(TimerTick&) {
     release_held(true);
     adopt_pending();
-    if (now_ >= next_check_) {
-        next_check_ = now_ + 0.5;
+    if (context_.now >= next_check_) {
+        next_check_ = context_.now + 0.5;
         check_machines();
         repeat_stops();
     }
-    if (now_ >= next_round_) {
-        next_round_ = now_ + properties_.preemption_round_s;
+    if (context_.now >= next_round_) {
+        next_round_ = context_.now + context_.properties.preemption_round_s;
         preempt();
     }
-    if (now_ >= next_autoscale_) {
-        next_autoscale_ = now_ + 1.0;
-        if (properties_.overload_enabled) forecast_.observe(cluster_, now_);
+    if (context_.now >= next_autoscale_) {
+        next_autoscale_ = context_.now + 1.0;
+        if (context_.properties.overload_enabled) forecast_.observe(context_.cluster, context_.now);
         autoscale();
-        if (spdlog::should_log(spdlog::level::debug) && now_ >= next_capacity_log_) {
-            next_capacity_log_ = now_ + kAccount_s;
-            spdlog::debug("room: {}",
-                          capacity_text(capacity_breakdown(cluster_, usable_now(), now_)));
+        if (spdlog::should_log(spdlog::level::debug) && context_.now >= next_capacity_log_) {
+            next_capacity_log_ = context_.now + kAccount_s;
+            spdlog::debug("room: {}", capacity_text(capacity_breakdown(
+                                          context_.cluster, usable_now(), context_.now)));
             for (auto& [key, q] : forecast_.queues())
                 if (q.jobs > 0)
                     spdlog::debug(
@@ -253,11 +250,11 @@
                         "use, "
                         "{:.0f} left, "
                         "drains in {:.0f}s of {:.0f}s",
-                        cluster_.names.classes.name(key.job_class),
-                        cluster_.names.teams.name(key.team), q.jobs, q.abandoning, q.in_use, q.left,
-                        q.drain_s, q.within_s);
+                        context_.cluster.names.classes.name(key.job_class),
+                        context_.cluster.names.teams.name(key.team), q.jobs, q.abandoning, q.in_use,
+                        q.left, q.drain_s, q.within_s);
         }
-        dirty_ = true;  // back-offs and quarantines end with time alone
+        context_.scheduling_needed = true;  // back-offs and quarantines end with time alone
     }
 }
 
@@ -265,12 +262,12 @@
 
 void Leader::transfer_leadership(std::function<void()> settled) {
     if (!ready_) return settled();
-    post(TransferLeadership{std::move(settled)});
+    post(TransferRequested{std::move(settled)});
 }
 
-void Leader::handle(TransferLeadership& m) {
+void Leader::handle(TransferRequested& m) {
     on_settled_ = std::move(m.settled);
-    settle_deadline_ = now_ + kSettle_s;
+    settle_deadline_ = context_.now + kSettle_s;
     // What users asked for goes on to the next leader, as at any end of a tenure: it is under way
     // or asked again.
     ready_ = false;
@@ -279,7 +276,7 @@
 // Records that are under way or waiting are written first: the next leader would else do the work
 // again.
 void Leader::settle() {
-    if ((flushing_ || state_log_.waiting()) && now_ < settle_deadline_) return;
+    if ((flushing_ || context_.state_log.waiting()) && context_.now < settle_deadline_) return;
     auto settled = std::exchange(on_settled_, nullptr);
     settled();
 }
@@ -287,47 +284,50 @@
 // ---- decisions ----
 
 void Leader::schedule() {
-    next_schedule_ = now_ + properties_.scheduling_pause_s;
+    next_schedule_ = context_.now + context_.properties.scheduling_pause_s;
     if (!may_decide()) return;
-    dirty_ = false;
+    context_.scheduling_needed = false;
     ++passes_;
     std::vector<Index> late;
-    if (properties_.overload_enabled)
-        late = jobs_near_start_deadline(cluster_, properties_.start_deadline_s, now_);
-    place_waiting(cluster_, usable_now(), now_, kMaxPlaced,
-                  planned_headroom(cluster_, autoscaler_settings(), now_), late);
+    if (context_.properties.overload_enabled)
+        late = jobs_near_start_deadline(context_.cluster, context_.properties.start_deadline_s,
+                                        context_.now);
+    place_waiting(context_.cluster, usable_now(), context_.now, kMaxPlaced,
+                  planned_headroom(context_.cluster, autoscaler_settings(), context_.now), late);
     // For one gang at a time, the one that waits the longest.
     auto gang = std::find_if(late.begin(), late.end(), [&](Index j) {
-        return cluster_.jobs[j]->spec.kind == JobKind::Gang && cluster_.jobs[j]->placed == 0;
+        return context_.cluster.jobs[j]->spec.kind == JobKind::Gang &&
+               context_.cluster.jobs[j]->placed == 0;
     });
     if (gang == late.end()) return;
-    for (auto i : machines_for_gang(cluster_, usable_now(), *gang, now_)) {
-        cluster_.machines[i]->reserved_for = *gang;
-        cluster_.machines[i]->reserved_until = now_ + kGather_s;
+    for (auto i : machines_for_gang(context_.cluster, usable_now(), *gang, context_.now)) {
+        context_.cluster.machines[i]->reserved_for = *gang;
+        context_.cluster.machines[i]->reserved_until = context_.now + kGather_s;
     }
 }
 
 void Leader::preempt() {
     if (!may_decide()) return;
-    auto round = plan_preemption(cluster_, usable_now(), now_);
+    auto round = plan_preemption(context_.cluster, usable_now(), context_.now);
     if (round.clearings.empty()) return;
     ++rounds_;
-    metrics_.count("preemption_rounds_total");
-    metrics_.count("preemption_stops_total", round.stops.size());
-    state_log_.note(kRoundKey, round_record(round, cluster_, rounds_));
+    context_.metrics.count("preemption_rounds_total");
+    context_.metrics.count("preemption_stops_total", round.stops.size());
+    context_.state_log.note(kRoundKey, round_record(round, context_.cluster, rounds_));
     for (auto& c : round.clearings) {
         for (auto* machines : {&c.machines, &c.kept})
             for (auto i : *machines) {
-                cluster_.machines[i]->reserved_for = c.job;
-                cluster_.machines[i]->reserved_until =
-                    now_ + 2 * properties_.preemption_round_s + settings_.lease_s;
+                context_.cluster.machines[i]->reserved_for = c.job;
+                context_.cluster.machines[i]->reserved_until =
+                    context_.now + 2 * context_.properties.preemption_round_s +
+                    context_.settings.lease_s;
             }
         spdlog::info("preemption: round={} job={} machines={} kept={} stops={}", rounds_,
-                     cluster_.jobs[c.job]->spec.id, c.machines.size(), c.kept.size(),
+                     context_.cluster.jobs[c.job]->spec.id, c.machines.size(), c.kept.size(),
                      round.stops.size());
     }
     for (auto& ref : round.stops) {
-        auto& task = cluster_.jobs[ref.job]->tasks[ref.task];
+        auto& task = context_.cluster.jobs[ref.job]->tasks[ref.task];
         if (task.state == TaskState::Placed && !task.stopping) stop_task(ref.job, ref.task, true);
     }
 }
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -7,6 +7,7 @@
 #include <variant>
 
 #include "autoscaler/autoscaler.h"
+#include "controller/leader_context.h"
 #include "leadership/election.h"
 #include "metrics/metrics.h"
 #include "scheduler/overload_forecast.h"
@@ -42,14 +43,16 @@
     void stop();
 
     bool ready() const { return ready_; }
-    bool lease_valid(double now) const { return !term_->ended && now < term_->lease_valid_until; }
-    bool may_decide() const { return lease_valid(now_) && !on_settled_; }
-    uint64_t fencing_token() const { return term_->fencing_token; }
+    bool lease_valid(double now) const {
+        return !context_.term->ended && now < context_.term->lease_valid_until;
+    }
+    bool may_decide() const { return lease_valid(context_.now) && !on_settled_; }
+    uint64_t fencing_token() const { return context_.term->fencing_token; }
     void gauges(std::map<std::string, double>& out) const;
 
     // Settles what is under way and starts nothing more, then calls `settled`.
     void transfer_leadership(std::function<void()> settled);
-    const ClusterState& cluster() const { return cluster_; }
+    const ClusterState& cluster() const { return context_.cluster; }
     // Passes a call on to the controller with this name, for workers whose reports it relays.
     std::function<boost::asio::awaitable<bool>(std::string, PeerCall)> pass_on;
 
@@ -57,62 +60,12 @@
     boost::asio::awaitable<PeerReply> ask(PeerCall call);
 
   private:
-    using Reply = OneShot<PeerReply>;
     static const PeerReply kNotFound, kNeverRuns, kTooLong;
-    struct Asked {
-        PeerCall call;
-        Reply reply;
-        size_t bytes = 0;  // of the body, as counted in asked_bytes_
-    };
-    struct FinalRead {
-        PeerCall call;
-        Reply reply;
-        KvResult<KvItem> result;
-        PeerReply refusal;  // the answer should there be no final state
-    };
-    struct TxnDone {
-        StateLogBatch batch;
-        KvResult<uint64_t> result;
-    };
-    struct TxnUnsure {};
-    struct DependenciesRead {  // final states of jobs that a submission names
-        PeerCall call;
-        Reply reply;
-        std::vector<std::pair<std::string, FinalState>> ended;
-        std::string missing;  // was never accepted, as the state service has it
-        bool all = false;     // nothing is left to be read
-        bool adopts = false;  // for a job that a door accepted
-    };
-    struct PendingChanged {
-        std::vector<KvEvent> events;
-        bool whole = false;  // all records there are, not only what changed
-    };
-    struct TypesRead {
-        std::vector<MachineType> types;
-    };
-    struct ListRead {
-        std::vector<ListedMachine> machines;
-    };
-    struct InstancesProvisioned {
-        ScaleOutRequest rental;
-        std::vector<std::string> names;
-    };
-    struct ProvisionPassDone {};
-    struct InstancesTerminated {
-        std::vector<std::string> names;
-        bool done = false;
-    };
-    struct Tick {};
-    struct TransferLeadership {
-        std::function<void()> settled;
-    };
-    using Message = std::variant<Tick, Asked, FinalRead, DependenciesRead, TxnDone, TxnUnsure,
-                                 PendingChanged, TypesRead, ListRead, InstancesProvisioned,
-                                 ProvisionPassDone, InstancesTerminated, TransferLeadership>;
-    using Mailbox = boost::asio::experimental::channel<void(boost::system::error_code, Message)>;
+    using Mailbox =
+        boost::asio::experimental::channel<void(boost::system::error_code, LeaderMessage)>;
 
     struct Held {  // a worker's report that waits for records before it is answered
-        Reply reply;
+        ReplyPromise reply;
         uint64_t seq = 0;
         double until = 0;
         uint64_t passes = 0;  // and for this scheduling pass
@@ -128,12 +81,12 @@
     };
     boost::asio::awaitable<Applied> was_applied(const CasTransaction& txn);
     boost::asio::awaitable<void> read_final(std::shared_ptr<Leader> self, PeerCall call,
-                                            Reply reply, PeerReply refusal);
+                                            ReplyPromise reply, PeerReply refusal);
     boost::asio::awaitable<void> read_dependencies(std::shared_ptr<Leader> self, PeerCall call,
-                                                   Reply reply, std::vector<std::string> ids,
+                                                   ReplyPromise reply, std::vector<std::string> ids,
                                                    bool adopts);
     boost::asio::awaitable<KvResult<KvItem>> read_ended(std::string id, double timeout_s);
-    boost::asio::awaitable<std::optional<PendingChanged>> read_pending();
+    boost::asio::awaitable<std::optional<PendingRecordsChanged>> read_pending();
     boost::asio::awaitable<void> pending_loop(std::shared_ptr<Leader> self);
     boost::asio::awaitable<void> types_loop(std::shared_ptr<Leader> self);
     boost::asio::awaitable<void> list_loop(std::shared_ptr<Leader> self);
@@ -148,23 +101,23 @@
                                                                  std::string body,
                                                                  double timeout_s);
 
-    void post(Message m);
-    void handle(Asked& m);
-    void handle(FinalRead& m);
+    void post(LeaderMessage m);
+    void handle(RequestReceived& m);
+    void handle(FinalStateRead& m);
     void handle(DependenciesRead& m);
-    void handle(TxnDone& m);
-    void handle(TxnUnsure&);
-    void handle(PendingChanged& m);
-    void handle(TypesRead& m);
-    void handle(ListRead& m);
-    void handle(InstancesProvisioned& m);
-    void handle(ProvisionPassDone&);
-    void handle(InstancesTerminated& m);
-    void handle(Tick&);
-    void handle(TransferLeadership& m);
+    void handle(TransactionFinished& m);
+    void handle(TransactionOutcomeUnknown&);
+    void handle(PendingRecordsChanged& m);
+    void handle(MachineTypesRead& m);
+    void handle(MachineListRead& m);
+    void handle(MachinesProvisioned& m);
+    void handle(ScaleOutFinished&);
+    void handle(MachinesTerminated& m);
+    void handle(TimerTick&);
+    void handle(TransferRequested& m);
     void settle();
 
-    void submit(PeerCall& call, Reply& reply);
+    void submit(PeerCall& call, ReplyPromise& reply);
     // What a new job waits for, as far as this leader knows.
     struct Dependence {
         std::vector<Index> on;
@@ -176,8 +129,8 @@
     Dependence resolve(const JobSpec& spec) const;
     Index add_new_job(JobSpec spec, const Dependence& depends, double submitted);
     // Nothing: the submission is answered, now or later.
-    std::optional<Dependence> dependence(PeerCall& call, Reply& reply, const JobSpec& spec);
-    void refuse_for_good(PeerCall& call, Reply& reply, const std::string& id,
+    std::optional<Dependence> dependence(PeerCall& call, ReplyPromise& reply, const JobSpec& spec);
+    void refuse_for_good(PeerCall& call, ReplyPromise& reply, const std::string& id,
                          PeerReply refusal = kNeverRuns);
     void check_cancelled(const std::vector<Index>& jobs);
 
@@ -206,10 +159,10 @@
     uint64_t pending_version(const std::string& id) const;
     std::optional<FinalState> final_state(const KvItem& item) const;
     void drop_new_job(Index job);
-    void status(PeerCall& call, Reply& reply);
-    void cancel(PeerCall& call, Reply& reply);
+    void status(PeerCall& call, ReplyPromise& reply);
+    void cancel(PeerCall& call, ReplyPromise& reply);
     void ask_cancel(Index job);
-    void heartbeat(PeerCall& call, Reply& reply);
+    void heartbeat(PeerCall& call, ReplyPromise& reply);
     void apply_heartbeat(Machine& m, Index index, const Heartbeat& r);
     void apply_task_status(Machine& m, Index index, const TaskStatus& t);
     void task_exited(Index job, uint32_t task, Index machine, const TaskStatus& t);
@@ -220,7 +173,7 @@
     void stop_task(Index job, uint32_t task, bool graceful);
     void drain(Index machine, double interruption_notice_s);
     void respond_to_heartbeat(Index machine, Held& held);
-    bool renew_lease(Reply& reply, const std::vector<Command>& commands);
+    bool renew_lease(ReplyPromise& reply, const std::vector<Command>& commands);
     void release_held(bool due_only);
     bool unsettled(const Machine& m) const;
     void machine_gone(Index machine, const char* why);
@@ -239,9 +192,11 @@
         return [this](const Machine& m) { return usable(m); };
     }
     // Without a report for this long a machine is taken for silent: nothing new is placed there.
-    double silence_s() const { return 2.2 * settings_.heartbeat_interval_s + 1; }
+    double silence_s() const { return 2.2 * context_.settings.heartbeat_interval_s + 1; }
     // Unsure of the lease for so long that reports may not be answered any more.
-    bool past_grace() const { return now_ > term_->lease_valid_until + answering_grace(settings_); }
+    bool past_grace() const {
+        return context_.now > context_.term->lease_valid_until + answering_grace(context_.settings);
+    }
     bool may_tell(const Job& job) const;
     bool kv_unavailable() const;
     JobState job_state(const Job& job) const;
@@ -252,21 +207,12 @@
     PeerReply come_back(int seconds = 1) const;
     PeerReply undecided() const;  // a door may serve instead
 
-    boost::asio::io_context& io_;
-    const Settings& settings_;
-    const Properties& properties_;
-    KvClient& kv_;
+    LeaderContext context_;
     HttpClient cloud_;
-    Metrics& metrics_;
-    std::shared_ptr<LeadershipTerm> term_;
     Mailbox mailbox_;
-    ClusterState cluster_;
-    StateLog state_log_;
     Forecast forecast_;
-    std::mt19937_64 random_;
     size_t asked_ = 0, asked_bytes_ = 0;  // requests in the mailbox
-    bool ready_ = false, stopped_ = false;
-    double now_ = 0;
+    bool ready_ = false;
     std::function<void()> on_settled_;  // handing over: called once nothing is under way
     double settle_deadline_ = 0;
 
@@ -274,15 +220,14 @@
     double cloud_pause_until_ = 0;
     bool flushing_ = false;
     double flush_not_before_ = 0, kv_failed_at_ = -1e9, kv_succeeded_at_ = 0;
-    std::map<std::string, std::vector<std::pair<PeerOp, Reply>>> waiters_;  // by job id
-    std::map<Index, Held> held_;                                            // by machine
+    std::map<std::string, std::vector<std::pair<PeerOp, ReplyPromise>>> waiters_;  // by job id
+    std::map<Index, Held> held_;                                                   // by machine
     std::map<Index, std::vector<Command>> direct_;  // stops to send, by machine
     std::map<std::string, PendingEntry> pending_;   // by job id
     uint64_t pending_revision_ = 0;
     std::unordered_map<std::string, FinalState> finals_;
     std::deque<std::string> finals_order_;
 
-    bool dirty_ = true;  // something changed that scheduling should look at
     double next_schedule_ = 0, next_round_ = 0, next_check_ = 0, next_autoscale_ = 0,
            next_drain_ = 0, next_capacity_log_ = 0, next_warning_ = 0, next_stops_ = 0;
     size_t stops_cursor_ = 0;  // machines are told in turn
--- a/src/controller/leader_adoption.cpp
+++ b/src/controller/leader_adoption.cpp
@@ -21,13 +21,13 @@
 constexpr double kWatch_s = 10;
 }  // namespace
 
-asio::awaitable<std::optional<Leader::PendingChanged>> Leader::read_pending() {
-    PendingChanged read;
+asio::awaitable<std::optional<PendingRecordsChanged>> Leader::read_pending() {
+    PendingRecordsChanged read;
     read.whole = true;
     std::string after;
     for (bool more = true; more;) {
-        auto page = co_await kv_.list(kPendingPrefix, after, kRecordsAPage, 3);
-        if (stopped_ || !page) co_return std::nullopt;
+        auto page = co_await context_.kv.list(kPendingPrefix, after, kRecordsAPage, 3);
+        if (context_.stopped || !page) co_return std::nullopt;
         if (after.empty()) pending_revision_ = page.value.revision;
         more = page.value.more && !page.value.items.empty();
         if (more) after = page.value.items.back().key;
@@ -39,13 +39,13 @@
 // What was read is posted, so that the records change between messages only.
 asio::awaitable<void> Leader::pending_loop(std::shared_ptr<Leader> self) {
     (void)self;
-    while (!stopped_) {
-        auto watched = co_await kv_.watch(kPendingPrefix, pending_revision_, kWatch_s);
-        if (stopped_) co_return;
+    while (!context_.stopped) {
+        auto watched = co_await context_.kv.watch(kPendingPrefix, pending_revision_, kWatch_s);
+        if (context_.stopped) co_return;
         if (watched) {
             pending_revision_ = std::max(pending_revision_, watched.value.revision);
             if (!watched.value.events.empty())
-                post(PendingChanged{std::move(watched.value.events)});
+                post(PendingRecordsChanged{std::move(watched.value.events)});
             continue;
         }
         // Too old to be told on: all records are read again. Never without a pause, as any other
@@ -68,7 +68,7 @@
     }
 }
 
-void Leader::handle(PendingChanged& m) {
+void Leader::handle(PendingRecordsChanged& m) {
     if (m.whole) {
         std::set<std::string> there;
         for (auto& e : m.events) there.insert(e.item.key);
@@ -93,16 +93,16 @@
 }
 
 void Leader::adopt_pending() {
-    if (pending_.empty() || !lease_valid(now_)) return;
+    if (pending_.empty() || !lease_valid(context_.now)) return;
     for (auto& [id, in] : pending_) {
-        if (state_log_.submissions() >= kCollectAtOnce) return;
-        if (in.step == PendingEntry::Step::Waiting && now_ >= in.not_before) adopt(id, in);
+        if (context_.state_log.submissions() >= kCollectAtOnce) return;
+        if (in.step == PendingEntry::Step::Waiting && context_.now >= in.not_before) adopt(id, in);
     }
 }
 
 void Leader::adopt(const std::string& id, PendingEntry& in) {
-    if (auto it = cluster_.job_index.find(id); it != cluster_.job_index.end()) {
-        auto& job = *cluster_.jobs[it->second];
+    if (auto it = context_.cluster.job_index.find(id); it != context_.cluster.job_index.end()) {
+        auto& job = *context_.cluster.jobs[it->second];
         if (job.version == 0) return;  // on its way to be recorded
         if (!in.record.cancelled || job.cancel_recorded) return forget(id);
         // Cancelled by a door. Its record goes only once the log tells it, so that no request is
@@ -114,7 +114,7 @@
     if (finals_.count(id) || !in.record.accepted()) return forget(id);
     JobSpec spec;
     try {
-        spec = parse_submission(in.record.job, cluster_.names);
+        spec = parse_submission(in.record.job, context_.cluster.names);
         if (spec.team == kNone) read::bad("job.team");
         if (spec.id != id) read::bad("job.name_id");
     } catch (const BadMessage& e) {
@@ -127,20 +127,20 @@
     if (!depends.unread.empty()) {
         in.step = PendingEntry::Step::Reading;
         PeerCall call{PeerOp::Submit, id, ""};
-        asio::co_spawn(
-            io_,
-            read_dependencies(shared_from_this(), std::move(call), Reply(io_.get_executor()),
-                              std::move(depends.unread), true),
-            asio::detached);
+        asio::co_spawn(context_.io,
+                       read_dependencies(shared_from_this(), std::move(call),
+                                         ReplyPromise(context_.io.get_executor()),
+                                         std::move(depends.unread), true),
+                       asio::detached);
         return;
     }
     depends.cancelled = depends.cancelled || in.record.cancelled;
     auto index = add_new_job(std::move(spec), depends, in.record.at);
     // Doors open only where all controllers collect, so all can read a record in pieces.
-    state_log_.allow_pieces();
-    state_log_.new_job(index, in.version);
+    context_.state_log.allow_pieces();
+    context_.state_log.new_job(index, in.version);
     in.step = PendingEntry::Step::Telling;
-    metrics_.count("door_jobs_collected_total");
+    context_.metrics.count("door_jobs_collected_total");
 }
 
 // The dependencies of a door's job were read.
@@ -149,12 +149,12 @@
     if (it == pending_.end() || it->second.step != PendingEntry::Step::Reading) return;
     it->second.step = PendingEntry::Step::Waiting;
     if (m.missing.empty()) {
-        if (!m.all) it->second.not_before = now_ + kAgain_s;
+        if (!m.all) it->second.not_before = context_.now + kAgain_s;
         return adopt_pending();
     }
     // The door saw that it was accepted, so this can't be; what was accepted is never refused.
     spdlog::error("leader: {} waits for {}, which was never accepted", m.call.subject, m.missing);
-    it->second.not_before = now_ + kMissing_s;
+    it->second.not_before = context_.now + kMissing_s;
 }
 
 // The log, or a final state, stands for the record.
@@ -162,7 +162,7 @@
     auto it = pending_.find(id);
     if (it == pending_.end() || it->second.step == PendingEntry::Step::Forgetting) return;
     it->second.step = PendingEntry::Step::Forgetting;
-    state_log_.forget(pending_key(id), it->second.version);
+    context_.state_log.forget(pending_key(id), it->second.version);
 }
 
 uint64_t Leader::pending_version(const std::string& id) const {
@@ -179,7 +179,7 @@
     auto it = pending_.find(id);
     if (it == pending_.end() || it->second.step != PendingEntry::Step::Telling) return;
     it->second.step = PendingEntry::Step::Waiting;
-    it->second.not_before = recorded ? 0 : now_ + kAgain_s;
+    it->second.not_before = recorded ? 0 : context_.now + kAgain_s;
 }
 
 void Leader::forgotten(const StateLogEntry& e) {
--- /dev/null
+++ b/src/controller/leader_context.h
@@ -0,0 +1,57 @@
+// What the parts of one leadership term share. Owned by Leader and used on its executor only;
+// between two messages of the leader's mailbox nobody changes it.
+#pragma once
+#include <boost/asio/io_context.hpp>
+#include <functional>
+#include <memory>
+#include <random>
+
+#include "config/settings.h"
+#include "controller/leader_messages.h"
+#include "leadership/election.h"
+#include "metrics/metrics.h"
+#include "state/cluster_state.h"
+#include "state/state_log.h"
+#include "storage/kv_client.h"
+
+namespace weirmill {
+
+struct LeaderContext {
+    LeaderContext(boost::asio::io_context& io_context, const Settings& platform_settings,
+                  const Properties& operator_properties, KvClient& kv_client, Metrics& node_metrics,
+                  std::shared_ptr<LeadershipTerm> leadership_term)
+        : io(io_context),
+          settings(platform_settings),
+          properties(operator_properties),
+          kv(kv_client),
+          metrics(node_metrics),
+          term(std::move(leadership_term)),
+          cluster(settings),
+          state_log(cluster, term->fencing_token, {settings.txn_ops, settings.value_kb}),
+          random(std::random_device{}()) {}
+    LeaderContext(const LeaderContext&) = delete;  // the log refers to the cluster state
+    LeaderContext& operator=(const LeaderContext&) = delete;
+
+    boost::asio::io_context& io;
+    const Settings& settings;
+    const Properties& properties;
+    KvClient& kv;
+    Metrics& metrics;
+    std::shared_ptr<LeadershipTerm> term;
+    ClusterState cluster;
+    StateLog state_log;
+    std::mt19937_64 random;
+    double now = 0;                 // steady clock, seconds; set as each message is taken
+    bool scheduling_needed = true;  // something changed that the next scheduling pass looks at
+    bool stopped = false;           // the term is over: nothing is answered or sent any more
+
+    // Puts a message into the leader's mailbox.
+    std::function<void(LeaderMessage)> post;
+    // Keeps the leader, and with it this context, alive for as long as a coroutine holds it.
+    std::function<std::shared_ptr<void>()> keep_alive;
+
+    // This controller is the leader for certain, at the time of the current message.
+    [[nodiscard]] bool lease_valid() const { return !term->ended && now < term->lease_valid_until; }
+};
+
+}  // namespace weirmill
--- a/src/controller/leader_records.cpp
+++ b/src/controller/leader_records.cpp
@@ -22,23 +22,24 @@
 }  // namespace
 
 void Leader::flush() {
-    if (flushing_ || now_ < flush_not_before_ || !lease_valid(now_) || !state_log_.waiting())
+    if (flushing_ || context_.now < flush_not_before_ || !lease_valid(context_.now) ||
+        !context_.state_log.waiting())
         return;
-    double budget = writes_.available(now_);
+    double budget = writes_.available(context_.now);
     // The end of a job takes up to three changes (a final state, the open segment and one more);
     // less than that is left to users alone.
-    if (budget < (state_log_.urgent() ? 1 : 3)) return;
-    auto batch = state_log_.next(static_cast<int>(budget));
+    if (budget < (context_.state_log.urgent() ? 1 : 3)) return;
+    auto batch = context_.state_log.next(static_cast<int>(budget));
     if (batch.empty()) return;
     writes_.take(static_cast<double>(batch.txn.changes.size()));
     mark_ends(batch, true);
     flushing_ = true;
-    asio::co_spawn(io_, commit(shared_from_this(), std::move(batch)), asio::detached);
+    asio::co_spawn(context_.io, commit(shared_from_this(), std::move(batch)), asio::detached);
 }
 
 void Leader::mark_ends(const StateLogBatch& batch, bool sent) {
     for (auto& e : batch.entries)
-        if (e.kind == EntryKind::Finish) cluster_.jobs[e.job]->end_sent = sent;
+        if (e.kind == EntryKind::Finish) context_.cluster.jobs[e.job]->end_sent = sent;
 }
 
 // Whether a transaction without an answer was applied. Its keys say so: nobody else may write them,
@@ -48,27 +49,26 @@
                               [](auto& c) { return !c.value.empty(); });
     bool deletes = write == txn.changes.end();
     auto& change = deletes ? txn.changes.front() : *write;
-    auto item = co_await kv_.get(change.key, kCall_s);
+    auto item = co_await context_.kv.get(change.key, kCall_s);
     if (!item) co_return Applied{item.outcome == KvOutcome::Missing, deletes, 0};
     if (deletes) co_return Applied{true, false, 0};
     uint64_t expected = 0;
     for (auto& c : txn.conditions)
         if (c.key == change.key) expected = c.version;
-    bool placed_this_term =
-        item.value.version != expected && item.value.value == read::parse(change.value);
-    co_return Applied{true, placed_this_term, item.value.version};
+    bool applied = item.value.version != expected && item.value.value == read::parse(change.value);
+    co_return Applied{true, applied, item.value.version};
 }
 
 // One transaction at a time, until its outcome is known.
 asio::awaitable<void> Leader::commit(std::shared_ptr<Leader> self, StateLogBatch batch) {
     bool unsure = false;
-    for (double pause = 0.1; !stopped_; pause = std::min(1.0, pause * 1.7)) {
-        auto result = co_await kv_.txn(batch.txn, kCall_s);
-        if (stopped_) co_return;
+    for (double pause = 0.1; !context_.stopped; pause = std::min(1.0, pause * 1.7)) {
+        auto result = co_await context_.kv.txn(batch.txn, kCall_s);
+        if (context_.stopped) co_return;
         bool refused_late = unsure && result.outcome == KvOutcome::Invalid;
         bool open = result.outcome == KvOutcome::Unknown ||
                     (unsure && result.outcome == KvOutcome::Refused);
-        if (open && !unsure) post(TxnUnsure{});
+        if (open && !unsure) post(TransactionOutcomeUnknown{});
         unsure = unsure || open;
         if (open || refused_late ||
             (unsure && result.outcome == KvOutcome::Conflict && !names_leader(result.failed))) {
@@ -76,9 +76,10 @@
             // where no copy is answered, the first may have been carried out long ago, and others
             // tell users of it.
             auto applied = co_await was_applied(batch.txn);
-            if (stopped_) co_return;
+            if (context_.stopped) co_return;
             if (!applied.known || (open && !applied.yes)) {
-                co_await sleep_s(pause * std::uniform_real_distribution<double>(0.7, 1.3)(random_));
+                co_await sleep_s(pause *
+                                 std::uniform_real_distribution<double>(0.7, 1.3)(context_.random));
                 continue;
             }
             if (applied.yes) {
@@ -91,11 +92,11 @@
                 // transaction, and it would have put older ones behind them. A later leader's token
                 // makes it void.
                 spdlog::error("state: no answer, then refused as malformed: starting over");
-                term_->ended = true;
+                context_.term->ended = true;
                 co_return;
             }
         }
-        post(TxnDone{std::move(batch), std::move(result)});
+        post(TransactionFinished{std::move(batch), std::move(result)});
         co_return;
     }
     (void)self;
@@ -103,63 +104,64 @@
 
 // A submission that is not accepted after all.
 void Leader::drop_new_job(Index j) {
-    auto on = cluster_.dependencies().of(j);
-    cluster_.remove_job(j, now_);
+    auto on = context_.cluster.dependencies().of(j);
+    context_.cluster.remove_job(j, context_.now);
     check_cancelled(on);
 }
 
 // Users are not kept waiting for an outcome that may take long.
-void Leader::handle(TxnUnsure&) {
-    kv_failed_at_ = now_;
+void Leader::handle(TransactionOutcomeUnknown&) {
+    kv_failed_at_ = context_.now;
     for (auto& [id, list] : waiters_)
         for (auto& [op, reply] : list) reply.set(undecided());
 }
 
-void Leader::handle(TxnDone& m) {
+void Leader::handle(TransactionFinished& m) {
     flushing_ = false;
     if (m.result.outcome == KvOutcome::Ok) {
-        kv_succeeded_at_ = now_;
+        kv_succeeded_at_ = context_.now;
         // What one transaction could not take of a burst of submissions goes with the next at once.
-        bool burst = state_log_.submissions() >= static_cast<size_t>(settings_.txn_ops);
-        flush_not_before_ = now_ + (burst ? 0 : kFlushPause_s);
-        metrics_.count("transactions_total");
-        state_log_.committed(m.batch, m.result.value);
+        bool burst =
+            context_.state_log.submissions() >= static_cast<size_t>(context_.settings.txn_ops);
+        flush_not_before_ = context_.now + (burst ? 0 : kFlushPause_s);
+        context_.metrics.count("transactions_total");
+        context_.state_log.committed(m.batch, m.result.value);
         for (auto& e : m.batch.entries) {
             if (e.kind == EntryKind::NewJob) {
-                auto& job = *cluster_.jobs[e.job];
+                auto& job = *context_.cluster.jobs[e.job];
                 answer_waiters(job.spec.id, job_reply(job, PeerOp::Submit, 201));
                 adoption_recorded(job.spec.id, true);
                 spdlog::debug("job: {} class={} tasks={} accepted, waits for {}", job.spec.id,
-                              cluster_.names.classes.name(job.spec.job_class), job.spec.tasks,
-                              cluster_.dependencies().of(e.job).size());
-                dirty_ = true;
+                              context_.cluster.names.classes.name(job.spec.job_class),
+                              job.spec.tasks, context_.cluster.dependencies().of(e.job).size());
+                context_.scheduling_needed = true;
                 if (job.cancelled) {
                     check_job(e.job);
-                    check_cancelled(cluster_.dependencies().of(e.job));
+                    check_cancelled(context_.cluster.dependencies().of(e.job));
                 }
             } else if (e.kind == EntryKind::Cancel) {
-                auto& job = *cluster_.jobs[e.job];
+                auto& job = *context_.cluster.jobs[e.job];
                 // Before its user is told: from then on they are cancelled too.
-                for (auto d : cluster_.cancel_dependants(e.job))
-                    if (cluster_.jobs[d]->version != 0)
-                        state_log_.cancel(d);  // a new one's record says so itself
+                for (auto d : context_.cluster.cancel_dependants(e.job))
+                    if (context_.cluster.jobs[d]->version != 0)
+                        context_.state_log.cancel(d);  // a new one's record says so itself
                 spdlog::debug("job: {} cancellation recorded, {} tasks placed", job.spec.id,
                               job.placed);
                 answer_waiters(job.spec.id, job_reply(job, PeerOp::Cancel, 200));
                 check_job(e.job);
-                check_cancelled(cluster_.dependencies().of(e.job));
+                check_cancelled(context_.cluster.dependencies().of(e.job));
             } else if (e.kind == EntryKind::Finish) {
-                auto& job = *cluster_.jobs[e.job];
+                auto& job = *context_.cluster.jobs[e.job];
                 auto id = job.spec.id;
                 remember_final(id, e.ended);
                 answer_waiters(id, final_reply(id, e.ended, PeerOp::Cancel));
-                auto on = cluster_.dependencies().of(e.job);
-                auto dependants = cluster_.dependencies().dependants(e.job);
-                cluster_.remove_job(e.job, now_);
+                auto on = context_.cluster.dependencies().of(e.job);
+                auto dependants = context_.cluster.dependencies().dependants(e.job);
+                context_.cluster.remove_job(e.job, context_.now);
                 for (auto d : dependants) {
-                    dirty_ = true;
-                    if (!cluster_.jobs[d]->waits && !cluster_.jobs[d]->cancelled)
-                        spdlog::debug("job: {} ready", cluster_.jobs[d]->spec.id);
+                    context_.scheduling_needed = true;
+                    if (!context_.cluster.jobs[d]->waits && !context_.cluster.jobs[d]->cancelled)
+                        spdlog::debug("job: {} ready", context_.cluster.jobs[d]->spec.id);
                 }
                 check_cancelled(on);
                 spdlog::debug("job: {} {}", id,
@@ -174,7 +176,7 @@
     bool deposed = names_leader(m.result.failed);
     if (deposed) {
         spdlog::info("leader: deposed, a transaction found another leader");
-        term_->ended = true;
+        context_.term->ended = true;
         return;
     }
     std::vector<std::pair<Index, uint64_t>> again;  // with the versions of their door records
@@ -190,7 +192,7 @@
                 e.key.clear();
             }
             if (e.kind != EntryKind::NewJob) continue;
-            auto id = cluster_.jobs[e.job]->spec.id;
+            auto id = context_.cluster.jobs[e.job]->spec.id;
             bool ended = stands(final_key(id)), is_pending = stands(pending_key(id));
             if (!ended && !is_pending) {
                 again.emplace_back(e.job, pending_version(id));
@@ -202,39 +204,41 @@
             ended ? forget(id) : adoption_recorded(id, false);
             for (auto& [op, reply] : waiting)
                 asio::co_spawn(
-                    io_, read_final(shared_from_this(), PeerCall{op, id, ""}, reply, kNotFound),
+                    context_.io,
+                    read_final(shared_from_this(), PeerCall{op, id, ""}, reply, kNotFound),
                     asio::detached);
         }
         if (!failed.empty()) {
             spdlog::error("leader: records differ from the tables at {}: starting over",
                           failed.front());
-            term_->ended = true;
+            context_.term->ended = true;
             return;
         }
     } else {
         // Not executed. Users are told at once; all the rest is tried again.
-        kv_failed_at_ = now_;
+        kv_failed_at_ = context_.now;
         for (auto& e : m.batch.entries) {
             if (e.kind == EntryKind::NewJob) {
-                auto id = cluster_.jobs[e.job]->spec.id;
+                auto id = context_.cluster.jobs[e.job]->spec.id;
                 answer_waiters(id, come_back());
                 drop_new_job(e.job);
                 adoption_recorded(id, false);
             } else if (e.kind == EntryKind::Cancel) {
-                answer_waiters(cluster_.jobs[e.job]->spec.id, come_back());
+                answer_waiters(context_.cluster.jobs[e.job]->spec.id, come_back());
             }
         }
         // Malformed, as it is well-formed: larger than the state service takes. The same text would
         // be refused for ever, and with it all that waits to be recorded.
-        if (m.result.outcome == KvOutcome::Invalid && state_log_.shrink())
+        if (m.result.outcome == KvOutcome::Invalid && context_.state_log.shrink())
             spdlog::error(
                 "state: a transaction was refused as malformed, the next ones are smaller");
         m.result.too_fast ? writes_.too_fast() : writes_.drain();
-        flush_not_before_ = now_ + std::uniform_real_distribution<double>(0.2, 0.5)(random_);
+        flush_not_before_ =
+            context_.now + std::uniform_real_distribution<double>(0.2, 0.5)(context_.random);
     }
     mark_ends(m.batch, false);
-    state_log_.rejected(m.batch);
-    for (auto& [j, standby] : again) state_log_.new_job(j, standby);
+    context_.state_log.rejected(m.batch);
+    for (auto& [j, standby] : again) context_.state_log.new_job(j, standby);
 }
 
 }  // namespace weirmill
--- a/src/controller/leader_tasks.cpp
+++ b/src/controller/leader_tasks.cpp
@@ -25,19 +25,21 @@
 }
 
 void Leader::task_exited(Index j, uint32_t t, Index machine, const TaskStatus& r) {
-    auto& job = *cluster_.jobs[j];
-    auto& m = *cluster_.machines[machine];
+    auto& job = *context_.cluster.jobs[j];
+    auto& m = *context_.cluster.machines[machine];
     bool gang = job.spec.kind == JobKind::Gang;
     bool was_graceful = job.tasks[t].graceful;
-    dirty_ = true;
+    context_.scheduling_needed = true;
     if (r.cause == ExitCause::Done && job.spec.kind != JobKind::Service) {
         m.faulty_jobs.clear();
         m.faults = 0;
-        if (ran_whole(job.tasks[t])) cluster_.learn_run(job.spec, now_ - job.tasks[t].running_at);
+        if (ran_whole(job.tasks[t]))
+            context_.cluster.learn_run(job.spec, context_.now - job.tasks[t].running_at);
         if (gang) {  // if one task is done, every one is
-            for (uint32_t i = 0; i < job.tasks.size(); ++i) cluster_.finish(j, i, now_);
+            for (uint32_t i = 0; i < job.tasks.size(); ++i)
+                context_.cluster.finish(j, i, context_.now);
         } else {
-            cluster_.finish(j, t, now_);
+            context_.cluster.finish(j, t, context_.now);
         }
         check_job(j);
         return;
@@ -45,10 +47,10 @@
     if (r.cause != ExitCause::Stopped)
         spdlog::info("task: {}/{} attempt={} exited on {} cause={}", job.spec.id, t, r.attempt,
                      m.name, static_cast<int>(r.cause));
-    cluster_.unassign(j, t, now_);
+    context_.cluster.unassign(j, t, context_.now);
     if (r.cause == ExitCause::Error) task_failed(j, machine);
     if (r.cause == ExitCause::NoRoom || r.cause == ExitCause::Busy || r.cause == ExitCause::Unknown)
-        job.not_before = std::max(job.not_before, now_ + 1.0);
+        job.not_before = std::max(job.not_before, context_.now + 1.0);
     if (gang) end_gang(j, was_graceful, r.cause == ExitCause::Alone);
     check_job(j);
 }
@@ -56,8 +58,8 @@
 // A machine that fails different jobs is sick; a job that fails on different machines is at fault
 // itself.
 void Leader::task_failed(Index j, Index machine) {
-    auto& job = *cluster_.jobs[j];
-    auto& m = *cluster_.machines[machine];
+    auto& job = *context_.cluster.jobs[j];
+    auto& m = *context_.cluster.machines[machine];
     ++job.failures;
     ++m.faults;
     job.failed_on.insert(machine);
@@ -65,34 +67,34 @@
     bool job_works = job.done > 0 || job.running > 0;
     if (job.failed_on.size() >= 2 && !job_works && m.faulty_jobs.size() < 2) {
         job.not_before =
-            now_ +
+            context_.now +
             std::min(120.0, 2.0 * std::pow(2.0, std::min<double>(
                                                     job.failed_on.size() + job.failures / 8.0, 8)));
         for (auto i : job.failed_on) {
-            auto* other = cluster_.machines[i].get();
-            if (other && other->faulty_jobs.size() <= 1 && other->quarantined_until > now_)
+            auto* other = context_.cluster.machines[i].get();
+            if (other && other->faulty_jobs.size() <= 1 && other->quarantined_until > context_.now)
                 other->quarantined_until = 0;
         }
         spdlog::info("job: {} failed on {} machines, tried again in {:.0f}s", job.spec.id,
-                     job.failed_on.size(), job.not_before - now_);
+                     job.failed_on.size(), job.not_before - context_.now);
         return;
     }
-    if (m.quarantined_until <= now_) {
+    if (m.quarantined_until <= context_.now) {
         spdlog::info("machine: {} quarantined after failing {}", m.name, job.spec.id);
-        metrics_.count("machines_quarantined_total");
-        m.quarantined_until = now_ + properties_.quarantine_s;
+        context_.metrics.count("machines_quarantined_total");
+        m.quarantined_until = context_.now + context_.properties.quarantine_s;
     }
 }
 
 // The task is proven gone without having told its outcome.
 void Leader::lose_task(Index j, uint32_t t) {
-    auto& job = *cluster_.jobs[j];
+    auto& job = *context_.cluster.jobs[j];
     spdlog::info("task: {}/{} attempt={} gone from {}", job.spec.id, t, job.tasks[t].attempt,
-                 cluster_.machines[job.tasks[t].machine]->name);
-    metrics_.count("tasks_lost_total");
+                 context_.cluster.machines[job.tasks[t].machine]->name);
+    context_.metrics.count("tasks_lost_total");
     bool graceful = job.tasks[t].graceful;
-    cluster_.unassign(j, t, now_);
-    dirty_ = true;
+    context_.cluster.unassign(j, t, context_.now);
+    context_.scheduling_needed = true;
     if (job.spec.kind == JobKind::Gang) end_gang(j, graceful);
     check_job(j);
 }
@@ -102,7 +104,7 @@
 // image takes longer than its tasks wait for each other once began anew every half minute to the
 // end of the day.
 void Leader::end_gang(Index j, bool graceful, bool fetch_on) {
-    auto& job = *cluster_.jobs[j];
+    auto& job = *context_.cluster.jobs[j];
     job.gang_ending = job.placed > 0;
     for (uint32_t t = 0; t < job.tasks.size(); ++t) {
         auto& task = job.tasks[t];
@@ -113,7 +115,7 @@
 
 // What follows from the counts of a job.
 void Leader::check_job(Index j) {
-    auto& job = *cluster_.jobs[j];
+    auto& job = *context_.cluster.jobs[j];
     if (job.ending || job.version == 0) return;
     if (job.spec.kind == JobKind::Gang && job.placed == 0) job.gang_ending = false;
     if (job.cancelled) {
@@ -123,7 +125,7 @@
                 stop_task(j, t, false);
         if (job.placed > 0) return;
         spdlog::debug("job: {} cancelled, none of its tasks is left", job.spec.id);
-        if (!cluster_.cancellation_logged(j)) return;
+        if (!context_.cluster.cancellation_logged(j)) return;
     } else if (job.done < job.tasks.size()) {
         // A gang found half placed after a change of leader, or half gone.
         if (job.spec.kind == JobKind::Gang && job.placed > 0 && job.pending > 0 && !job.gang_ending)
@@ -132,18 +134,18 @@
     }
     job.ending = true;
     job.ended = wall_now();
-    state_log_.finish(j);
+    context_.state_log.finish(j);
 }
 
 // A cancelled job may end once those that need it are recorded as cancelled, or gone: one of these
 // was.
 void Leader::check_cancelled(const std::vector<Index>& jobs) {
     for (auto j : jobs)
-        if (cluster_.jobs[j]->cancelled) check_job(j);
+        if (context_.cluster.jobs[j]->cancelled) check_job(j);
 }
 
 void Leader::stop_task(Index j, uint32_t t, bool graceful) {
-    auto& job = *cluster_.jobs[j];
+    auto& job = *context_.cluster.jobs[j];
     auto& task = job.tasks[t];
     task.stopping = true;
     task.graceful = graceful && job.spec.checkpoint_interval_s > 0;
@@ -156,12 +158,13 @@
 // late copy does no harm: it names the attempt, and the session must still match.
 void Leader::flush_stops() {
     for (auto& [index, commands] : direct_) {
-        auto* m = cluster_.machines[index].get();
+        auto* m = context_.cluster.machines[index].get();
         if (!m || !m->up || m->addr.empty()) continue;
         asio::co_spawn(
-            io_,
+            context_.io,
             send_stops(shared_from_this(), m->addr, m->relayed_by,
-                       direct_commands(term_->fencing_token, m->agent_epoch, commands), false),
+                       direct_commands(context_.term->fencing_token, m->agent_epoch, commands),
+                       false),
             asio::detached);
     }
     direct_.clear();
@@ -173,34 +176,35 @@
 // they are gone. The command shows the worker our token, so from then on it drops what the earlier
 // leader answers.
 void Leader::repeat_stops() {
-    if (now_ < next_stops_) return;
-    next_stops_ = now_ + settings_.heartbeat_interval_s;
-    size_t count = cluster_.machines.size(), left = static_cast<size_t>(stop_sockets(settings_));
+    if (context_.now < next_stops_) return;
+    next_stops_ = context_.now + context_.settings.heartbeat_interval_s;
+    size_t count = context_.cluster.machines.size(),
+           left = static_cast<size_t>(stop_sockets(context_.settings));
     for (size_t n = 0; n < count && left > 0; ++n) {
         stops_cursor_ = (stops_cursor_ + 1) % count;
-        auto* m = cluster_.machines[stops_cursor_].get();
+        auto* m = context_.cluster.machines[stops_cursor_].get();
         if (!m || m->addr.empty() || m->status == MachineStatus::Failed) continue;
-        if (now_ - std::max(m->last_heartbeat, term_->won) <=
-            kMissedReports * settings_.heartbeat_interval_s)
+        if (context_.now - std::max(m->last_heartbeat, context_.term->won) <=
+            kMissedReports * context_.settings.heartbeat_interval_s)
             continue;
         uint64_t agent_epoch = m->up ? m->agent_epoch : 0;
         for (auto& ref : m->tasks)
-            agent_epoch = std::max<uint64_t>(agent_epoch,
-                                             cluster_.jobs[ref.job]->tasks[ref.task].agent_epoch);
+            agent_epoch = std::max<uint64_t>(
+                agent_epoch, context_.cluster.jobs[ref.job]->tasks[ref.task].agent_epoch);
         std::vector<Command> commands;
         for (auto& ref : m->tasks) {
-            auto& job = *cluster_.jobs[ref.job];
+            auto& job = *context_.cluster.jobs[ref.job];
             auto& task = job.tasks[ref.task];
             if (job.cancelled && task.agent_epoch == agent_epoch)
                 commands.push_back({CommandOp::Stop, job.spec.id, ref.task, task.attempt, 0});
         }
         if (commands.empty()) continue;
         --left;
-        metrics_.count("stops_repeated_total");
+        context_.metrics.count("stops_repeated_total");
         asio::co_spawn(
-            io_,
+            context_.io,
             send_stops(shared_from_this(), m->addr, m->relayed_by,
-                       direct_commands(term_->fencing_token, agent_epoch, commands), true),
+                       direct_commands(context_.term->fencing_token, agent_epoch, commands), true),
             asio::detached);
     }
 }
@@ -217,9 +221,10 @@
         if (co_await pass_on(std::move(relay), std::move(call))) co_return;
     }
     std::string again = body;
-    if (co_await send_commands(io_, addr, std::move(again), 2.0) || !by_any || !pass_on) co_return;
-    for (auto& peer : settings_.peers) {
-        if (stopped_) co_return;
+    if (co_await send_commands(context_.io, addr, std::move(again), 2.0) || !by_any || !pass_on)
+        co_return;
+    for (auto& peer : context_.settings.peers) {
+        if (context_.stopped) co_return;
         if (peer.name == by) continue;
         std::string name = peer.name;
         PeerCall call{PeerOp::Command, addr, body};
@@ -241,9 +246,9 @@
 
 // The machine will be taken: what can save does so in time, what can't may still complete.
 void Leader::drain(Index index, double interruption_notice_s) {
-    auto tasks = cluster_.machines[index]->tasks;
+    auto tasks = context_.cluster.machines[index]->tasks;
     for (auto& ref : tasks) {
-        auto& job = *cluster_.jobs[ref.job];
+        auto& job = *context_.cluster.jobs[ref.job];
         auto& task = job.tasks[ref.task];
         if (task.state != TaskState::Placed || task.machine != index || task.stopping) continue;
         if (job.spec.kind == JobKind::Gang) {
--- a/src/controller/leader_users.cpp
+++ b/src/controller/leader_users.cpp
@@ -24,7 +24,7 @@
 const PeerReply Leader::kNeverRuns{422, R"({"error":"can never run"})"};
 const PeerReply Leader::kTooLong{400, R"({"error":"the job's description is too long"})"};
 
-void Leader::handle(Asked& m) {
+void Leader::handle(RequestReceived& m) {
     --asked_;
     asked_bytes_ -= m.bytes;
     switch (m.call.op) {
@@ -47,14 +47,14 @@
 // controller's door reads the records. One that told an end from a transaction that this leader had
 // no answer for was once followed by "running" from here.
 bool Leader::may_tell(const Job& job) const {
-    return job.version != 0 && cluster_.settled(cluster_.job_index.at(job.spec.id));
+    return job.version != 0 && context_.cluster.settled(context_.cluster.job_index.at(job.spec.id));
 }
 
 // The last word from the state service was a failure: neither a transaction nor a renewal has
 // worked since.
 bool Leader::kv_unavailable() const {
-    return kv_failed_at_ >
-           std::max(kv_succeeded_at_, term_->lease_valid_until - properties_.election_lease_s);
+    return kv_failed_at_ > std::max(kv_succeeded_at_, context_.term->lease_valid_until -
+                                                          context_.properties.election_lease_s);
 }
 
 JobState Leader::job_state(const Job& job) const {
@@ -89,12 +89,12 @@
     waiters_.erase(it);
 }
 
-void Leader::submit(PeerCall& call, Reply& reply) {
-    if (!lease_valid(now_)) return reply.set(undecided());
+void Leader::submit(PeerCall& call, ReplyPromise& reply) {
+    if (!lease_valid(context_.now)) return reply.set(undecided());
     JobSpec spec;
     std::optional<PeerReply> malformed;
     try {
-        spec = parse_submission(call.body, cluster_.names);
+        spec = parse_submission(call.body, context_.cluster.names);
     } catch (const BadMessage& e) {
         malformed =
             PeerReply{400, boost::json::serialize(boost::json::object{{"error", e.what()}})};
@@ -104,7 +104,7 @@
     }
     // Accepted by a door: from its record, never anew.
     if (pending_.count(spec.id)) adopt_pending();
-    if (auto* job = cluster_.find_job(spec.id)) {
+    if (auto* job = context_.cluster.find_job(spec.id)) {
         if (may_tell(*job)) return reply.set(job_reply(*job, PeerOp::Submit, 200));
         if (job->version != 0 || kv_unavailable()) return reply.set(undecided());
         waiters_[spec.id].emplace_back(PeerOp::Submit, reply);
@@ -114,36 +114,38 @@
         return reply.set(final_reply(spec.id, it->second, PeerOp::Submit));
     if (pending_.count(spec.id)) return refuse_for_good(call, reply, spec.id, come_back());
     if (malformed) return refuse_for_good(call, reply, spec.id, std::move(*malformed));
-    if (!cluster_.types_known) return reply.set(come_back(2));
-    if (cluster_.never_runs(spec)) return refuse_for_good(call, reply, spec.id);
+    if (!context_.cluster.types_known) return reply.set(come_back(2));
+    if (context_.cluster.never_runs(spec)) return refuse_for_good(call, reply, spec.id);
     // The service can't record it now: told at once. Another controller's door may reach the state
     // service.
     if (kv_unavailable()) return reply.set(undecided());
-    if (state_log_.submissions() > 4 * settings_.state_write_rps) return reply.set(come_back());
-    if (cluster_.task_count + spec.tasks > cluster_.max_tasks) return reply.set(come_back(10));
+    if (context_.state_log.submissions() > 4 * context_.settings.state_write_rps)
+        return reply.set(come_back());
+    if (context_.cluster.task_count + spec.tasks > context_.cluster.max_tasks)
+        return reply.set(come_back(10));
     auto depends = dependence(call, reply, spec);
     if (!depends) return;
     std::string id = spec.id;
     auto index = add_new_job(std::move(spec), *depends, wall_now());
-    if (!state_log_.can_hold(index)) {
+    if (!context_.state_log.can_hold(index)) {
         // A version that recorded longer ones may have accepted it.
-        cluster_.remove_job(index, now_);
+        context_.cluster.remove_job(index, context_.now);
         return refuse_for_good(call, reply, id, kTooLong);
     }
     waiters_[id].emplace_back(PeerOp::Submit, reply);
-    state_log_.new_job(index);
+    context_.state_log.new_job(index);
 }
 
 // Into the tables; its record is still to be told. `submitted`: by the time of day.
 Index Leader::add_new_job(JobSpec spec, const Dependence& depends, double submitted) {
     if (depends.on.empty() || depends.cancelled) spec.dependencies.clear();
-    auto index = cluster_.add_job(std::move(spec), submitted, now_);
-    auto& job = *cluster_.jobs[index];
-    job.seen_at = now_ - std::max(0.0, wall_now() - submitted);
+    auto index = context_.cluster.add_job(std::move(spec), submitted, context_.now);
+    auto& job = *context_.cluster.jobs[index];
+    job.seen_at = context_.now - std::max(0.0, wall_now() - submitted);
     if (depends.cancelled)
         job.cancelled = job.cancel_recorded = true;  // in its own record
     else if (job.waits)
-        cluster_.set_dependencies(index, depends.on, now_);
+        context_.cluster.set_dependencies(index, depends.on, context_.now);
     return index;
 }
 
@@ -151,8 +153,8 @@
     Dependence out;
     for (auto& id : spec.dependencies) {
         out.never = out.never || id == spec.id || !valid_job_id(id);
-        if (auto it = cluster_.job_index.find(id); it != cluster_.job_index.end()) {
-            auto& job = *cluster_.jobs[it->second];
+        if (auto it = context_.cluster.job_index.find(id); it != context_.cluster.job_index.end()) {
+            auto& job = *context_.cluster.jobs[it->second];
             out.unsure = out.unsure || job.version == 0;
             // Where its cancellation is not recorded yet, the job follows it once it is.
             if (job.cancel_recorded)
@@ -170,7 +172,7 @@
     return out;
 }
 
-std::optional<Leader::Dependence> Leader::dependence(PeerCall& call, Reply& reply,
+std::optional<Leader::Dependence> Leader::dependence(PeerCall& call, ReplyPromise& reply,
                                                      const JobSpec& spec) {
     auto out = resolve(spec);
     if (out.never) {
@@ -179,7 +181,7 @@
         reply.set(come_back());
     } else if (!out.unread.empty()) {
         call.subject = spec.id;
-        asio::co_spawn(io_,
+        asio::co_spawn(context_.io,
                        read_dependencies(shared_from_this(), std::move(call), reply,
                                          std::move(out.unread), false),
                        asio::detached);
@@ -191,24 +193,25 @@
 
 // The job may have been accepted when more was on offer, and have ended: then its final state is
 // the answer.
-void Leader::refuse_for_good(PeerCall& call, Reply& reply, const std::string& id,
+void Leader::refuse_for_good(PeerCall& call, ReplyPromise& reply, const std::string& id,
                              PeerReply refusal) {
     call.subject = id;
-    asio::co_spawn(io_, read_final(shared_from_this(), std::move(call), reply, std::move(refusal)),
+    asio::co_spawn(context_.io,
+                   read_final(shared_from_this(), std::move(call), reply, std::move(refusal)),
                    asio::detached);
 }
 
 // One after the other: a long list must not take the rate that renewals of the lease need. What was
 // read is remembered, so that a list too long for one call gets further with each repetition.
 asio::awaitable<void> Leader::read_dependencies(std::shared_ptr<Leader> self, PeerCall call,
-                                                Reply reply, std::vector<std::string> ids,
+                                                ReplyPromise reply, std::vector<std::string> ids,
                                                 bool adopts) {
     DependenciesRead read{std::move(call), reply, {}, {}, true, adopts};
     double until = steady_now() + kReadDependencies_s;
-    double pause = 1 / (kReadShare * settings_.state_rps);
+    double pause = 1 / (kReadShare * context_.settings.state_rps);
     for (auto& id : ids) {
         if (read.ended.size() >= kReadAtOnce) co_await sleep_s(pause);
-        if (stopped_ || steady_now() > until) read.all = false;
+        if (context_.stopped || steady_now() > until) read.all = false;
         if (!read.all) break;
         auto result = co_await read_ended(id, 0.6);
         if (result.outcome == KvOutcome::Missing) {
@@ -227,10 +230,10 @@
 void Leader::handle(DependenciesRead& m) {
     for (auto& [id, f] : m.ended) remember_final(id, f);
     if (m.adopts) return resume_adoption(m);
-    if (!lease_valid(now_)) return m.reply.set(come_back());
+    if (!lease_valid(context_.now)) return m.reply.set(come_back());
     if (!m.missing.empty()) {
         // What was read is as old as the read: the job may have come, or ended, meanwhile.
-        if (cluster_.find_job(m.missing) || finals_.count(m.missing))
+        if (context_.cluster.find_job(m.missing) || finals_.count(m.missing))
             return m.reply.set(come_back());
         return refuse_for_good(m.call, m.reply, m.call.subject);
     }
@@ -238,10 +241,10 @@
     submit(m.call, m.reply);
 }
 
-void Leader::status(PeerCall& call, Reply& reply) {
+void Leader::status(PeerCall& call, ReplyPromise& reply) {
     if (!valid_job_id(call.subject)) return reply.set({404, "{}"});
-    if (!lease_valid(now_)) return reply.set(undecided());
-    if (auto* job = cluster_.find_job(call.subject)) {
+    if (!lease_valid(context_.now)) return reply.set(undecided());
+    if (auto* job = context_.cluster.find_job(call.subject)) {
         // What is on its way to be recorded may be told by a door, which reads the records: polls
         // of a job whose cancellation was asked for, in a minute without answers to transactions,
         // once all failed here.
@@ -250,23 +253,24 @@
     if (auto it = finals_.find(call.subject); it != finals_.end())
         return reply.set(final_reply(call.subject, it->second, PeerOp::Status));
     if (is_pending(call.subject)) return reply.set(come_back());  // soon collected
-    asio::co_spawn(io_, read_final(shared_from_this(), std::move(call), reply, kNotFound),
+    asio::co_spawn(context_.io, read_final(shared_from_this(), std::move(call), reply, kNotFound),
                    asio::detached);
 }
 
-void Leader::cancel(PeerCall& call, Reply& reply) {
+void Leader::cancel(PeerCall& call, ReplyPromise& reply) {
     if (!valid_job_id(call.subject)) return reply.set({404, "{}"});
-    if (!lease_valid(now_)) return reply.set(undecided());
-    auto it = cluster_.job_index.find(call.subject);
-    if (it == cluster_.job_index.end()) {
+    if (!lease_valid(context_.now)) return reply.set(undecided());
+    auto it = context_.cluster.job_index.find(call.subject);
+    if (it == context_.cluster.job_index.end()) {
         if (auto f = finals_.find(call.subject); f != finals_.end())
             return reply.set(final_reply(call.subject, f->second, PeerOp::Cancel));
         if (is_pending(call.subject)) return reply.set(come_back());
-        asio::co_spawn(io_, read_final(shared_from_this(), std::move(call), reply, kNotFound),
+        asio::co_spawn(context_.io,
+                       read_final(shared_from_this(), std::move(call), reply, kNotFound),
                        asio::detached);
         return;
     }
-    auto& job = *cluster_.jobs[it->second];
+    auto& job = *context_.cluster.jobs[it->second];
     if (job.cancel_recorded) return reply.set(job_reply(job, PeerOp::Cancel, 200));
     if (job.version == 0 || kv_unavailable()) return reply.set(come_back());
     // Answered once the cancellation, or the end that came before it, is recorded.
@@ -280,8 +284,8 @@
 // has an answer for it: tasks that waited for the answer once ran on for as long as transactions
 // went unanswered.
 void Leader::ask_cancel(Index j) {
-    cluster_.jobs[j]->cancelled = true;
-    state_log_.cancel(j);
+    context_.cluster.jobs[j]->cancelled = true;
+    context_.state_log.cancel(j);
     check_job(j);
 }
 
@@ -298,24 +302,24 @@
 // The final state of a job that is not in the tables. A door's record is read first, as jobs move
 // from there to the log and on: while it stands, a missing final state says nothing.
 asio::awaitable<KvResult<KvItem>> Leader::read_ended(std::string id, double timeout_s) {
-    auto standby = co_await kv_.get(pending_key(id), timeout_s);
+    auto standby = co_await context_.kv.get(pending_key(id), timeout_s);
     KvResult<KvItem> result;
     if (standby.outcome != KvOutcome::Missing && !standby) co_return result;
-    result = co_await kv_.get(final_key(id), timeout_s);
+    result = co_await context_.kv.get(final_key(id), timeout_s);
     if (standby && result.outcome == KvOutcome::Missing) result.outcome = KvOutcome::Unknown;
     co_return result;
 }
 
-asio::awaitable<void> Leader::read_final(std::shared_ptr<Leader> self, PeerCall call, Reply reply,
-                                         PeerReply refusal) {
+asio::awaitable<void> Leader::read_final(std::shared_ptr<Leader> self, PeerCall call,
+                                         ReplyPromise reply, PeerReply refusal) {
     std::string id = call.subject;
     auto result = co_await read_ended(id, 0.8);
-    self->post(FinalRead{std::move(call), reply, std::move(result), std::move(refusal)});
+    self->post(FinalStateRead{std::move(call), reply, std::move(result), std::move(refusal)});
 }
 
-void Leader::handle(FinalRead& m) {
+void Leader::handle(FinalStateRead& m) {
     auto& id = m.call.subject;
-    if (!lease_valid(now_)) return m.reply.set(come_back());
+    if (!lease_valid(context_.now)) return m.reply.set(come_back());
     if (m.result) {
         auto f = final_state(m.result.value);
         if (!f) return m.reply.set(come_back());
@@ -323,7 +327,7 @@
         return m.reply.set(final_reply(id, *f, m.call.op));
     }
     // What was read is as old as the read: the job may have come, or ended, meanwhile.
-    bool here = cluster_.find_job(id) || finals_.count(id);
+    bool here = context_.cluster.find_job(id) || finals_.count(id);
     if (m.result.outcome == KvOutcome::Missing && !here) return m.reply.set(std::move(m.refusal));
     m.reply.set(come_back());
 }
