--- a/src/scheduler/deadline_feasibility.cpp
+++ b/src/scheduler/deadline_feasibility.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 #include <queue>
+#include <tuple>
+#include <utility>
 
 #include "scheduler/overload_forecast.h"
 
@@ -30,10 +32,29 @@
     return out;
 }
 
+namespace {
+
+// Waiting jobs that can still meet their due time number `level`, and not one before it.
+std::vector<DeadlineCandidate> candidates_at(const ClusterState& cluster,
+                                             const std::vector<Index>& jobs, size_t level,
+                                             double now) {
+    std::vector<DeadlineCandidate> out;
+    for (auto j : jobs) {
+        auto& job = *cluster.jobs[j];
+        double run = cluster.expected_run_s(job.spec);
+        int missed = 0;
+        double due = cluster.due(job, now + run, missed);
+        if (due > kNoDueTime_s || missed != static_cast<int>(level)) continue;
+        out.push_back({j, waiting_work(cluster, job), due - run - now});
+    }
+    return out;
+}
+
+}  // namespace
+
 void abandon_deadlines(ClusterState& cluster, const std::vector<Index>& queue, double units,
                        double now) {
     std::vector<Index> jobs;
-    size_t levels = 0;
     for (auto j : queue) {
         auto& job = *cluster.jobs[j];
         job.abandoned_deadlines = 0;
@@ -41,22 +62,15 @@
         // starts.
         if (job.spec.kind == JobKind::Array && job.pending > 0) jobs.push_back(j);
     }
+    size_t levels = 0;
     for (auto j : jobs) levels = std::max(levels, cluster.times_asked(*cluster.jobs[j]));
     double before = 0;
     // Those that can meet their first time go before those that can only meet the next.
     for (size_t level = 0; level < levels; ++level) {
-        std::vector<DeadlineCandidate> contenders;
-        for (auto j : jobs) {
-            auto& job = *cluster.jobs[j];
-            double run = cluster.expected_run_s(job.spec);
-            int missed;
-            double due = cluster.due(job, now + run, missed);
-            if (due > 1e17 || missed != static_cast<int>(level)) continue;
-            contenders.push_back({j, waiting_work(cluster, job), due - run - now});
-        }
+        auto candidates = candidates_at(cluster, jobs, level, now);
         double work = 0;
-        for (auto& c : contenders) work += c.work;
-        for (auto j : abandoned_deadlines(std::move(contenders), units, before)) {
+        for (auto& c : candidates) work += c.work;
+        for (auto j : abandoned_deadlines(std::move(candidates), units, before)) {
             work -= waiting_work(cluster, *cluster.jobs[j]);
             ++cluster.jobs[j]->abandoned_deadlines;
         }
--- a/src/scheduler/fit_queues.cpp
+++ b/src/scheduler/fit_queues.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <functional>
 
-#include "scheduler/placement.h"
+#include "scheduler/eligibility.h"
 
 namespace weirmill {
 
