--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -3,10 +3,18 @@
 #include <algorithm>
 #include <boost/json.hpp>
 #include <map>
+#include <numeric>
 #include <optional>
+#include <set>
+#include <utility>
 
 namespace weirmill {
 
+namespace {
+// Costs are sums of fractions: closer than this they are equal.
+constexpr double kEqualCosts = 1e-9;
+}  // namespace
+
 double preemption_cost(const ClearCandidate& c, const std::vector<uint32_t>& spans) {
     double cost = c.singles;
     for (auto g : c.gangs) cost += 1.0 / spans[g];
@@ -24,7 +32,9 @@
         for (size_t i = 0; i < left.size(); ++i) {
             if (picked[i]) continue;
             double cost = preemption_cost(left[i], spans);
-            if (best == candidates.size() || cost < best_cost - 1e-9) best = i, best_cost = cost;
+            if (best < candidates.size() && cost >= best_cost - kEqualCosts) continue;
+            best = i;
+            best_cost = cost;
         }
         picked[best] = true;
         out.push_back(best);
@@ -37,9 +47,9 @@
 }
 
 bool may_stop(const ClusterState& cluster, const Job& victim, const Job& job) {
-    // A job may count as high as any that needs it. A stop must be right whether or not one sees it
-    // so: the one that is stopped counts with what needs it, the one that asks with its own
-    // priority alone.
+    // A job may take over the priority of a job that depends on it. A stop must be right with and
+    // without that: the victim counts with the priority it took over, the job that asks with its
+    // own alone.
     if (victim.priority < job.spec.priority) return true;
     // Work beyond its team's guarantee gives way to a team that is owed its own.
     auto& owed = cluster.teams[job.spec.team];
@@ -52,9 +62,9 @@
 
 namespace {
 
-// Jobs for which the same machines may be cleared. Within a round machines are only taken, so where
-// too few were found for one job, there are too few for any other of the kind that wants as much.
-struct Vain {
+// A search that found too few machines. Within a round machines are only taken, so where too few
+// were found for one job, there are too few for any other of the kind that wants as much.
+struct FailedSearch {
     JobSpec like;
     bool owed;       // its team is owed its guarantee, for this job
     int64_t wanted;  // tasks that found no machines; more of them find none either
@@ -65,203 +75,333 @@
     }
 };
 
-struct Clearable {
-    ClearCandidate candidate;
-    int64_t fits = 0;  // tasks of the waiting job on the emptied machine
-};
-
-// Room that is free already, for so many tasks of the waiting job.
-struct Free {
+// Tasks of the waiting job that fit on a machine: into its free room, or once it is emptied.
+struct MachineFit {
     Index machine;
-    int64_t fits;
+    int64_t tasks;
 };
 
 // What one job would get in one zone.
-struct Choice {
-    std::vector<Clearable> list;
-    std::vector<size_t> pick;
-    std::vector<Free> free;
-    double cost = 0;
+struct ZonePlan {
+    std::vector<ClearCandidate> candidates;  // machines that may be cleared
+    std::vector<int64_t> tasks;              // by candidate: that fit on the emptied machine
+    std::vector<uint32_t> spans;             // by gang of the candidates: machines it occupies
+    std::vector<size_t> picked;              // of the candidates, cheapest first
+    std::vector<MachineFit> free;            // room that needs no stop
+    int64_t missing = 0;                     // tasks that the free room does not hold
+    double cost = 0;                         // of the picked, as Algorithm 1 counts it
+
+    bool room_suffices() const { return missing <= 0; }
+    int64_t picked_tasks() const {
+        int64_t sum = 0;
+        for (auto p : picked) sum += tasks[p];
+        return sum;
+    }
 };
 
-}  // namespace
+uint32_t machines_occupied(const Job& gang) {
+    std::vector<Index> machines;
+    for (auto& t : gang.tasks)
+        if (t.state == TaskState::Placed &&
+            std::find(machines.begin(), machines.end(), t.machine) == machines.end())
+            machines.push_back(t.machine);
+    return static_cast<uint32_t>(machines.size());
+}
 
-PreemptionRound plan_preemption(const ClusterState& cluster, const Usable& usable, double now) {
-    PreemptionRound round;
-    std::vector<bool> taken(cluster.machines.size(), false);
-    std::map<Index, std::vector<Index>> reserved;  // machines that are being emptied, by job
-    for (Index i = 0; i < cluster.machines.size(); ++i) {
-        auto* m = cluster.machines[i].get();
-        taken[i] = m && m->reserved(now);
-        if (taken[i]) reserved[m->reserved_for].push_back(i);
+// Numbers the gangs on the candidates of one plan in the order in which they are met, as
+// ClearCandidate::gangs and pick_cheapest have them.
+class GangNumbers {
+  public:
+    // `spans`: of the plan; gets an entry for each gang.
+    GangNumbers(const ClusterState& cluster, std::vector<uint32_t>& spans)
+        : cluster_(cluster), spans_(spans) {}
+
+    ClearCandidate candidate(Index machine) {
+        ClearCandidate c;
+        c.machine = machine;
+        for (auto& ref : cluster_.machines[machine]->tasks) {
+            if (cluster_.jobs[ref.job]->spec.kind != JobKind::Gang) {
+                ++c.singles;
+                continue;
+            }
+            auto gang = number(ref.job);
+            if (std::find(c.gangs.begin(), c.gangs.end(), gang) == c.gangs.end())
+                c.gangs.push_back(gang);
+        }
+        return c;
+    }
+
+  private:
+    Index number(Index job) {
+        auto [it, added] = numbers_.emplace(job, static_cast<Index>(spans_.size()));
+        if (added) spans_.push_back(machines_occupied(*cluster_.jobs[job]));
+        return it->second;
+    }
+
+    const ClusterState& cluster_;
+    std::vector<uint32_t>& spans_;
+    std::map<Index, Index> numbers_;
+};
+
+// Among equal costs, machines that have the image: they are moved before the others, each part in
+// its order.
+void prefer_machines_with_image(const ClusterState& cluster, Index image, ZonePlan& plan) {
+    std::vector<size_t> order(plan.candidates.size());
+    std::iota(order.begin(), order.end(), size_t{0});
+    std::stable_partition(order.begin(), order.end(), [&](size_t c) {
+        return cluster.machines[plan.candidates[c].machine]->has_image(image);
+    });
+    std::vector<ClearCandidate> candidates;
+    std::vector<int64_t> tasks;
+    for (auto c : order) {
+        candidates.push_back(std::move(plan.candidates[c]));
+        tasks.push_back(plan.tasks[c]);
     }
-    std::map<std::pair<Index, uint32_t>, bool> stopped;
+    plan.candidates = std::move(candidates);
+    plan.tasks = std::move(tasks);
+}
+
+// N of Algorithm 1: the fewest whole machines that fit what is missing, those that hold the most
+// first; nothing: all of them together don't.
+std::optional<size_t> fewest_machines(const ZonePlan& plan) {
+    auto tasks = plan.tasks;
+    std::sort(tasks.rbegin(), tasks.rend());
+    size_t n = 0;
+    int64_t sum = 0;
+    while (n < tasks.size() && sum < plan.missing) sum += tasks[n++];
+    if (sum < plan.missing) return std::nullopt;
+    return n;
+}
+
+// Picks machines to clear for what is missing, cheapest first; with machines of different sizes N
+// may fall short, then one more is picked. False: all of them together don't hold it.
+bool pick_machines(ZonePlan& plan) {
+    auto fewest = fewest_machines(plan);
+    if (!fewest) return false;
+    for (size_t n = *fewest; n <= plan.candidates.size(); ++n) {
+        plan.picked = pick_cheapest(plan.candidates, plan.spans, n);
+        if (plan.picked_tasks() >= plan.missing) break;
+    }
+    for (auto p : plan.picked) plan.cost += preemption_cost(plan.candidates[p], plan.spans);
+    return true;
+}
+
+// Plans one round, job by job in the order of the queue.
+class PreemptionPlanner {
+  public:
+    PreemptionPlanner(const ClusterState& cluster, const Usable& usable, double now);
+    PreemptionRound run();
+
+  private:
+    void plan_job(Index index);
+    bool owed_its_guarantee(const Job& job) const;
+    int64_t tasks_wanted(Index index) const;
+    int64_t tasks_within_limit(const Job& job) const;
+    std::vector<Index> zones_to_try(const Job& job) const;
+    std::optional<ZonePlan> cheapest_plan(const Job& job, int64_t wanted) const;
+    ZonePlan survey(const Job& job, Index zone, int64_t wanted) const;
+    bool considered(const Job& job, const ZoneRule& rule, Index zone, Index machine) const;
+    bool may_clear(const Job& job, const Machine& m) const;
+    void claim_free_room(const Job& job, const ZonePlan& plan, int64_t wanted,
+                         PreemptionRound::Clearing& clearing);
+    void clear(const ZonePlan& plan, PreemptionRound::Clearing& clearing);
+    void stop(const TaskRef& ref);
+    void stop_task(const TaskRef& ref);
+
+    const ClusterState& cluster_;
+    const Usable& usable_;
+    double now_;
+    PreemptionRound round_;
+    std::vector<bool> taken_;                       // by machine: reserved, or planned for a job
+    std::map<Index, std::vector<Index>> reserved_;  // machines that are being emptied, by job
+    std::set<std::pair<Index, uint32_t>> stopped_;  // tasks of round_.stops
     // Of free room, what jobs before this one count on. Counted on by each of them, it once left
     // eight gangs of 32 with machines cleared for 19 each, and none of them started for a minute.
-    std::vector<Resources> promised(cluster.machines.size());
-    std::vector<Vain> vain;
-    for (auto j : waiting_jobs(cluster, now)) {
-        auto& job = *cluster.jobs[j];
-        if (!cluster.large(job.spec)) continue;
-        auto& team = cluster.teams[job.spec.team];
-        bool gang = job.spec.kind == JobKind::Gang;
-        int64_t wanted = gang ? job.pending : 0;
-        if (gang && !cluster.within_limit(team, job.spec.demand * job.pending)) continue;
-        while (!gang && wanted < job.pending &&
-               cluster.within_limit(team, job.spec.demand * (wanted + 1)))
-            ++wanted;
-        // Machines already being emptied for this job.
-        if (auto it = reserved.find(j); it != reserved.end())
-            for (auto i : it->second) wanted -= job.spec.demand.times_in(cluster.machines[i]->size);
-        if (wanted <= 0) continue;
-        bool owed =
-            cluster.within_guarantee(team, gang ? job.spec.demand * job.pending : job.spec.demand);
-        // Where some of its tasks are placed, its zones are its own.
-        bool fresh_zones = job.placed == 0;
-        if (fresh_zones && std::any_of(vain.begin(), vain.end(),
-                                       [&](auto& v) { return v.covers(job.spec, owed, wanted); }))
-            continue;
+    std::vector<Resources> promised_;
+    std::vector<FailedSearch> failed_;
+};
 
-        std::vector<Index> zones{kNone};
-        if (job.spec.one_zone) {
-            zones.clear();
-            for (Index z = 0; z < cluster.names.zones.size(); ++z) zones.push_back(z);
-        }
-        std::optional<Choice> best;
-        bool has_room = false;
-        for (auto zone : zones) {
-            ZoneRule rule(cluster, job);
-            int64_t missing = wanted;
-            Choice choice;
-            auto& list = choice.list;
-            std::map<Index, Index> dense;
-            std::vector<uint32_t> spans;
-            for (Index i = 0; i < cluster.machines.size(); ++i) {
-                auto* m = cluster.machines[i].get();
-                if (!m || taken[i] || !usable(*m) || !cluster.machine_allowed(job.spec, *m))
-                    continue;
-                if (cluster.reserves_gpus(job.spec, m->type)) continue;
-                if (zone != kNone && m->zone != zone) continue;
-                if (!rule.allows(m->zone)) continue;
-                auto free = job.spec.demand.times_in(m->room() - promised[i]);
-                if (free > 0) {
-                    missing -= free;
-                    choice.free.push_back({i, free});
-                    continue;
-                }
-                if (!(promised[i] == Resources{})) continue;
-                Clearable c;
-                c.candidate.machine = i;
-                c.fits = job.spec.demand.times_in(m->size);
-                if (m->tasks.empty() ||
-                    !std::all_of(m->tasks.begin(), m->tasks.end(), [&](auto& ref) {
-                        return may_stop(cluster, *cluster.jobs[ref.job], job);
-                    }))
-                    continue;
-                for (auto& ref : m->tasks) {
-                    auto& victim = *cluster.jobs[ref.job];
-                    if (victim.spec.kind != JobKind::Gang) {
-                        ++c.candidate.singles;
-                        continue;
-                    }
-                    auto [it, fresh] = dense.emplace(ref.job, static_cast<Index>(spans.size()));
-                    if (fresh) {
-                        std::vector<Index> on;
-                        for (auto& t : victim.tasks)
-                            if (t.state == TaskState::Placed &&
-                                std::find(on.begin(), on.end(), t.machine) == on.end())
-                                on.push_back(t.machine);
-                        spans.push_back(static_cast<uint32_t>(on.size()));
-                    }
-                    if (std::find(c.candidate.gangs.begin(), c.candidate.gangs.end(), it->second) ==
-                        c.candidate.gangs.end())
-                        c.candidate.gangs.push_back(it->second);
-                }
-                list.push_back(std::move(c));
-            }
-            if (missing <= 0) {
-                best = std::move(choice);  // there is room: placement will take it
-                has_room = true;
-                break;
-            }
-            // Among equal costs, machines that have the image.
-            std::stable_partition(list.begin(), list.end(), [&](auto& c) {
-                return cluster.machines[c.candidate.machine]->has_image(job.spec.image);
-            });
-            // N: the fewest whole machines that fit what is missing. Machines that hold the most
-            // first.
-            std::vector<int64_t> fits;
-            for (auto& c : list) fits.push_back(c.fits);
-            std::sort(fits.rbegin(), fits.rend());
-            size_t n = 0;
-            int64_t sum = 0;
-            while (n < fits.size() && sum < missing) sum += fits[n++];
-            if (sum < missing) continue;
-            std::vector<ClearCandidate> plain;
-            for (auto& c : list) plain.push_back(c.candidate);
-            // Cheapest first; with machines of different sizes N may fall short, then one more is
-            // picked.
-            auto& pick = choice.pick;
-            for (; n <= plain.size(); ++n) {
-                pick = pick_cheapest(plain, spans, n);
-                int64_t got = 0;
-                for (auto p : pick) got += list[p].fits;
-                if (got >= missing) break;
-            }
-            for (auto p : pick) choice.cost += preemption_cost(plain[p], spans);
-            if (!best || choice.cost < best->cost) best = std::move(choice);
-        }
-        if (!best) {
-            if (fresh_zones) vain.push_back({job.spec, owed, wanted});
+PreemptionPlanner::PreemptionPlanner(const ClusterState& cluster, const Usable& usable, double now)
+    : cluster_(cluster),
+      usable_(usable),
+      now_(now),
+      taken_(cluster.machines.size(), false),
+      promised_(cluster.machines.size()) {
+    for (Index i = 0; i < cluster.machines.size(); ++i) {
+        auto* m = cluster.machines[i].get();
+        if (!m || !m->reserved(now)) continue;
+        taken_[i] = true;
+        reserved_[m->reserved_for].push_back(i);
+    }
+}
+
+PreemptionRound PreemptionPlanner::run() {
+    for (auto j : waiting_jobs(cluster_, now_))
+        if (cluster_.large(cluster_.jobs[j]->spec)) plan_job(j);
+    return std::move(round_);
+}
+
+void PreemptionPlanner::plan_job(Index index) {
+    auto& job = *cluster_.jobs[index];
+    auto wanted = tasks_wanted(index);
+    if (wanted <= 0) return;
+    bool owed = owed_its_guarantee(job);
+    // Where some of its tasks are placed, its zones are its own.
+    bool fresh_zones = job.placed == 0;
+    if (fresh_zones && std::any_of(failed_.begin(), failed_.end(),
+                                   [&](auto& f) { return f.covers(job.spec, owed, wanted); }))
+        return;
+    auto plan = cheapest_plan(job, wanted);
+    if (!plan) {
+        if (fresh_zones) failed_.push_back({job.spec, owed, wanted});
+        return;
+    }
+    PreemptionRound::Clearing clearing{index, {}, {}};
+    claim_free_room(job, *plan, wanted, clearing);
+    if (plan->room_suffices()) return;  // placement will take it
+    clear(*plan, clearing);
+    round_.clearings.push_back(std::move(clearing));
+}
+
+// Whether the job stays within its team's guarantee: of a gang all tasks that wait, else one.
+bool PreemptionPlanner::owed_its_guarantee(const Job& job) const {
+    auto demand = job.spec.kind == JobKind::Gang ? job.spec.demand * job.pending : job.spec.demand;
+    return cluster_.within_guarantee(cluster_.teams[job.spec.team], demand);
+}
+
+// Tasks for which machines are to be found, beyond those already being emptied for the job.
+int64_t PreemptionPlanner::tasks_wanted(Index index) const {
+    auto& job = *cluster_.jobs[index];
+    auto wanted = tasks_within_limit(job);
+    if (auto it = reserved_.find(index); it != reserved_.end())
+        for (auto i : it->second) wanted -= job.spec.demand.times_in(cluster_.machines[i]->size);
+    return wanted;
+}
+
+// Of the pending tasks, those that the team's limit allows: of a gang all or none.
+int64_t PreemptionPlanner::tasks_within_limit(const Job& job) const {
+    auto& team = cluster_.teams[job.spec.team];
+    if (job.spec.kind == JobKind::Gang)
+        return cluster_.within_limit(team, job.spec.demand * job.pending) ? job.pending : 0;
+    int64_t tasks = 0;
+    while (tasks < job.pending && cluster_.within_limit(team, job.spec.demand * (tasks + 1)))
+        ++tasks;
+    return tasks;
+}
+
+std::vector<Index> PreemptionPlanner::zones_to_try(const Job& job) const {
+    if (!job.spec.one_zone) return {kNone};
+    std::vector<Index> zones(cluster_.names.zones.size());
+    std::iota(zones.begin(), zones.end(), Index{0});
+    return zones;
+}
+
+// The plan of the first zone whose free room suffices, else of the cheapest; nothing: no zone holds
+// the job.
+std::optional<ZonePlan> PreemptionPlanner::cheapest_plan(const Job& job, int64_t wanted) const {
+    std::optional<ZonePlan> best;
+    for (auto zone : zones_to_try(job)) {
+        auto plan = survey(job, zone, wanted);
+        if (plan.room_suffices()) return plan;
+        prefer_machines_with_image(cluster_, job.spec.image, plan);
+        if (!pick_machines(plan)) continue;
+        if (!best || plan.cost < best->cost) best = std::move(plan);
+    }
+    return best;
+}
+
+bool PreemptionPlanner::considered(const Job& job, const ZoneRule& rule, Index zone,
+                                   Index machine) const {
+    auto* m = cluster_.machines[machine].get();
+    if (!m || taken_[machine] || !usable_(*m) || !machine_suits(cluster_, job.spec, *m))
+        return false;
+    return (zone == kNone || m->zone == zone) && rule.allows(m->zone);
+}
+
+bool PreemptionPlanner::may_clear(const Job& job, const Machine& m) const {
+    return !m.tasks.empty() && std::all_of(m.tasks.begin(), m.tasks.end(), [&](auto& ref) {
+        return may_stop(cluster_, *cluster_.jobs[ref.job], job);
+    });
+}
+
+// Free room and machines that may be cleared, in the zone (kNone: in any), by index.
+ZonePlan PreemptionPlanner::survey(const Job& job, Index zone, int64_t wanted) const {
+    ZonePlan plan;
+    plan.missing = wanted;
+    ZoneRule rule(cluster_, job);
+    GangNumbers gangs(cluster_, plan.spans);
+    for (Index i = 0; i < cluster_.machines.size(); ++i) {
+        if (!considered(job, rule, zone, i)) continue;
+        auto& m = *cluster_.machines[i];
+        auto free = job.spec.demand.times_in(m.room() - promised_[i]);
+        if (free > 0) {
+            plan.missing -= free;
+            plan.free.push_back({i, free});
             continue;
         }
-        PreemptionRound::Clearing clearing{j, {}, {}};
-        int64_t counted = 0;
-        for (auto p : best->pick) counted += best->list[p].fits;
-        for (auto& f : best->free) {
-            if (counted >= wanted) break;
-            auto& m = *cluster.machines[f.machine];
-            auto n = std::min(f.fits, wanted - counted);
-            counted += n;
-            promised[f.machine] += job.spec.demand * n;
-            // A whole machine waits with those that are being emptied.
-            if (has_room || !m.tasks.empty() || job.spec.demand.times_in(m.size) > 1) continue;
-            taken[f.machine] = true;
-            clearing.kept.push_back(f.machine);
-        }
-        if (has_room) continue;
-        for (auto p : best->pick) {
-            auto i = best->list[p].candidate.machine;
-            clearing.machines.push_back(i);
-            taken[i] = true;
-            for (auto& ref : cluster.machines[i]->tasks) {
-                auto& victim = *cluster.jobs[ref.job];
-                if (victim.spec.kind == JobKind::Gang) {
-                    for (uint32_t t = 0; t < victim.tasks.size(); ++t)
-                        if (victim.tasks[t].state == TaskState::Placed &&
-                            stopped.emplace(std::pair(ref.job, t), true).second)
-                            round.stops.push_back({ref.job, t});
-                } else if (stopped.emplace(std::pair(ref.job, ref.task), true).second) {
-                    round.stops.push_back(ref);
-                }
-            }
-        }
-        round.clearings.push_back(std::move(clearing));
+        if (!(promised_[i] == Resources{}) || !may_clear(job, m)) continue;
+        plan.candidates.push_back(gangs.candidate(i));
+        plan.tasks.push_back(job.spec.demand.times_in(m.size));
+    }
+    return plan;
+}
+
+// Counts on free room for the tasks that the picked machines don't hold.
+void PreemptionPlanner::claim_free_room(const Job& job, const ZonePlan& plan, int64_t wanted,
+                                        PreemptionRound::Clearing& clearing) {
+    auto counted = plan.picked_tasks();
+    for (auto& f : plan.free) {
+        if (counted >= wanted) break;
+        auto& m = *cluster_.machines[f.machine];
+        auto n = std::min(f.tasks, wanted - counted);
+        counted += n;
+        promised_[f.machine] += job.spec.demand * n;
+        // A whole machine waits with those that are being emptied.
+        if (plan.room_suffices() || !m.tasks.empty() || job.spec.demand.times_in(m.size) > 1)
+            continue;
+        taken_[f.machine] = true;
+        clearing.kept.push_back(f.machine);
+    }
+}
+
+void PreemptionPlanner::clear(const ZonePlan& plan, PreemptionRound::Clearing& clearing) {
+    for (auto p : plan.picked) {
+        auto machine = plan.candidates[p].machine;
+        clearing.machines.push_back(machine);
+        taken_[machine] = true;
+        for (auto& ref : cluster_.machines[machine]->tasks) stop(ref);
     }
-    return round;
+}
+
+// Gangs are stopped everywhere.
+void PreemptionPlanner::stop(const TaskRef& ref) {
+    auto& victim = *cluster_.jobs[ref.job];
+    if (victim.spec.kind != JobKind::Gang) return stop_task(ref);
+    for (uint32_t t = 0; t < victim.tasks.size(); ++t)
+        if (victim.tasks[t].state == TaskState::Placed) stop_task({ref.job, t});
+}
+
+void PreemptionPlanner::stop_task(const TaskRef& ref) {
+    if (stopped_.emplace(ref.job, ref.task).second) round_.stops.push_back(ref);
+}
+
+}  // namespace
+
+PreemptionRound plan_preemption(const ClusterState& cluster, const Usable& usable, double now) {
+    return PreemptionPlanner(cluster, usable, now).run();
 }
 
 std::string round_record(const PreemptionRound& round, const ClusterState& cluster,
                          uint64_t number) {
     namespace json = boost::json;
-    // Bounded, so that the record fits the smallest value the state service may allow.
-    constexpr size_t kMax = 8;
+    // Bounded, so that the record fits the smallest value that the key-value store may allow.
+    constexpr size_t kMaxListed = 8;
     json::array clearings;
     for (auto& c : round.clearings) {
-        if (clearings.size() == kMax) break;
+        if (clearings.size() == kMaxListed) break;
         json::array machines;
         for (auto m : c.machines)
-            if (machines.size() < kMax) machines.emplace_back(cluster.machines[m]->name);
+            if (machines.size() < kMaxListed) machines.emplace_back(cluster.machines[m]->name);
         clearings.push_back(
             json::object{{"job", cluster.jobs[c.job]->spec.id}, {"machines", std::move(machines)}});
     }
