--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -100,8 +100,10 @@
     out["tasks_placed"] = static_cast<double>(placed);
     out["tasks_pending"] = static_cast<double>(pending);
     out["queues_pressed"] = static_cast<double>(forecast_.overloaded());
-    capacity_gauges(capacity_breakdown(cluster_, usable_now(), now_), out);
-    starved_gauges(starved_jobs(cluster_, usable_now(), now_, kStarvedAfter_s), out);
+    for (auto& g : capacity_gauges(capacity_breakdown(cluster_, usable_now(), now_)))
+        out[g.name] = g.value;
+    for (auto& g : starved_gauges(starved_jobs(cluster_, usable_now(), now_, kStarvedAfter_s)))
+        out[g.name] = g.value;
 }
 
 PeerReply Leader::come_back(int seconds) const {
--- a/src/scheduler/capacity_breakdown.cpp
+++ b/src/scheduler/capacity_breakdown.cpp
@@ -4,11 +4,12 @@
 
 namespace {
 
-constexpr const char* kNames[kCapacityUses] = {"booting",   "running",  "starting", "fetching",
-                                               "gathering", "stopping", "silent",   "leaving",
-                                               "shunned",   "reserved", "empty",    "fragment"};
+// As in the names of the gauges, in the order of CapacityUse.
+constexpr std::array<const char*, kCapacityUses> kNames = {
+    "booting", "running", "starting", "fetching", "gathering", "stopping",
+    "silent",  "leaving", "shunned",  "reserved", "empty",     "fragment"};
 
-CapacityUse taken_by(const Task& task) {
+CapacityUse use_by(const Task& task) {
     if (task.stopping || task.phase == TaskPhase::Saving) return CapacityUse::Stopping;
     switch (task.phase) {
         case TaskPhase::Fetching:
@@ -22,7 +23,7 @@
     }
 }
 
-CapacityUse free_as(const Machine& m, const Usable& usable, double now) {
+CapacityUse use_of_free(const Machine& m, const Usable& usable, double now) {
     if (!m.up) return m.up_at > 0 ? CapacityUse::Silent : CapacityUse::Booting;
     if (m.interruption_at >= 0 || m.draining || m.terminating || m.abandoned)
         return CapacityUse::Leaving;
@@ -41,30 +42,34 @@
         if (!m || m->size == Resources{}) continue;
         for (auto& ref : m->tasks) {
             auto& job = *cluster.jobs[ref.job];
-            out[taken_by(job.tasks[ref.task])] += job.spec.demand;
+            out[use_by(job.tasks[ref.task])] += job.spec.demand;
         }
-        out[free_as(*m, usable, now)] += m->room();
+        out[use_of_free(*m, usable, now)] += m->room();
     }
     return out;
 }
 
-std::string capacity_text(const CapacityBreakdown& account) {
+std::string capacity_text(const CapacityBreakdown& breakdown) {
     int64_t gpus = 0;
-    for (auto& r : account.room) gpus += r.gpu;
+    for (auto& r : breakdown.by_use) gpus += r.gpu;
     std::string out = gpus > 0 ? "gpus" : "cpus";
     for (size_t k = 0; k < kCapacityUses; ++k) {
-        auto amount = gpus > 0 ? account.room[k].gpu : account.room[k].cpu;
+        auto& r = breakdown.by_use[k];
+        auto amount = gpus > 0 ? r.gpu : r.cpu;
         if (amount != 0) out += std::string(" ") + kNames[k] + "=" + std::to_string(amount / 1000);
     }
     return out;
 }
 
-void capacity_gauges(const CapacityBreakdown& account, std::map<std::string, double>& out) {
+std::vector<Gauge> capacity_gauges(const CapacityBreakdown& breakdown) {
+    std::vector<Gauge> out;
     for (size_t k = 0; k < kCapacityUses; ++k) {
-        std::string kind = kNames[k];
-        out["room_" + kind + "_cpus"] = static_cast<double>(account.room[k].cpu) / 1000;
-        out["room_" + kind + "_gpus"] = static_cast<double>(account.room[k].gpu) / 1000;
+        auto& r = breakdown.by_use[k];
+        auto prefix = std::string("room_") + kNames[k];
+        out.push_back({prefix + "_cpus", static_cast<double>(r.cpu) / 1000});
+        out.push_back({prefix + "_gpus", static_cast<double>(r.gpu) / 1000});
     }
+    return out;
 }
 
 }  // namespace weirmill
--- a/src/scheduler/start_deadline.h
+++ b/src/scheduler/start_deadline.h
@@ -1,7 +1,7 @@
-// A bound on the wait until a job begins. Shorter work first, times past saving and small gangs
-// that fit into any gap all pass large jobs by; near the bound a job that has not begun goes first
-// within what its priority and its team's guarantee and limit command. Pure functions of the tables
-// and a given time.
+// A bound on the wait until a job begins. Shorter work, jobs whose due times can still be met and
+// small gangs that fit into any gap all overtake large jobs; near the bound a job that has not
+// begun goes first within its priority and its team's guarantee and limit. Pure functions of the
+// cluster state and a given time (steady clock, seconds).
 #pragma once
 #include <vector>
 
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -83,10 +83,11 @@
         auto found = starved_jobs(w.cluster, usable, w.now, kStarvedAfter_s);
         ASSERT_EQ(found.size(), row.held ? 1u : 0u) << row.what;
         if (row.held) {
-            EXPECT_EQ(found[0].held, *row.held) << row.what;
+            EXPECT_EQ(found[0].blocked_by, *row.held) << row.what;
         }
         std::map<std::string, double> gauges;
-        starved_gauges(found, gauges);
+        for (auto& g : starved_gauges(found))
+            EXPECT_TRUE(gauges.emplace(g.name, g.value).second) << g.name;
         EXPECT_EQ(gauges.at("jobs_starved"), static_cast<double>(found.size())) << row.what;
     }
 }
