--- a/bench/pass_bench.cpp
+++ b/bench/pass_bench.cpp
@@ -185,6 +185,7 @@
                                          }
                                      })
             ->Arg(2000)
+            ->Arg(4000)
             ->Arg(5000)
             ->Arg(10000)
             ->Iterations(3)
--- a/src/scheduler/array_placement.h
+++ b/src/scheduler/array_placement.h
@@ -14,7 +14,7 @@
 
 // Places pending tasks of the job in their order, appending them to `out`, until room, the team's
 // limit or `max_placed` ends it. `now`: steady clock, seconds.
-void place_array(PlacementPass& pass, Index job, const ArrayPlacement& bounds, double now,
+void place_array(PlacementPass& pass, Index index, const ArrayPlacement& bounds, double now,
                  std::vector<Placement>& out);
 
 }  // namespace weirmill
--- a/src/scheduler/deadline_feasibility.cpp
+++ b/src/scheduler/deadline_feasibility.cpp
@@ -13,8 +13,8 @@
                                        double before) {
     std::vector<Index> out;
     if (units <= 0) return out;  // no machine yet: nothing is known
-    std::sort(jobs.begin(), jobs.end(),
-              [](auto& a, auto& b) { return std::tie(a.start, a.job) < std::tie(b.start, b.job); });
+    std::ranges::sort(
+        jobs, [](auto& a, auto& b) { return std::tie(a.start, a.job) < std::tie(b.start, b.job); });
     auto less = [](const DeadlineCandidate& a, const DeadlineCandidate& b) {
         return std::tie(a.work, a.job) < std::tie(b.work, b.job);
     };
--- a/src/scheduler/eligibility.cpp
+++ b/src/scheduler/eligibility.cpp
@@ -5,7 +5,7 @@
 namespace weirmill {
 
 bool image_near(const ClusterState& cluster, const Machine& m, Index image) {
-    return m.has_image(image) || std::any_of(m.tasks.begin(), m.tasks.end(), [&](auto& ref) {
+    return m.has_image(image) || std::ranges::any_of(m.tasks, [&](auto& ref) {
                return cluster.jobs[ref.job]->spec.image == image;
            });
 }
--- a/src/scheduler/fit_queues.cpp
+++ b/src/scheduler/fit_queues.cpp
@@ -10,7 +10,7 @@
 namespace {
 // Queues kept at once. A site on which more kinds wait makes some of them anew, as it would for
 // every job without any; what they take is bounded by this and the machines.
-constexpr size_t kKept = 64;
+constexpr size_t kMaxQueues = 64;
 
 // It loses the work of all its machines with any one of them: spot machines are for others first.
 bool together(const JobSpec& spec) { return spec.kind == JobKind::Gang && spec.tasks > 1; }
@@ -22,7 +22,7 @@
     bool wasted_gpus = job.spec.demand.gpu == 0 && m.size.gpu > 0;
     int64_t rest = job.spec.demand.gpu > 0 ? left.gpu : left.cpu;
     bool whole = together(job.spec);
-    return {wasted_gpus,       job.failed_on.size() && job.failed_on.count(index) > 0,
+    return {wasted_gpus,       !job.failed_on.empty() && job.failed_on.contains(index),
             m.tasks.empty(),   rest,
             whole && m.spot,   !m.has_image(job.spec.image),
             !whole && !m.spot, left.cpu,
@@ -72,10 +72,10 @@
         build(own_, job);
         return own_;
     }
-    auto it = std::find_if(kept_.begin(), kept_.end(),
-                           [&](auto& k) { return k.kind == kind && k.queue.near_ == near; });
+    auto it = std::ranges::find_if(
+        kept_, [&](auto& k) { return k.kind == kind && k.queue.near_ == near; });
     if (it == kept_.end()) {
-        if (kept_.size() == kKept) kept_.pop_back();
+        if (kept_.size() == kMaxQueues) kept_.pop_back();
         kept_.push_front({kind, {}});
         kept_.front().queue.near_ = near;
         build(kept_.front().queue, job);
@@ -86,17 +86,18 @@
     return kept_.front().queue;
 }
 
-void FitQueues::admit(FitQueue& queue, const Job& job, Index i) const {
-    auto& m = *cluster_.machines[i];
+void FitQueues::admit(FitQueue& queue, const Job& job, Index machine) const {
+    auto& m = *cluster_.machines[machine];
     int64_t times = 0;
     if (job.spec.demand.fits_in(m.room()) && cluster_.machine_allowed(job.spec, m) &&
         (!queue.near_ || image_near(cluster_, m, job.spec.image)))
         times = job.spec.demand.times_in(m.room());
-    if (times == 0 && queue.times_[i] == 0) return;
+    if (times == 0 && queue.times_[machine] == 0) return;
     auto& zone = queue.zones_[m.zone];
-    zone.room += times - queue.times_[i];
-    queue.times_[i] = times;
-    if (times > 0) zone.heap.push_back({fit(cluster_, job, i, now_), i, stamp_[i]});
+    zone.room += times - queue.times_[machine];
+    queue.times_[machine] = times;
+    if (times > 0)
+        zone.heap.push_back({fit(cluster_, job, machine, now_), machine, stamp_[machine]});
 }
 
 void FitQueues::build(FitQueue& queue, const Job& job) const {
@@ -106,7 +107,7 @@
     for (auto i : open_) admit(queue, job, i);
     for (auto& [z, zone] : queue.zones_) {
         for (auto& e : zone.heap) zone.members.push_back(e.machine);
-        std::make_heap(zone.heap.begin(), zone.heap.end(), std::greater<>());
+        std::ranges::make_heap(zone.heap, std::greater<>());
     }
 }
 
@@ -120,8 +121,7 @@
         auto& zone = queue.zones_[cluster_.machines[i]->zone];
         auto before = zone.heap.size();
         admit(queue, job, i);
-        if (zone.heap.size() > before)
-            std::push_heap(zone.heap.begin(), zone.heap.end(), std::greater<>());
+        if (zone.heap.size() > before) std::ranges::push_heap(zone.heap, std::greater<>());
     }
     size_t entries = 0;
     for (auto& [z, zone] : queue.zones_) entries += zone.heap.size();
@@ -136,15 +136,15 @@
 const FitQueue::Entry* FitQueues::top(FitQueue::Zone& zone) const {
     auto& heap = zone.heap;
     while (!heap.empty() && heap.front().stamp != stamp_[heap.front().machine]) {
-        std::pop_heap(heap.begin(), heap.end(), std::greater<>());
+        std::ranges::pop_heap(heap, std::greater<>());
         heap.pop_back();
     }
     return heap.empty() ? nullptr : &heap.front();
 }
 
-std::optional<FitQueue::Entry> FitQueues::pop(FitQueue::Zone& zone) const {
-    if (!top(zone)) return std::nullopt;
-    std::pop_heap(zone.heap.begin(), zone.heap.end(), std::greater<>());
+FitQueue::Entry FitQueues::pop(FitQueue::Zone& zone) const {
+    top(zone);  // takes out entries out of date
+    std::ranges::pop_heap(zone.heap, std::greater<>());
     auto entry = zone.heap.back();
     zone.heap.pop_back();
     return entry;
@@ -153,7 +153,7 @@
 void FitQueues::put_back(FitQueue::Zone& zone, const FitQueue::Entry& entry) const {
     if (entry.stamp != stamp_[entry.machine]) return;
     zone.heap.push_back(entry);
-    std::push_heap(zone.heap.begin(), zone.heap.end(), std::greater<>());
+    std::ranges::push_heap(zone.heap, std::greater<>());
 }
 
 }  // namespace weirmill
--- a/src/scheduler/fit_queues.h
+++ b/src/scheduler/fit_queues.h
@@ -7,13 +7,12 @@
 // again: what a pass costs grows with its placements and its kinds, no longer with jobs times
 // machines.
 //
-// During a pass room only shrinks, and images, reports and reservations stand still.
+// During a pass room only shrinks, and images, heartbeats and reservations do not change.
 #pragma once
 #include <cstdint>
 #include <list>
 #include <map>
 #include <memory>
-#include <optional>
 #include <tuple>
 #include <vector>
 
@@ -21,11 +20,11 @@
 
 namespace weirmill {
 
-// Smaller is a better fit. GPUs are not spent on tasks that need none while there is another place.
-// Among equals, one that reports soon: until then a task can't start, and a gang waits for the last
-// of its own.
+// How badly a machine fits a task: less is better. GPUs are not spent on tasks that need none while
+// there is another place. Among equals, a machine whose next heartbeat is due soon: until then a
+// task can't start, and a gang waits for the last of its own.
 using Fit = std::tuple<bool, bool, bool, int64_t, bool, bool, bool, int64_t, int64_t, double>;
-Fit fit(const ClusterState& cluster, const Job& job, Index machine, double now);
+Fit fit(const ClusterState& cluster, const Job& job, Index index, double now);
 
 class FitQueue {
   public:
@@ -68,12 +67,13 @@
 
     // The queue for tasks of the job as room stands now. `near`: only of machines where the image
     // is, or is being fetched. Valid until the next call.
-    FitQueue& of(Index job, bool near);
+    FitQueue& of(Index index, bool near);
     // Room was taken on the machine.
     void taken(Index machine);
-    // The best entry of the zone that is not out of date, taken out; none: no machine has room.
-    std::optional<FitQueue::Entry> pop(FitQueue::Zone& zone) const;
+    // The best entry of the zone that is not out of date; null: no machine there has room.
     const FitQueue::Entry* top(FitQueue::Zone& zone) const;
+    // The same, taken out; there must be one.
+    FitQueue::Entry pop(FitQueue::Zone& zone) const;
     // An entry that was popped, unless room was taken there since.
     void put_back(FitQueue::Zone& zone, const FitQueue::Entry& entry) const;
     // The machine with the lowest index that has room in the zone and that `may` accepts; kNone:
@@ -91,7 +91,7 @@
     using Kind =
         std::tuple<int64_t, int64_t, int64_t, Index, bool, bool, Index, std::vector<Index>>;
     struct Kept {
-        uint32_t kind;
+        uint32_t kind = 0;
         FitQueue queue;
     };
     static Kind kind(const JobSpec& spec);
--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -64,7 +64,7 @@
         auto* job = cluster.jobs[j].get();
         if (job && may_be_placed(*job, now)) jobs.push_back(ranked(cluster, j, now));
     }
-    std::sort(jobs.begin(), jobs.end(), [](auto& a, auto& b) { return a.key < b.key; });
+    std::ranges::sort(jobs, [](auto& a, auto& b) { return a.key < b.key; });
     std::vector<std::vector<Index>> out;
     const Rank* previous = nullptr;
     for (auto& job : jobs) {
@@ -76,10 +76,14 @@
     return out;
 }
 
-std::vector<Index> waiting_jobs(const ClusterState& cluster, double now) {
+std::vector<Index> jobs_of(const std::vector<std::vector<Index>>& ranks) {
     std::vector<Index> out;
-    for (auto& rank : waiting_ranks(cluster, now)) out.insert(out.end(), rank.begin(), rank.end());
+    for (auto& rank : ranks) out.insert(out.end(), rank.begin(), rank.end());
     return out;
 }
 
+std::vector<Index> waiting_jobs(const ClusterState& cluster, double now) {
+    return jobs_of(waiting_ranks(cluster, now));
+}
+
 }  // namespace weirmill
--- a/src/scheduler/job_order.h
+++ b/src/scheduler/job_order.h
@@ -11,7 +11,8 @@
 // Jobs with pending tasks that may be placed now, highest rank first; those of one rank together,
 // in the order of their due times.
 std::vector<std::vector<Index>> waiting_ranks(const ClusterState& cluster, double now);
-// The same jobs in the same order, in one list.
+// The jobs of all ranks in one list, in the same order.
+std::vector<Index> jobs_of(const std::vector<std::vector<Index>>& ranks);
 std::vector<Index> waiting_jobs(const ClusterState& cluster, double now);
 
 }  // namespace weirmill
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -107,7 +107,7 @@
                                      size_t most, const std::vector<Headroom>& headroom,
                                      const std::vector<Index>& first) {
     auto ranks = waiting_ranks(cluster, now);
-    PlacementPass pass(cluster, usable, ranks, now, headroom);
+    PlacementPass pass(cluster, usable, jobs_of(ranks), now, headroom);
     auto out = Placer(cluster, pass, now, most, first).run(ranks);
     release_unneeded_reservations(cluster);
     return out;
--- a/src/scheduler/placement_pass.cpp
+++ b/src/scheduler/placement_pass.cpp
@@ -8,26 +8,30 @@
 namespace weirmill {
 
 PlacementPass::PlacementPass(ClusterState& cluster, const Usable& usable,
-                             const std::vector<std::vector<Index>>& ranks, double now,
+                             const std::vector<Index>& waiting, double now,
                              const std::vector<Headroom>& headroom)
-    : cluster_(cluster), now_(now) {
-    std::vector<Index> waiting;
-    for (auto& rank : ranks) waiting.insert(waiting.end(), rank.begin(), rank.end());
+    : cluster_(cluster),
+      now_(now),
+      open_(find_open_machines(usable, waiting)),
+      queues_(cluster, open_, waiting, now) {
     for (auto j : waiting) lowest_priority_ = std::min(lowest_priority_, cluster.jobs[j]->priority);
-    find_open_machines(usable, waiting);
-    queues_.emplace(cluster, open_, waiting, now);
+    for (auto i : open_) {
+        auto& m = *cluster.machines[i];
+        if (m.reserved(now)) reserved_for_.push_back(m.reserved_for);
+    }
     keep_headroom(headroom);
 }
 
-void PlacementPass::find_open_machines(const Usable& usable, const std::vector<Index>& waiting) {
-    if (waiting.empty()) return;
+std::vector<Index> PlacementPass::find_open_machines(const Usable& usable,
+                                                     const std::vector<Index>& waiting) const {
+    if (waiting.empty()) return {};
+    std::vector<Index> out;
     auto least = smallest_demand(cluster_, waiting);
     for (Index i = 0; i < cluster_.machines.size(); ++i) {
         auto* m = cluster_.machines[i].get();
-        if (!m || !least.fits_in(m->room()) || !usable(*m)) continue;
-        open_.push_back(i);
-        if (m->reserved(now_)) reserved_for_.push_back(m->reserved_for);
+        if (m && least.fits_in(m->room()) && usable(*m)) out.push_back(i);
     }
+    return out;
 }
 
 void PlacementPass::keep_headroom(const std::vector<Headroom>& headroom) {
@@ -48,17 +52,15 @@
 
 // A job that goes first, could go wherever this one can, and needs no more, found nothing.
 bool PlacementPass::found_none_before(const JobSpec& spec) const {
-    return std::any_of(exhausted_.begin(), exhausted_.end(), [&](auto& c) {
-        return c.same_places(spec) && c.demand.fits_in(spec.demand);
-    });
+    return std::ranges::any_of(
+        exhausted_, [&](auto& c) { return c.same_places(spec) && c.demand.fits_in(spec.demand); });
 }
 
 FitQueue* PlacementPass::candidates(Index index, bool near) {
     auto& spec = cluster_.jobs[index]->spec;
-    bool has_reservation =
-        std::find(reserved_for_.begin(), reserved_for_.end(), index) != reserved_for_.end();
+    bool has_reservation = std::ranges::find(reserved_for_, index) != reserved_for_.end();
     if (!has_reservation && found_none_before(spec)) return nullptr;
-    auto& queue = queues_->of(index, near);
+    auto& queue = queues_.of(index, near);
     if (queue.room() > 0) return &queue;
     if (!near) exhausted_.emplace_back(spec);
     return nullptr;
@@ -83,19 +85,20 @@
     auto& job = *cluster_.jobs[index];
     std::map<Index, int64_t> near_tasks;
     // With one zone there is nothing to choose.
-    if (job.spec.image_gb > 0 && queues_->of(index, false).zones().size() > 1) {
-        auto& queue = queues_->of(index, true);
+    if (job.spec.image_gb > 0 && queues_.of(index, false).zones().size() > 1) {
+        auto& queue = queues_.of(index, true);
         for (auto& [z, zone] : queue.zones())
             near_tasks[z] = std::min<int64_t>(zone.room, job.pending);
     }
-    auto& queue = queues_->of(index, false);
+    auto& queue = queues_.of(index, false);
     std::vector<std::tuple<int64_t, Index, Index>> order;
     for (auto& [z, zone] : queue.zones()) {
         auto i = FitQueues::lowest(queue, zone, [&](Index m) { return may_use(index, m); });
         if (i != kNone) order.emplace_back(-near_tasks[z], i, z);
     }
-    std::sort(order.begin(), order.end());
+    std::ranges::sort(order);
     std::vector<Index> out;
+    out.reserve(order.size());
     for (auto& [tasks, machine, zone] : order) out.push_back(zone);
     return out;
 }
@@ -136,7 +139,7 @@
     const FitQueue::Entry* best_entry = nullptr;
     for (auto& [z, zone] : queue.zones()) {
         if ((only != kNone && z != only) || !rule.allows(z)) continue;
-        auto* entry = queues_->top(zone);
+        auto* entry = queues_.top(zone);
         if (!entry || (best_entry && !(*best_entry > *entry))) continue;
         best_entry = entry;
         best = &zone;
@@ -145,7 +148,7 @@
 }
 
 void PlacementPass::task_placed(Index machine) {
-    queues_->taken(machine);
+    queues_.taken(machine);
     auto& m = *cluster_.machines[machine];
     if (m.tasks.size() > 1 || m.reserved_for != kNone) return;
     for (auto& kept : headroom_)
--- a/src/scheduler/placement_pass.h
+++ b/src/scheduler/placement_pass.h
@@ -5,7 +5,6 @@
 // which no room was found. Room only shrinks during a pass. Used by one thread.
 #pragma once
 #include <map>
-#include <optional>
 #include <utility>
 #include <vector>
 
@@ -31,22 +30,21 @@
 
 class PlacementPass {
   public:
-    // `ranks`: the jobs of the pass, see waiting_ranks. `now`: steady clock, seconds. The cluster
-    // and what `headroom` refers to must outlive the pass.
-    PlacementPass(ClusterState& cluster, const Usable& usable,
-                  const std::vector<std::vector<Index>>& ranks, double now,
-                  const std::vector<Headroom>& headroom);
+    // `waiting`: the jobs that will be placed. `now`: steady clock, seconds. The cluster and what
+    // `headroom` refers to must outlive the pass.
+    PlacementPass(ClusterState& cluster, const Usable& usable, const std::vector<Index>& waiting,
+                  double now, const std::vector<Headroom>& headroom);
 
     ClusterState& cluster() { return cluster_; }
 
     // Machines with room for a task of the job, best fit first; null: there are none. `near`: only
     // those where its image is. Valid until the next call of candidates or zone_order.
-    FitQueue* candidates(Index job, bool near);
+    FitQueue* candidates(Index index, bool near);
 
     // The zones with a machine that the job may use, in the order in which they are tried: most
     // tasks that find their image there first, as a gang waits for the last of its machines to
     // fetch it; then by the lowest index of such a machine.
-    std::vector<Index> zone_order(Index job);
+    std::vector<Index> zone_order(Index index);
 
     // Holds machines for a job that found no room: those with some, though not enough for one task,
     // are passed over by jobs of lower priority until more comes free there. Without that, tasks of
@@ -66,14 +64,14 @@
         while (more) {
             auto* zone = best_zone(queue, only, rule);
             if (!zone) break;
-            auto entry = *queues_->pop(*zone);
+            auto entry = queues_.pop(*zone);
             // Until others take room there, no task of this kind may: it comes back with the next
             // entry.
             if (!cluster_.leaves_gpus_usable(job.spec, *cluster_.machines[entry.machine])) continue;
             popped.emplace_back(zone, entry);
             if (may_use(index, entry.machine)) more = fill_machine(job, entry.machine, rule, place);
         }
-        for (auto& [zone, entry] : popped) queues_->put_back(*zone, entry);
+        for (auto& [zone, entry] : popped) queues_.put_back(*zone, entry);
     }
 
     // A task was placed on the machine, and its room is taken in the cluster state.
@@ -90,10 +88,11 @@
         int64_t surplus;  // tasks that the empty machines hold beyond what is to be kept
     };
 
-    void find_open_machines(const Usable& usable, const std::vector<Index>& waiting);
+    std::vector<Index> find_open_machines(const Usable& usable,
+                                          const std::vector<Index>& waiting) const;
     void keep_headroom(const std::vector<Headroom>& headroom);
     bool is_headroom(const KeptHeadroom& kept, const Machine& m) const;
-    bool may_use(Index job, Index machine) const;
+    bool may_use(Index index, Index machine) const;
     bool found_none_before(const JobSpec& spec) const;
     bool shares_machines(const JobSpec& spec) const;
     bool held_for_others(Index machine, Priority priority) const;
@@ -116,7 +115,7 @@
     std::vector<KeptHeadroom> headroom_;
     std::vector<Index> open_;          // machines with room for the smallest task, ascending
     std::vector<Index> reserved_for_;  // jobs that have one of them reserved
-    std::optional<FitQueues> queues_;
+    FitQueues queues_;
     Priority lowest_priority_ = Priority::Production;  // of the waiting jobs
     std::map<Index, Priority> held_;               // machines that jobs of lower priority pass over
     std::vector<PlacementConstraints> exhausted_;  // for which no room was found
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <boost/json.hpp>
+#include <functional>
 #include <map>
 #include <numeric>
 #include <optional>
@@ -103,7 +104,7 @@
     std::vector<Index> machines;
     for (auto& t : gang.tasks)
         if (t.state == TaskState::Placed &&
-            std::find(machines.begin(), machines.end(), t.machine) == machines.end())
+            std::ranges::find(machines, t.machine) == machines.end())
             machines.push_back(t.machine);
     return static_cast<uint32_t>(machines.size());
 }
@@ -125,8 +126,7 @@
                 continue;
             }
             auto gang = number(ref.job);
-            if (std::find(c.gangs.begin(), c.gangs.end(), gang) == c.gangs.end())
-                c.gangs.push_back(gang);
+            if (std::ranges::find(c.gangs, gang) == c.gangs.end()) c.gangs.push_back(gang);
         }
         return c;
     }
@@ -148,7 +148,7 @@
 void prefer_machines_with_image(const ClusterState& cluster, Index image, ZonePlan& plan) {
     std::vector<size_t> order(plan.candidates.size());
     std::iota(order.begin(), order.end(), size_t{0});
-    std::stable_partition(order.begin(), order.end(), [&](size_t c) {
+    std::ranges::stable_partition(order, [&](size_t c) {
         return cluster.machines[plan.candidates[c].machine]->has_image(image);
     });
     std::vector<ClearCandidate> candidates;
@@ -165,7 +165,7 @@
 // first; nothing: all of them together don't.
 std::optional<size_t> fewest_machines(const ZonePlan& plan) {
     auto tasks = plan.tasks;
-    std::sort(tasks.rbegin(), tasks.rend());
+    std::ranges::sort(tasks, std::greater<>());
     size_t n = 0;
     int64_t sum = 0;
     while (n < tasks.size() && sum < plan.missing) sum += tasks[n++];
@@ -248,8 +248,8 @@
     bool owed = owed_its_guarantee(job);
     // Where some of its tasks are placed, its zones are its own.
     bool fresh_zones = job.placed == 0;
-    if (fresh_zones && std::any_of(failed_.begin(), failed_.end(),
-                                   [&](auto& f) { return f.covers(job.spec, owed, wanted); }))
+    if (fresh_zones &&
+        std::ranges::any_of(failed_, [&](auto& f) { return f.covers(job.spec, owed, wanted); }))
         return;
     auto plan = cheapest_plan(job, wanted);
     if (!plan) {
@@ -319,7 +319,7 @@
 }
 
 bool PreemptionPlanner::may_clear(const Job& job, const Machine& m) const {
-    return !m.tasks.empty() && std::all_of(m.tasks.begin(), m.tasks.end(), [&](auto& ref) {
+    return !m.tasks.empty() && std::ranges::all_of(m.tasks, [&](auto& ref) {
         return may_stop(cluster_, *cluster_.jobs[ref.job], job);
     });
 }
--- a/src/scheduler/start_deadline.cpp
+++ b/src/scheduler/start_deadline.cpp
@@ -35,7 +35,7 @@
         if (!job || !waits_to_begin(*job, now)) continue;
         if (now - job->came_at() > kNearDeadline * within_s) out.push_back(j);
     }
-    std::sort(out.begin(), out.end(), [&](Index a, Index b) {
+    std::ranges::sort(out, [&](Index a, Index b) {
         return std::make_pair(cluster.jobs[a]->came_at(), a) <
                std::make_pair(cluster.jobs[b]->came_at(), b);
     });
--- a/src/scheduler/starvation.cpp
+++ b/src/scheduler/starvation.cpp
@@ -43,7 +43,7 @@
         auto tasks = std::min<int64_t>(spec.demand.times_in(m.room()), wanted);
         out.push_back({i, m.zone, blocked_by(cluster, m, usable, index, now), tasks});
     }
-    std::sort(out.begin(), out.end(), [](auto& a, auto& b) { return a.blocked_by < b.blocked_by; });
+    std::ranges::sort(out, [](auto& a, auto& b) { return a.blocked_by < b.blocked_by; });
     return out;
 }
 
@@ -108,6 +108,7 @@
     std::array<double, kBlockedByKinds> count{};
     for (auto& s : starved) ++count[static_cast<size_t>(s.blocked_by)];
     std::vector<Gauge> out;
+    out.reserve(kBlockedByKinds + 1);
     for (size_t k = 0; k < kBlockedByKinds; ++k)
         out.push_back({std::string("jobs_starved_") + kNames[k], count[k]});
     out.push_back({"jobs_starved", static_cast<double>(starved.size())});
