--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -95,9 +95,12 @@
     out["tasks_placed"] = static_cast<double>(placed);
     out["tasks_pending"] = static_cast<double>(pending);
     out["queues_pressed"] = static_cast<double>(forecast_.overloaded());
-    capacity_gauges(capacity_breakdown(context_.cluster, usable_now(), context_.now), out);
-    starved_gauges(starved_jobs(context_.cluster, usable_now(), context_.now, kStarvedAfter_s),
-                   out);
+    for (auto& g :
+         capacity_gauges(capacity_breakdown(context_.cluster, usable_now(), context_.now)))
+        out[g.name] = g.value;
+    for (auto& g : starved_gauges(
+             starved_jobs(context_.cluster, usable_now(), context_.now, kStarvedAfter_s)))
+        out[g.name] = g.value;
 }
 
 PeerReply Leader::come_back(int seconds) const {
--- a/src/scheduler/deadline_feasibility.cpp
+++ b/src/scheduler/deadline_feasibility.cpp
@@ -2,6 +2,8 @@
 
 #include <algorithm>
 #include <queue>
+#include <tuple>
+#include <utility>
 
 #include "scheduler/overload_forecast.h"
 
@@ -11,8 +13,8 @@
                                        double before) {
     std::vector<Index> out;
     if (units <= 0) return out;  // no machine yet: nothing is known
-    std::sort(jobs.begin(), jobs.end(),
-              [](auto& a, auto& b) { return std::tie(a.start, a.job) < std::tie(b.start, b.job); });
+    std::ranges::sort(
+        jobs, [](auto& a, auto& b) { return std::tie(a.start, a.job) < std::tie(b.start, b.job); });
     auto less = [](const DeadlineCandidate& a, const DeadlineCandidate& b) {
         return std::tie(a.work, a.job) < std::tie(b.work, b.job);
     };
@@ -30,10 +32,29 @@
     return out;
 }
 
+namespace {
+
+// Waiting jobs that can still meet their due time number `level`, and not one before it.
+std::vector<DeadlineCandidate> candidates_at(const ClusterState& cluster,
+                                             const std::vector<Index>& jobs, size_t level,
+                                             double now) {
+    std::vector<DeadlineCandidate> out;
+    for (auto j : jobs) {
+        auto& job = *cluster.jobs[j];
+        double run = cluster.expected_run_s(job.spec);
+        int missed = 0;
+        double due = cluster.due(job, now + run, missed);
+        if (due > kNoDueTime_s || missed != static_cast<int>(level)) continue;
+        out.push_back({j, waiting_work(cluster, job), due - run - now});
+    }
+    return out;
+}
+
+}  // namespace
+
 void abandon_deadlines(ClusterState& cluster, const std::vector<Index>& queue, double units,
                        double now) {
     std::vector<Index> jobs;
-    size_t levels = 0;
     for (auto j : queue) {
         auto& job = *cluster.jobs[j];
         job.abandoned_deadlines = 0;
@@ -41,22 +62,15 @@
         // starts.
         if (job.spec.kind == JobKind::Array && job.pending > 0) jobs.push_back(j);
     }
+    size_t levels = 0;
     for (auto j : jobs) levels = std::max(levels, cluster.times_asked(*cluster.jobs[j]));
     double before = 0;
     // Those that can meet their first time go before those that can only meet the next.
     for (size_t level = 0; level < levels; ++level) {
-        std::vector<DeadlineCandidate> contenders;
-        for (auto j : jobs) {
-            auto& job = *cluster.jobs[j];
-            double run = cluster.expected_run_s(job.spec);
-            int missed;
-            double due = cluster.due(job, now + run, missed);
-            if (due > 1e17 || missed != static_cast<int>(level)) continue;
-            contenders.push_back({j, waiting_work(cluster, job), due - run - now});
-        }
+        auto candidates = candidates_at(cluster, jobs, level, now);
         double work = 0;
-        for (auto& c : contenders) work += c.work;
-        for (auto j : abandoned_deadlines(std::move(contenders), units, before)) {
+        for (auto& c : candidates) work += c.work;
+        for (auto j : abandoned_deadlines(std::move(candidates), units, before)) {
             work -= waiting_work(cluster, *cluster.jobs[j]);
             ++cluster.jobs[j]->abandoned_deadlines;
         }
