--- /dev/null
+++ b/src/autoscaler/capacity_forecast.cpp
@@ -0,0 +1,70 @@
+#include "autoscaler/capacity_forecast.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace weirmill {
+
+namespace {
+
+// To update an index for a change costs about as much as to rebuild it for so many machines.
+constexpr size_t kMachinesPerChange = 10;
+
+}  // namespace
+
+CapacityForecast::CapacityForecast(const ClusterState& cluster,
+                                   std::vector<ExpectedCapacity> machines, size_t max_shapes)
+    : cluster_(cluster), machines_(std::move(machines)), max_shapes_(max_shapes) {}
+
+const ShapeIndex& CapacityForecast::index_for(const JobSpec& spec) {
+    auto& cached = cached_index(spec);
+    cached.last_used = ++uses_;
+    if (!cached.built || max_shapes_ == 0 || rebuild_is_cheaper(cached)) rebuild(cached);
+    for (; cached.changes_seen < changes_.size(); ++cached.changes_seen) {
+        const size_t machine = changes_[cached.changes_seen];
+        cached.index.update(machine, machines_[machine]);
+    }
+    return cached.index;
+}
+
+CapacityForecast::CachedIndex& CapacityForecast::cached_index(const JobSpec& spec) {
+    const auto it = std::find_if(indexes_.begin(), indexes_.end(), [&](const CachedIndex& cached) {
+        return cached.index.shape().same_shape_as(spec);
+    });
+    return it != indexes_.end() ? *it : add_index(spec);
+}
+
+// In place of the least recently used one where there are as many as may be.
+CapacityForecast::CachedIndex& CapacityForecast::add_index(const JobSpec& spec) {
+    CachedIndex added{ShapeIndex(cluster_, spec)};
+    if (indexes_.size() < std::max<size_t>(max_shapes_, 1)) {
+        indexes_.push_back(std::move(added));
+        return indexes_.back();
+    }
+    auto& oldest = *std::min_element(indexes_.begin(), indexes_.end(),
+                                     [](auto& a, auto& b) { return a.last_used < b.last_used; });
+    oldest = std::move(added);
+    return oldest;
+}
+
+void CapacityForecast::rebuild(CachedIndex& cached) const {
+    cached.index.rebuild(machines_, cluster_.names.zones.size());
+    cached.changes_seen = changes_.size();
+    cached.built = true;
+}
+
+bool CapacityForecast::rebuild_is_cheaper(const CachedIndex& cached) const {
+    return (changes_.size() - cached.changes_seen) * kMachinesPerChange > machines_.size();
+}
+
+void CapacityForecast::apply(std::map<size_t, ExpectedCapacity> changed) {
+    for (auto& [i, c] : changed) {
+        changes_.push_back(i);
+        if (i < machines_.size())
+            machines_[i] = std::move(c);
+        else
+            machines_.push_back(std::move(c));
+    }
+}
+
+}  // namespace weirmill
--- /dev/null
+++ b/src/autoscaler/scale_out.cpp
@@ -0,0 +1,166 @@
+// Scale out: the new machines that waiting work and planned headroom need.
+#include <algorithm>
+#include <map>
+#include <optional>
+#include <utility>
+
+#include "autoscaler/autoscaler.h"
+#include "autoscaler/capacity_forecast.h"
+#include "autoscaler/job_planner.h"
+#include "autoscaler/offers.h"
+
+namespace weirmill {
+
+namespace {
+
+// Of one job, planned one by one in a pass.
+constexpr size_t kMaxTasksPerJob = 400;
+
+double slowest_fetch_s(const ClusterState& cluster, const JobSpec& spec) {
+    double slowest_s = 0;
+    for (Index t = 0; t < cluster.types.size(); ++t) {
+        if (!cluster.type_fits(spec, t)) continue;
+        slowest_s = std::max(slowest_s, cluster.fetch_s(spec, t));
+    }
+    return slowest_s;
+}
+
+// How long the job could wait for room and still start and end as asked; without a time for either,
+// as long as it runs.
+double slack_s(const ClusterState& cluster, const Job& job, double now) {
+    const auto& spec = job.spec;
+    const double fetch_s = slowest_fetch_s(cluster, spec);
+    const double run_s = cluster.expected_run_s(spec);
+    const double earliest_end = now + fetch_s + run_s;
+    int missed = 0;
+    double slack = cluster.due(job, earliest_end, missed) - earliest_end;
+    if (missed > 0) slack = 0;
+    if (spec.job_class < cluster.classes.size()) {
+        const double start_within_s = cluster.classes[spec.job_class].start_within_s;
+        if (start_within_s > 0)
+            slack = std::min(slack, job.came_at() + start_within_s - now - fetch_s);
+    }
+    return slack > kHorizon_s ? run_s : std::max(0.0, slack);
+}
+
+class ScaleOutPlanner {
+  public:
+    ScaleOutPlanner(const ClusterState& cluster, const Usable& usable, size_t max_shapes,
+                    double now)
+        : context_{cluster, now, silent_zones(cluster, usable), highest_price(cluster)},
+          cluster_(cluster),
+          forecast_(cluster, expected_capacity(cluster, usable, now), max_shapes),
+          planned_(cluster.teams.size()) {}
+
+    void add_job(const Job& job);
+    void add_headroom(const Headroom& headroom);
+    [[nodiscard]] std::vector<ScaleOutRequest> requests() const;
+
+  private:
+    // Of the pending tasks, those that the team's limit leaves room for.
+    [[nodiscard]] size_t tasks_within_limit(const Job& job) const;
+    [[nodiscard]] std::vector<Index> zones_by_room(const ShapeIndex& index,
+                                                   const ZoneRule& rule) const;
+    [[nodiscard]] std::optional<JobPlan> best_plan(const Job& job, size_t tasks);
+    [[nodiscard]] int64_t tasks_in_present_room(const JobSpec& spec) const;
+
+    PlanningContext context_;
+    const ClusterState& cluster_;
+    CapacityForecast forecast_;
+    std::vector<Resources> planned_;  // by team index: for jobs that were added
+    std::map<Offer, int> requests_;
+};
+
+size_t ScaleOutPlanner::tasks_within_limit(const Job& job) const {
+    const auto& spec = job.spec;
+    const auto& team = cluster_.teams[spec.team];
+    const auto& planned = planned_[spec.team];
+    size_t tasks = 0;
+    while (tasks < job.pending && tasks < kMaxTasksPerJob &&
+           cluster_.within_limit(team, planned + spec.demand * static_cast<int64_t>(tasks + 1)))
+        ++tasks;
+    return tasks;
+}
+
+// The zones that the rule allows, the one with the most room first.
+std::vector<Index> ScaleOutPlanner::zones_by_room(const ShapeIndex& index,
+                                                  const ZoneRule& rule) const {
+    std::vector<Index> zones;
+    for (Index z = 0; z < cluster_.names.zones.size(); ++z)
+        if (rule.allows(z)) zones.push_back(z);
+    std::stable_sort(zones.begin(), zones.end(), [&](Index a, Index b) {
+        return index.tasks_in_zone(a) > index.tasks_in_zone(b);
+    });
+    return zones;
+}
+
+std::optional<JobPlan> ScaleOutPlanner::best_plan(const Job& job, size_t tasks) {
+    const bool gang = job.spec.kind == JobKind::Gang;
+    const bool one_zone = job.spec.one_zone && (gang || job.placed > 0);
+    const auto& index = forecast_.index_for(job.spec);
+    const double slack = slack_s(cluster_, job, context_.now);
+    const auto zones =
+        one_zone ? zones_by_room(index, ZoneRule(cluster_, job)) : std::vector<Index>{kNone};
+    std::optional<JobPlan> best;
+    for (const Index zone : zones) {
+        auto plan =
+            JobPlanner(context_, forecast_.machines(), index, {job, tasks, zone, slack}).plan();
+        if (!plan.complete && (one_zone || gang)) continue;  // all or nothing: the next zone
+        if (!best || plan.rank() < best->rank()) best = std::move(plan);
+    }
+    return best;
+}
+
+void ScaleOutPlanner::add_job(const Job& job) {
+    const size_t tasks = tasks_within_limit(job);
+    if (job.spec.kind == JobKind::Gang && tasks < job.pending) return;
+    planned_[job.spec.team] += job.spec.demand * static_cast<int64_t>(tasks);
+    auto plan = best_plan(job, tasks);
+    if (!plan) return;
+    for (const auto& [offer, count] : plan->requests) requests_[offer] += count;
+    forecast_.apply(std::move(plan->machines));
+}
+
+int64_t ScaleOutPlanner::tasks_in_present_room(const JobSpec& spec) const {
+    int64_t tasks = 0;
+    for (const auto& c : forecast_.machines())
+        if (capacity_suits(cluster_, spec, c)) tasks += spec.demand.times_in(c.room);
+    return tasks;
+}
+
+void ScaleOutPlanner::add_headroom(const Headroom& headroom) {
+    const auto& spec = *headroom.like;
+    Job unplaced;
+    unplaced.spec = spec;
+    const ZoneRule any_zone(cluster_, unplaced);
+    auto room = tasks_in_present_room(spec);
+    while (room < headroom.tasks) {
+        const auto missing = static_cast<size_t>(headroom.tasks - room);
+        const auto offer = cheapest_offer(cluster_, spec, missing, kNone, any_zone,
+                                          context_.silent_zones, context_.now);
+        if (!offer) return;
+        ++requests_[offer_of(*offer)];
+        room += std::max<int64_t>(1, spec.demand.times_in(offer->room));
+    }
+}
+
+std::vector<ScaleOutRequest> ScaleOutPlanner::requests() const {
+    std::vector<ScaleOutRequest> out;
+    for (const auto& [offer, count] : requests_)
+        out.push_back(
+            {offer.type, offer.zone, offer.spot, std::min(count, kMaxMachinesPerRequest)});
+    return out;
+}
+
+}  // namespace
+
+std::vector<ScaleOutRequest> plan_scale_out(const ClusterState& cluster, const Usable& usable,
+                                            const AutoscalerSettings& settings, double now) {
+    ScaleOutPlanner planner(cluster, usable, settings.max_cached_shapes, now);
+    for (const auto j : waiting_jobs(cluster, now)) planner.add_job(*cluster.jobs[j]);
+    for (const auto& headroom : planned_headroom(cluster, settings, now))
+        planner.add_headroom(headroom);
+    return planner.requests();
+}
+
+}  // namespace weirmill
