--- a/src/liveness/downlink.cpp
+++ b/src/liveness/downlink.cpp
@@ -5,93 +5,120 @@
 namespace weirmill {
 
 namespace {
-constexpr uint32_t kMissed = 2;  // one answer may be lost, or come too late
-constexpr uint32_t kSteady = 2;
-constexpr uint32_t kBacks = 3;
-constexpr double kPace = 0.4;  // of the time between reports, at least
-constexpr uint64_t kTicks =
-    20;  // between two reports in a row: /commands and /status count as well
-constexpr double kMargin = 0.02;  // of a lease: drift, and reports that come late
-constexpr double kMargin_s = 0.5;
 
-// Unanswered, it would have gone to every other controller before it came back to this one.
-bool stays(const DownlinkState& h, const DownlinkObservation& r, const Settings& s, double now) {
-    double around =
+constexpr uint32_t kMaxMissed = 2;  // one answer may be lost, or come too late
+constexpr uint32_t kMinSteady = 2;
+constexpr uint32_t kMinReturned = 3;
+constexpr double kMinPace = 0.4;  // of the time between heartbeats
+// Between two heartbeats in a row: requests to /commands and /status count as well.
+constexpr uint64_t kMaxSeqStep = 20;
+constexpr double kLeaseMargin = 0.02;  // of a lease: clock drift, and heartbeats that come late
+constexpr double kLateMargin_s = 0.5;
+
+// The worker sends its heartbeats to this controller alone. Without answers it would have gone to
+// every other controller before it came back to this one.
+bool stays_here(const DownlinkState& state, const DownlinkObservation& heartbeat, const Settings& s,
+                double now) {
+    if (s.peers.empty() || !heartbeat.direct || state.direct_at <= 0) return false;
+    double around_s =
         static_cast<double>(s.peers.size() + 1) * (s.worker_patience_s + s.worker_next_s);
-    return !s.peers.empty() && r.direct && h.direct_at > 0 &&
-           now - h.direct_at < around - kMargin_s;
+    return now - state.direct_at < around_s - kLateMargin_s;
+}
+
+// Of a worker that has begun a new epoch since it was answered. Had it received that answer, its
+// lease would hold until `valid_until` at least: the answered heartbeat was sent no earlier than
+// its patience before.
+DownlinkEvidence new_epoch_evidence(const DownlinkState& state, const Settings& s, double now) {
+    double sent_at = state.answered_at - s.worker_patience_s;
+    double valid_until = sent_at + s.lease_s * (1 - kLeaseMargin) - kLateMargin_s;
+    return now < valid_until ? DownlinkEvidence::Lost : DownlinkEvidence::Nothing;
+}
+
+// An epoch does not outlive its lease unanswered.
+bool epoch_outlived_lease(const DownlinkState& state, const DownlinkObservation& heartbeat,
+                          const Settings& s, double now) {
+    if (heartbeat.order.agent_epoch != state.agent_epoch || state.epoch_since <= 0) return false;
+    double longest_s = s.lease_s * (1 + kLeaseMargin) + s.worker_patience_s + kLateMargin_s;
+    return now - state.epoch_since > longest_s;
 }
 
 }  // namespace
 
-DownlinkEvidence classify_evidence(const DownlinkState& h, const DownlinkObservation& r,
-                                   const Settings& s, double now) {
-    if (r.start_taken || (h.told_fencing_token && r.our_fencing_token))
-        return DownlinkEvidence::Received;
-    bool newer_session = r.order.agent_epoch > h.answered.agent_epoch;
-    if (h.answered_at > 0 && newer_session) {
-        // Had it taken that answer, its lease would still stand: it was sent no earlier than its
-        // patience before.
-        double stands = h.answered_at - s.worker_patience_s + s.lease_s * (1 - kMargin) - kMargin_s;
-        return now < stands ? DownlinkEvidence::Lost : DownlinkEvidence::Nothing;
-    }
-    bool follows = h.answered_at > 0 && r.order > h.answered;
-    if (follows && (r.start_missing || (h.told_fencing_token && !r.our_fencing_token)))
-        return DownlinkEvidence::Missed;
-    // A session does not outlive its lease unanswered.
-    double most = s.lease_s * (1 + kMargin) + s.worker_patience_s + kMargin_s;
-    if (r.order.agent_epoch == h.agent_epoch && h.epoch_since > 0 && now - h.epoch_since > most)
-        return DownlinkEvidence::Received;
-    return stays(h, r, s, now) && h.steady + 1 >= kSteady ? DownlinkEvidence::Received
-                                                          : DownlinkEvidence::Nothing;
+DownlinkEvidence classify_evidence(const DownlinkState& before,
+                                   const DownlinkObservation& heartbeat, const Settings& s,
+                                   double now) {
+    if (heartbeat.start_taken) return DownlinkEvidence::Received;
+    if (before.told_fencing_token && heartbeat.our_fencing_token) return DownlinkEvidence::Received;
+    bool answered = before.answered_at > 0;
+    if (answered && heartbeat.order.agent_epoch > before.answered.agent_epoch)
+        return new_epoch_evidence(before, s, now);
+    bool token_missing = before.told_fencing_token && !heartbeat.our_fencing_token;
+    bool follows = answered && heartbeat.order > before.answered;
+    if (follows && (heartbeat.start_missing || token_missing)) return DownlinkEvidence::Missed;
+    if (epoch_outlived_lease(before, heartbeat, s, now)) return DownlinkEvidence::Received;
+    bool steady = stays_here(before, heartbeat, s, now) && before.steady + 1 >= kMinSteady;
+    return steady ? DownlinkEvidence::Received : DownlinkEvidence::Nothing;
 }
 
-bool observe_heartbeat(DownlinkState& h, const DownlinkObservation& r, const Settings& s,
-                       double now) {
-    auto evidence = classify_evidence(h, r, s, now);
-    h.steady = stays(h, r, s, now) ? h.steady + 1 : 0;
-    h.direct_at = r.direct ? now : 0;
-    if (r.order.agent_epoch != h.agent_epoch)
-        h.agent_epoch = r.order.agent_epoch, h.epoch_since = now;
-    if (evidence == DownlinkEvidence::Received) h.missed = 0, h.lost_since = 0;
-    if (evidence == DownlinkEvidence::Missed) ++h.missed;
-    if (evidence == DownlinkEvidence::Lost) h.missed += kMissed;
-    if (h.missed < kMissed || h.downlink_lost()) return false;
-    h.lost_since = now;
+bool observe_heartbeat(DownlinkState& state, const DownlinkObservation& heartbeat,
+                       const Settings& s, double now) {
+    auto evidence = classify_evidence(state, heartbeat, s, now);
+    state.steady = stays_here(state, heartbeat, s, now) ? state.steady + 1 : 0;
+    state.direct_at = heartbeat.direct ? now : 0;
+    if (heartbeat.order.agent_epoch != state.agent_epoch) {
+        state.agent_epoch = heartbeat.order.agent_epoch;
+        state.epoch_since = now;
+    }
+    switch (evidence) {
+        case DownlinkEvidence::Nothing:
+            break;
+        case DownlinkEvidence::Received:
+            state.missed = 0;
+            state.lost_since = 0;
+            break;
+        case DownlinkEvidence::Missed:
+            ++state.missed;
+            break;
+        case DownlinkEvidence::Lost:
+            state.missed += kMaxMissed;
+            break;
+    }
+    if (state.missed < kMaxMissed || state.downlink_lost()) return false;
+    state.lost_since = now;
     return true;
 }
 
-void record_response(DownlinkState& h, const HeartbeatOrder& heartbeat, bool our_fencing_token,
+void record_response(DownlinkState& state, const HeartbeatOrder& heartbeat, bool our_fencing_token,
                      double now) {
-    h.answered = heartbeat;
-    h.answered_at = now;
-    h.told_fencing_token = !our_fencing_token;
+    state.answered = heartbeat;
+    state.answered_at = now;
+    state.told_fencing_token = !our_fencing_token;
 }
 
-bool has_returned(DownlinkState& h, const HeartbeatOrder& heartbeat, const Settings& s,
+bool has_returned(DownlinkState& state, const HeartbeatOrder& heartbeat, const Settings& s,
                   double now) {
-    if (heartbeat > h.former) return true;
-    double gap = now - h.back_at;
-    bool near =
-        heartbeat.agent_epoch - h.back.agent_epoch <= 1 && heartbeat.seq - h.back.seq <= kTicks;
-    bool next = h.backs > 0 && heartbeat > h.back && near && gap > kPace * s.heartbeat_interval_s &&
-                gap < s.lease_s;
-    h.backs = next ? h.backs + 1 : 1;
-    h.back = heartbeat;
-    h.back_at = now;
-    return h.backs >= kBacks;
+    if (heartbeat > state.former) return true;
+    double gap_s = now - state.back_at;
+    bool in_pace = gap_s > kMinPace * s.heartbeat_interval_s && gap_s < s.lease_s;
+    bool near = heartbeat.agent_epoch - state.back.agent_epoch <= 1 &&
+                heartbeat.seq - state.back.seq <= kMaxSeqStep;
+    bool next = state.backs > 0 && heartbeat > state.back && near && in_pace;
+    state.backs = next ? state.backs + 1 : 1;
+    state.back = heartbeat;
+    state.back_at = now;
+    return state.backs >= kMinReturned;
 }
 
-void reset_downlink(DownlinkState& h, const HeartbeatOrder& last) {
-    auto former = std::max(h.former, last);
-    h = {};
-    h.former = former;
+void reset_downlink(DownlinkState& state, const HeartbeatOrder& last) {
+    auto former = std::max(state.former, last);
+    state = {};
+    state.former = former;
 }
 
-bool should_replace_unreachable(const DownlinkState& h, double replacement_s, size_t downlink_lost,
-                                size_t up, const Settings& s, double now) {
-    return h.downlink_lost() && 2 * downlink_lost <= up &&
-           now - h.lost_since > s.lease_s + replacement_s;
+bool should_replace_unreachable(const DownlinkState& state, double replacement_s,
+                                size_t downlink_lost, size_t up, const Settings& s, double now) {
+    if (!state.downlink_lost() || 2 * downlink_lost > up) return false;
+    return now - state.lost_since > s.lease_s + replacement_s;
 }
 
 }  // namespace weirmill
--- a/tests/downlink_test.cpp
+++ b/tests/downlink_test.cpp
@@ -1,5 +1,5 @@
-// Machines that do not hear their answers, late copies of reports, and workers that begin anew:
-// what reports show, and the whole service over loopback with such machines. docs/failures.md.
+// Machines whose downlink is lost, late copies of heartbeats, and workers that begin anew: what
+// heartbeats show, and the whole service over loopback with such machines. docs/failures.md.
 #include "liveness/downlink.h"
 
 #include <random>
@@ -14,12 +14,12 @@
 
 // Report interval 2 s, lease 18 s, a worker's patience 4 s and 1 s more to the next of two
 // controllers.
-struct Ear {
+struct WorkerLink {
     Settings settings = test::small_settings();
     DownlinkState downlink;
     double now = 100;
-    Ear() { settings.peers.push_back({"node-1", "a", {"127.0.0.1", 1}}); }
-    // A report, `after` seconds, which is answered.
+    WorkerLink() { settings.peers.push_back({"node-1", "a", {"127.0.0.1", 1}}); }
+    // A heartbeat, `after` seconds later, which is answered.
     bool report(double after, uint64_t agent_epoch, uint64_t seq, DownlinkObservation what = {}) {
         now += after;
         what.order = {agent_epoch, seq};
@@ -97,14 +97,14 @@
          true},
     };
     for (auto& row : rows) {
-        Ear e;
+        WorkerLink e;
         for (auto& s : row.steps) e.report(s.after, s.agent_epoch, s.seq, s.what);
         EXPECT_EQ(e.downlink.downlink_lost(), row.downlink_lost) << row.why;
     }
 }
 
 TEST(DownlinkState, ADeafMachineIsGivenBackUnlessSoManyAreThatItIsOurLink) {
-    Ear e;
+    WorkerLink e;
     e.downlink.lost_since = 100;
     struct Row {
         double now;
@@ -153,7 +153,7 @@
           {2, 1, 5, true}}},
     };
     for (auto& row : rows) {
-        Ear e;
+        WorkerLink e;
         reset_downlink(e.downlink, {3, 90});
         for (auto& s : row.steps) {
             e.now += s.after;
@@ -194,7 +194,8 @@
     EXPECT_TRUE(s.done("req-1"));
     EXPECT_TRUE(s.done("req-2"));
     EXPECT_TRUE(s.until([&] { return figure(s, "machines_deaf_total") > 0; }));
-    // A job that fills a machine each: none of its tasks is sent to the deaf one any more.
+    // A job that fills a machine each: none of its tasks is sent to the one without a downlink any
+    // more.
     auto body = Service::with(Service::submission("req-3", "array", 4, 8), "expected_s", 1.0);
     s.cloud->jobs["req-3"] = {0.2, false, 4, false, {}};
     EXPECT_EQ(s.ask("POST", "/v2/runs", body).status, 201);
