--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -1,4 +1,5 @@
-// Counts and latency histograms of one node, told in the Prometheus text format.
+// Counters and latency histograms of one node, exported in the Prometheus text format. Not
+// thread-safe: owned by the node's io_context thread.
 #pragma once
 #include <array>
 #include <boost/histogram.hpp>
@@ -10,9 +11,11 @@
 
 class Metrics {
   public:
+    // A request of this kind was answered with the HTTP status after so many seconds.
     void request(const std::string& kind, int status, double seconds);
+    // Adds to the counter weirmill_<name>.
     void count(const std::string& name, uint64_t n = 1) { counts_[name] += n; }
-    // Values of the moment, given by the caller, are told along with the counts.
+    // All metrics as text. `gauges`: values of the moment, by name with labels, exported along.
     std::string text(const std::map<std::string, double>& gauges) const;
 
   private:
--- a/src/protocol/types.h
+++ b/src/protocol/types.h
@@ -1,4 +1,5 @@
-// The field's terms, as the rest of the program uses them. Wire spellings stay in the codecs.
+// Types of the domain, as the rest of the program uses them. Spellings on the wire are the codecs'
+// alone. Spans are in seconds, sizes of images and memory in gigabytes where not said otherwise.
 #pragma once
 #include <algorithm>
 #include <cmath>
@@ -19,15 +20,20 @@
 enum class TaskPhase : uint8_t { Unseen, Fetching, Waiting, Running, Saving, Exited };
 enum class ExitCause : uint8_t { None, Done, Stopped, Peers, Alone, Error, NoRoom, Busy, Unknown };
 
-// Amounts in thousandths, so that sums and comparisons are exact.
+// Amounts in thousandths (of a CPU, of a GPU, of a gigabyte), so that sums and comparisons are
+// exact.
 struct Resources {
     int64_t cpu = 0, gpu = 0, mem = 0;
     Resources& operator+=(const Resources& o) {
-        cpu += o.cpu, gpu += o.gpu, mem += o.mem;
+        cpu += o.cpu;
+        gpu += o.gpu;
+        mem += o.mem;
         return *this;
     }
     Resources& operator-=(const Resources& o) {
-        cpu -= o.cpu, gpu -= o.gpu, mem -= o.mem;
+        cpu -= o.cpu;
+        gpu -= o.gpu;
+        mem -= o.mem;
         return *this;
     }
     friend Resources operator+(Resources a, const Resources& b) { return a += b; }
@@ -46,10 +52,11 @@
         return std::max<int64_t>(n, 0);
     }
 };
+// In thousandths, rounded up or down; figures that are whole but for their binary form stay so.
 inline int64_t milli_up(double v) { return static_cast<int64_t>(std::ceil(v * 1000 - 1e-6)); }
 inline int64_t milli_down(double v) { return static_cast<int64_t>(std::floor(v * 1000 + 1e-6)); }
 
-// Names become dense indices at the door.
+// Gives names dense indices, in the order in which they are first seen; never forgets one.
 class Interner {
   public:
     Index intern(std::string_view name) {
@@ -75,6 +82,7 @@
     Interner teams, types, zones, images, classes;
 };
 
+// What a user submitted.
 struct JobSpec {
     std::string id;
     Index job_class = kNone, team = kNone;
@@ -89,15 +97,17 @@
     double image_gb = 0;
     double estimate_s = 0, checkpoint_interval_s = 0, checkpoint_duration_s = 0;
     double deadline_s = -1;  // < 0: none
-    // As the message named them; once the job is in the tables, its dependencies are kept by index.
+    // Ids of jobs, as submitted; once the job is in the cluster state, they are kept by index
+    // there.
     std::vector<std::string> dependencies;
-    // The same machines may run its tasks, as many on each; zones that the rest of a job rules out
-    // aside.
+    // The same machines may run its tasks, as many on each; zones that the rest of a job excludes
+    // are left out of account.
     bool same_shape_as(const JobSpec& o) const {
         return demand == o.demand && spot == o.spot && zone == o.zone && types == o.types;
     }
 };
 
+// A task as its worker reports it.
 struct TaskStatus {
     std::string job;
     uint32_t task = 0;
@@ -107,6 +117,7 @@
     bool saved = false;
 };
 
+// A worker's report. Ordered by agent_epoch, then seq; fencing_token: the highest that it has seen.
 struct Heartbeat {
     std::string machine, addr, type, zone;
     bool spot = false;
@@ -116,6 +127,7 @@
 };
 
 enum class CommandOp : uint8_t { Start, Stop, AcknowledgeExit };
+// From the leader to a worker, with the answer to a heartbeat.
 struct Command {
     CommandOp op = CommandOp::Start;
     std::string job;
@@ -124,6 +136,7 @@
     double grace_s = 0;
 };
 
+// As the cloud offers it.
 struct MachineType {
     std::string name;
     Resources size;
@@ -132,6 +145,7 @@
 };
 
 enum class MachineStatus : uint8_t { Booting, Running, Failed };
+// As the cloud lists it.
 struct ListedMachine {
     std::string name, addr, type, zone;
     bool spot = false;
