--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -147,7 +147,7 @@
         job.ready_at = now_ - std::max(0.0, wall_now() - job.ready);
         check_job(j);
     }
-    cluster_.spread_needs();
+    cluster_.propagate_demands();
     if (!inbox->events.empty())
         spdlog::info("leader: {} door records to collect", inbox->events.size());
     handle(*inbox);
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -12,7 +12,7 @@
 #include "scheduler/overload_forecast.h"
 #include "scheduler/placement.h"
 #include "scheduler/preemption.h"
-#include "standby/pending_records.h"
+#include "state/pending_records.h"
 #include "state/state_log.h"
 #include "storage/kv_client.h"
 #include "transport/http_client.h"
--- a/src/controller/leader_adoption.cpp
+++ b/src/controller/leader_adoption.cpp
@@ -137,7 +137,7 @@
     depends.cancelled = depends.cancelled || in.record.cancelled;
     auto index = add_new_job(std::move(spec), depends, in.record.at);
     // Doors open only where all controllers collect, so all can read a record in pieces.
-    state_log_.allow_pieces();
+    state_log_.allow_multi_part_records();
     state_log_.new_job(index, in.version);
     in.step = PendingEntry::Step::Telling;
     metrics_.count("door_jobs_collected_total");
--- a/src/controller/leader_users.cpp
+++ b/src/controller/leader_users.cpp
@@ -47,7 +47,7 @@
 // controller's door reads the records. One that told an end from a transaction that this leader had
 // no answer for was once followed by "running" from here.
 bool Leader::may_tell(const Job& job) const {
-    return job.version != 0 && cluster_.settled(cluster_.job_index.at(job.spec.id));
+    return job.version != 0 && cluster_.state_confirmed(cluster_.job_index.at(job.spec.id));
 }
 
 // The last word from the state service was a failure: neither a transaction nor a renewal has
--- a/src/standby/standby_decisions.h
+++ b/src/standby/standby_decisions.h
@@ -4,9 +4,9 @@
 #include <optional>
 #include <string>
 
-#include "standby/pending_records.h"
 #include "standby/state_log_view.h"
-#include "state/state_log.h"
+#include "state/pending_records.h"
+#include "state/state_log_codec.h"
 #include "transport/peer_link.h"
 
 namespace weirmill {
--- a/src/standby/state_log_view.cpp
+++ b/src/standby/state_log_view.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "state/state_log.h"
+#include "state/state_log_codec.h"
 
 namespace weirmill {
 
@@ -36,9 +36,7 @@
         open_ = number;
         for (; open_read_ < entries.size(); ++open_read_) {
             auto& e = entries[open_read_];
-            if (!e.is_array() || e.get_array().size() < 2 || !e.get_array()[0].is_string())
-                read::bad("entry");
-            entry(e.get_array());
+            entry(parse_entry(e));
         }
     }
     return true;
@@ -83,45 +81,23 @@
     jobs_.erase(it);
 }
 
-// The entries are those of bookkeeping/ledger.cpp.
 void StateLogView::entry(const json::array& e) {
-    std::string_view tag = e[0].get_string();
-    if (tag == "j") {
-        auto& o = read::object(e[1]);
-        if (!read::field(o, "pieces")) {
-            auto* body = read::field(o, "job");
-            if (!body) read::bad("job");
-            return add_job(o, *body);
-        }
-        auto found = pieces_.find(read::text(o, "id"));
-        if (found == pieces_.end()) return;
-        auto pieces = std::move(found->second);
-        pieces_.erase(found);
-        // Its first pieces stood in a segment that is gone by now: it has ended, or is told anew.
-        if (pieces.next == read::count(o, "pieces")) add_job(o, read::parse(pieces.body));
-        return;
-    }
-    if (!e[1].is_string()) read::bad("entry");
-    std::string id(e[1].get_string());
-    if (tag == "p") {
-        if (e.size() < 4 || !e[2].is_number() || !e[3].is_string()) read::bad("piece");
-        auto n = e[2].to_number<uint64_t>();
-        auto& pieces = pieces_[id];
-        if (n == 0) pieces = {};
-        if (pieces.next != n) return;
-        pieces.body += e[3].get_string();
-        ++pieces.next;
+    auto type = entry_type(e);
+    if (type == EntryType::Job) {
+        auto record = records_.decode(e, open_);
+        if (record) add_job(*record->header, record->body());
         return;
     }
-    if (tag == "e") return end(id);
+    auto id = entry_job_id(e);
+    if (type == EntryType::JobPart) return records_.add_part(e, open_);
+    if (type == EntryType::End) return end(id);
+    if (type == EntryType::Unknown) read::bad("entry");
     auto it = jobs_.find(id);
-    if (tag == "c") {
-        if (it != jobs_.end()) it->second.cancelled = true;
-    } else if (tag == "t") {
-        if (it != jobs_.end()) add_rows(it->second, e);
-    } else {
-        read::bad("entry");
-    }
+    if (it == jobs_.end()) return;
+    if (type == EntryType::Cancel)
+        it->second.cancelled = true;
+    else
+        add_rows(it->second, e);
 }
 
 void StateLogView::add_job(const json::object& record, const json::value& body) {
--- a/src/standby/state_log_view.h
+++ b/src/standby/state_log_view.h
@@ -13,6 +13,7 @@
 #include <vector>
 
 #include "protocol/kv_codec.h"
+#include "state/job_record.h"
 
 namespace weirmill {
 
@@ -48,13 +49,8 @@
     void add_rows(Job& job, const boost::json::array& e);
     void end(const std::string& id);
 
-    struct Pieces {
-        std::string body;
-        uint64_t next = 0;
-    };
     std::unordered_map<std::string, Job> jobs_;
-    std::unordered_map<std::string, Pieces>
-        pieces_;  // of records that are not told to their end yet
+    JobRecordDecoder records_;
     size_t tasks_ = 0;
     uint64_t open_ = 0;              // the newest segment read; 0: none
     size_t open_read_ = 0;           // entries of it that were taken
--- a/src/state/cluster_state.h
+++ b/src/state/cluster_state.h
@@ -1,260 +1,132 @@
-// What the leader knows: jobs, machines, teams, machine types. Plain tables, no input or output.
+// What the leader knows: jobs, machines, teams, machine types. Plain tables without input or
+// output. Not thread-safe: owned by the leader.
+//
+// Its types are in headers of their own (state/job.h, task.h, machine.h, team.h, job_class.h,
+// machine_type.h), its operations in a source file for each concern:
+//   cluster_state.cpp     adding and removing jobs and machines, machine types
+//   task_placement.cpp    state transitions of tasks, images on machines
+//   job_dependencies.cpp  dependencies, cancellations, and what dependants ask of jobs
+//   job_requirements.cpp  which machine types and machines a job may use
+//   run_estimates.cpp     run times, boot times, due times
 #pragma once
-#include <algorithm>
 #include <deque>
 #include <memory>
-#include <set>
 #include <string>
 #include <unordered_map>
+#include <utility>
 #include <vector>
 
 #include "config/settings.h"
-#include "liveness/downlink.h"
 #include "protocol/types.h"
 #include "state/dependency_graph.h"
+#include "state/job.h"
+#include "state/job_class.h"
+#include "state/machine.h"
+#include "state/machine_type.h"
+#include "state/team.h"
 
 namespace weirmill {
 
-enum class TaskState : uint8_t { Pending, Placed, Done };
-
-struct Task {
-    uint32_t attempt = 0;
-    Index machine = kNone;                // while Placed: the task may be there until proven gone
-    uint32_t agent_epoch = 0;             // of that machine, when it was placed
-    uint64_t change = 0;                  // the tables' change number at this task's last change
-    uint64_t start_seq = 0;               // the report answered with its start, 0: none yet
-    float placed_at = 0, running_at = 0;  // placed_at: once it is launched, when that was
-    TaskState state = TaskState::Pending;
-    TaskPhase phase = TaskPhase::Unseen;
-    bool stopping = false;
-    bool graceful = false;          // stopping: with time to save
-    bool placed_this_term = false;  // placed by this leader: no other has launched this attempt
-    bool placed_as(Index on, uint64_t as_attempt) const {
-        return state == TaskState::Placed && machine == on && attempt == as_attempt;
-    }
-};
-
-struct Job {
-    JobSpec spec;
-    double submitted = 0;  // time of day, seconds
-    double seen_at = 0;    // when it was submitted, by the steady clock of this leader
-    // Only of a job that had to wait: when the last of its dependencies ended, by the time of day,
-    // and by the steady clock. All but its deadline counts from there. `ended` is its own end, told
-    // to its dependants.
-    double ready = 0, ready_at = 0, ended = 0;
-    bool waits = false;  // for a dependency; kept by the tables
-    // The highest priority of itself and of those that need it, and by when it should end for those
-    // to end in time; kept by the tables.
-    Priority priority = Priority::Low;
-    double needed_by = 1e18;
-    uint64_t version = 0;  // the revision that recorded it, 0: not recorded yet
-    uint64_t base = 0;     // the segment of the log from which on it is told in full
-    bool cancelled = false;
-    bool cancel_recorded =
-        false;                   // or implied by the record of a job that it needs: it may be told
-    bool cancel_logged = false;  // by an entry of its own: those that it needs may leave the log
-    bool ending = false;         // its end is queued to be recorded
-    bool end_sent = false;       // and may stand recorded, although this leader has no answer yet
-    std::vector<Task> tasks;
-    uint32_t pending = 0, placed = 0, done = 0, running = 0;
-    uint32_t first_pending = 0;  // no pending task lies below
-    bool gang_ending = false;    // the current attempt is over: every task of it must go first
-    uint32_t gang_attempt = 0;
-    double not_before = 0;  // back-off of a job that fails on good machines
-    uint32_t failures = 0;
-    std::set<Index> failed_on;
-    // Of its times that it could still meet, the first so many are left to others
-    // (coordination/overload).
-    uint32_t abandoned_deadlines = 0;
-    // All of it fitted its team's guarantee beside the team's unfinished jobs when it came: it need
-    // not wait for other teams.
-    bool guaranteed = false;
-    bool active() const { return version != 0 && !cancelled && !ending; }
-    double came() const { return ready > 0 ? ready : submitted; }
-    double came_at() const { return ready > 0 ? ready_at : seen_at; }
-};
-
-struct TaskRef {
-    Index job = kNone;
-    uint32_t task = 0;
-    bool operator==(const TaskRef&) const = default;
-};
-
-// A change of a task that is to be recorded; stale once the task has changed again.
-struct TaskChange {
-    TaskRef ref;
-    uint64_t change = 0;
-};
-
-struct UnexpectedTask {
-    std::string job;
-    uint32_t task = 0;
-    uint64_t attempt = 0;
-    bool exited = true;
-};
-
-struct Machine {
-    std::string name, addr;
-    Index type = kNone, zone = kNone;
-    bool spot = false;
-    Resources size, used;
-    std::vector<TaskRef> tasks;  // all that may be on it
-    std::vector<UnexpectedTask>
-        unexpected_tasks;  // of the last report: exited entries, and tasks not expected there
-    // What its worker said.
-    bool up = false;  // has reported to this leader
-    uint64_t agent_epoch = 0, seq = 0;
-    bool saw_fencing_token = false;
-    DownlinkState downlink;
-    double last_heartbeat = 0, last_answer = 0;
-    double direct_at = 0;  // the last report that came to this controller itself
-    std::string
-        relayed_by;  // the controller that passed on the last report; empty: it came by itself
-    double interruption_at = -1;
-    // What the cloud said.
-    bool listed = false, missing = false, provisioned_here = false;  // hired: rented by this leader
-    MachineStatus status = MachineStatus::Booting;
-    double added = 0, requested_at = 0, missing_since = 0, up_at = 0;
-    // What is done with it.
-    bool terminating = false, abandoned = false;  // doomed: a boot given up, an expired lease
-    bool draining = false;                        // its tasks move elsewhere, then it goes back
-    double quarantined_until = 0;
-    int faults = 0;
-    std::set<Index> faulty_jobs;
-    double empty_since = 0;
-    Index reserved_for = kNone;
-    double reserved_until = 0;
-    std::vector<Index> images;  // observed, most recent last
-    Resources room() const { return size - used; }
-    bool reserved(double now) const { return reserved_for != kNone && reserved_until > now; }
-    bool has_image(Index image) const {
-        return std::find(images.begin(), images.end(), image) != images.end();
-    }
-};
-
-struct Team {
-    TeamSettings settings;
-    Resources guarantee, limit;  // 0: none
-    Resources used;
-};
-
-struct TypeInfo {
-    bool offered = false;
-    MachineType type;
-};
-
-// What is asked for a class of jobs, and what its finished tasks taught about its owners'
-// estimates.
-struct JobClass {
-    double start_within_s = 0;           // 0: nothing is asked
-    std::vector<double> done_within_s;   // shortest first
-    std::vector<double> deadline_times;  // of a job's own deadline; shortest first, or none: once
-    double bias = 1, learnt = 0;         // run time over estimate; weight of the evidence
-    std::deque<std::pair<double, uint32_t>> arrivals;  // of recent jobs: when, how many tasks
-    JobSpec last;                                      // the newest of them
-    // Of a team's jobs of this class, where more waits than its users can be served with in time:
-    // the seconds that a job waits for each second and unit of its work. 0: not pressed
-    // (coordination/overload).
-    std::vector<double> slowdown;  // by team index
-};
-
-struct Refusal {
-    Index type, zone;
-    bool spot;
-    auto operator<=>(const Refusal&) const = default;
-};
-
-class ClusterState {
-  public:
-    explicit ClusterState(const Settings& settings);
-
+// The tables. Jobs and machines are added and removed through ClusterState alone.
+struct ClusterTables {
     Names names;
     std::vector<Team> teams;      // by team index
     std::vector<TypeInfo> types;  // by type index
     bool types_known = false;
-    double boot_factor =
-        1.1;  // observed boots, in boot times of their types; a few recent ones weigh most
-    void learn_boot(Index type, double boot_s);
     std::vector<std::unique_ptr<Job>> jobs;          // by job index; null: free
     std::vector<std::unique_ptr<Machine>> machines;  // by machine index; null: free
     std::unordered_map<std::string, Index> job_index, machine_index;
     std::vector<JobClass> classes;                     // by class index
     std::vector<std::pair<double, Refusal>> refusals;  // until when not to ask again
-    size_t task_count = 0, max_tasks;                  // over all jobs; what memory allows
+    size_t task_count = 0;                             // over all jobs
+    size_t max_tasks = 0;                              // what memory allows of them
+    // Observed boots, in boot times of their types; a few recent ones weigh most.
+    double boot_factor = 1.1;
+    // What jobs with GPUs take of the other resources, for each GPU. A task without GPUs that could
+    // run elsewhere leaves that much for the free GPUs of a machine.
+    Resources per_gpu;
+    // What changed of tasks, in order, and up to which change all is recorded.
+    std::deque<TaskChange> changes;
+    uint64_t last_change = 0, recorded_through = 0;
+};
+
+// `now` is the steady clock in seconds throughout; `index` is that of a job, `t` a task of it.
+class ClusterState : public ClusterTables {
+  public:
+    explicit ClusterState(const Settings& settings);
 
+    // Jobs. `submitted`: time of day, seconds.
     Index add_job(JobSpec spec, double submitted, double now);
     // Where the job is done, its dependants no longer wait for it.
-    void remove_job(Index job, double now);
-    // Of the dependencies that it was added with, those that are in the tables; the others have
-    // ended.
-    void set_dependencies(Index job, const std::vector<Index>& on, double now);
+    void remove_job(Index index, double now);
+    Job* find_job(const std::string& id);
+    // Whether the job fits its team's guarantee beside the team's unfinished jobs.
+    void mark_guaranteed(Job& job) const;
+    void clear_work();  // jobs and machines, not what is offered
+
+    // Dependencies. `on`: of those that the job was added with, the ones that are in the tables;
+    // the others have ended.
+    void set_dependencies(Index index, const std::vector<Index>& on, double now);
     const DependencyGraph& dependencies() const { return dependencies_; }
-    // The job's cancellation is recorded, and so it is that of all who need it: they may be told.
-    // Those that were not cancelled already; the recorded ones of them are to get entries of their
-    // own.
-    std::vector<Index> cancel_dependants(Index job);
+    // The job's cancellation is recorded, and so it is that of all who need it: their users may be
+    // answered so. Returns those that were not cancelled already; the recorded ones of them are to
+    // get entries of their own.
+    std::vector<Index> cancel_dependants(Index index);
     // A cancelled job's entry stands for its dependants' until each has its own; then it may leave
     // the log.
-    bool cancellation_logged(Index job) const;
-    // What is known of the job is all that may be recorded of its end: neither its cancellation, or
-    // that of a job that it needs, nor its end is on its way.
-    bool settled(Index job) const;
-    // What dependants ask of all jobs, once a fresh leader knows the times of all.
-    void spread_needs();
-    void mark_guaranteed(Job& job) const;
-    void clear_work();  // jobs and machines, not what is offered
-    Job* find_job(const std::string& id);
+    bool cancellation_logged(Index index) const;
+    // What is known of the job is all that may be recorded of its end: no transaction is under way
+    // with its end, its cancellation, or that of a job that it needs.
+    bool state_confirmed(Index index) const;
+    // Priorities and deadlines that dependants ask of all jobs, once a fresh leader knows the times
+    // of all.
+    void propagate_demands();
+
+    // Machines and their types.
     Index add_machine(const std::string& name, double now);
-    void remove_machine(Index machine);
+    void remove_machine(Index index);
     Index find_machine(const std::string& name) const;
     void describe_machine(Machine& m, const std::string& type, const std::string& zone, bool spot);
     void set_types(std::vector<MachineType> list);
+    bool refused(Index type, Index zone, bool spot, double now) const;
+    // Seconds until the machine's worker should send a heartbeat, and can be given a task to start
+    // something; late ones may be silent.
+    double heartbeat_due_s(const Machine& m, double now) const;
 
-    // The only three ways a task changes its place. Each is to be recorded.
-    void place(Index job, uint32_t task, Index machine, uint32_t attempt, double now);
-    void unassign(Index job, uint32_t task, double now);
-    void finish(Index job, uint32_t task, double now);
-    // While a fresh leader reads the records: raw values, put in order for each job by the last
-    // call.
-    void restore_counts(Index job);
-    void restore_placed(Index job, uint32_t task, Index machine, uint32_t attempt,
+    // The only three ways a task changes its place (state/task.h). Each is to be recorded.
+    void place(Index index, uint32_t t, Index machine, uint32_t attempt, double now);
+    void unassign(Index index, uint32_t t, double now);
+    void finish(Index index, uint32_t t, double now);
+    // While a fresh leader reads the records: raw values, put in order for each job by
+    // restore_counts. Nothing is to be recorded.
+    void restore_counts(Index index);
+    void restore_placed(Index index, uint32_t t, Index machine, uint32_t attempt,
                         uint32_t agent_epoch);
-
     void set_phase(Job& job, Task& task, TaskPhase phase);
-    // The machine has used the job's image. What its cache can't hold beside that leaves it, the
-    // least recently used first.
-    void saw_image(Machine& m, const JobSpec& spec) const;
     bool recorded(const Job& job, uint32_t task) const {
         return job.tasks[task].change <= recorded_through;
     }
-    // What changed, in order, and up to which change all is recorded.
-    std::deque<TaskChange> changes;
-    uint64_t last_change = 0, recorded_through = 0;
-    bool current(const TaskChange& c) const {
-        auto* job = c.ref.job < jobs.size() ? jobs[c.ref.job].get() : nullptr;
-        return job && c.ref.task < job->tasks.size() && job->tasks[c.ref.task].change == c.change;
-    }
+    // The task has not changed since.
+    bool current(const TaskChange& c) const;
+    // The machine has used the job's image. What its cache can't hold beside that leaves it, the
+    // least recently used first.
+    void saw_image(Machine& m, const JobSpec& spec) const;
 
-    // What a job should still be done by, on the steady clock, given that it can't be before
-    // `earliest`; `missed`: how many such times are past saving, or given up.
+    // What a job should still be done by, given that it can't be before `earliest`; `missed`: how
+    // many such times can't be met any more, or are given up. Beyond kLatestTime: nothing is asked.
     double due(const Job& job, double earliest, int& missed) const;
     size_t times_asked(const Job& job) const;
-    double slowdown(const JobSpec& spec) const {
-        if (spec.job_class >= classes.size()) return 0;
-        auto& by_team = classes[spec.job_class].slowdown;
-        return spec.team < by_team.size() ? by_team[spec.team] : 0;
-    }
-    // Run time to expect of a task, without its image fetch.
+    // Of the job's team in its class (JobClass::slowdown).
+    double slowdown(const JobSpec& spec) const;
+    // Run time to expect of a task, without its image fetch; seconds.
     double expected_run_s(const JobSpec& spec) const;
     void learn_run(const JobSpec& spec, double run_s);
+    void learn_boot(Index type, double boot_s);
     double fetch_s(const JobSpec& spec, Index type) const;
 
-    // What jobs with GPUs take of the other resources, for each GPU. A task without GPUs that could
-    // run elsewhere leaves that much for the free GPUs of a machine.
-    Resources per_gpu;
+    // Whether the job, which has no GPUs, leaves room for the GPUs of machines of this type.
     bool reserves_gpus(const JobSpec& spec, Index type) const;
     bool leaves_gpus_usable(const JobSpec& spec, const Machine& m) const;
-
     // A gang, or a task that takes over half of every machine type it fits: it needs machines to
     // itself.
     bool large(const JobSpec& spec) const;
@@ -263,30 +135,39 @@
     const char* never_runs(const JobSpec& spec) const;
     // Allowed by type, zone and kind, room aside.
     bool machine_allowed(const JobSpec& spec, const Machine& m) const;
-    bool below_limit(const Team& team, const Resources& use) const;
-    bool within_limit(const Team& team, const Resources& extra) const;
-    // A team without a figure for CPUs is owed those that its tasks with GPUs take beside them.
-    bool within_guarantee(const Team& team, const Resources& extra) const;
-    // Whether the team's work beyond its guarantee includes tasks that need `each`.
-    bool over_guarantee(const Team& team, const Resources& each) const;
-    // Until the machine's worker should report, and can be told to start something; late ones may
-    // be silent.
-    double heartbeat_due_s(const Machine& m, double now) const;
-    bool refused(Index type, Index zone, bool spot, double now) const;
+
+    // Quotas (state/team.h).
+    bool below_limit(const Team& team, const Resources& use) const {
+        return weirmill::below_limit(team, use);
+    }
+    bool within_limit(const Team& team, const Resources& extra) const {
+        return weirmill::within_limit(team, extra);
+    }
+    bool within_guarantee(const Team& team, const Resources& extra) const {
+        return weirmill::within_guarantee(team, extra);
+    }
+    bool over_guarantee(const Team& team, const Resources& each) const {
+        return weirmill::over_guarantee(team, each);
+    }
 
   private:
-    template <class F>
-    void each_time(const Job& job, F&& f) const;
-    void came(Job& job, double now);
-    bool take_needs(Index job);
-    void spread_needs_from(Index job);
+    void learn_gpu_share(const Resources& demand);
+    void learn_image_size(const JobSpec& spec);
+    void mark_ready(Job& job, double now);
+    void release_dependant(Index index, double ended, double now);
+    bool update_demands(Index index);
+    void propagate_demands_from(Index index);
     double stage_s(const JobSpec& spec) const;
+    const JobClass* class_of(const JobSpec& spec) const {
+        return spec.job_class < classes.size() ? &classes[spec.job_class] : nullptr;
+    }
+    bool offered(Index type) const { return type < types.size() && types[type].offered; }
+    void record_change(Index index, uint32_t t);
+    void leave_machine(Index index, uint32_t t, double now);
+
     DependencyGraph dependencies_;
     double heartbeat_interval_s_;
     std::vector<float> image_gb_;  // by image index, as the newest job that uses it has it
-
-    void touch(Index job, uint32_t task);
-    void leave_machine(Index job, uint32_t task, double now);
 };
 
 }  // namespace weirmill
--- a/src/state/dependency_graph.cpp
+++ b/src/state/dependency_graph.cpp
@@ -6,7 +6,7 @@
 namespace weirmill {
 
 namespace {
-const std::vector<Index> kNobody;
+const std::vector<Index> kNoJobs;
 }
 
 void DependencyGraph::add(Index job, const std::vector<Index>& on) {
@@ -18,12 +18,12 @@
 
 const std::vector<Index>& DependencyGraph::of(Index job) const {
     auto it = nodes_.find(job);
-    return it == nodes_.end() ? kNobody : it->second.on;
+    return it == nodes_.end() ? kNoJobs : it->second.on;
 }
 
 const std::vector<Index>& DependencyGraph::dependants(Index job) const {
     auto it = nodes_.find(job);
-    return it == nodes_.end() ? kNobody : it->second.dependants;
+    return it == nodes_.end() ? kNoJobs : it->second.dependants;
 }
 
 std::vector<Index> DependencyGraph::all_dependants(Index job) const {
@@ -39,7 +39,7 @@
     auto it = nodes_.find(job);
     if (it == nodes_.end()) return;
     auto& list = it->second.*side;
-    auto at = std::find(list.begin(), list.end(), other);
+    auto at = std::ranges::find(list, other);
     if (at == list.end()) return;
     *at = list.back();
     list.pop_back();
--- a/src/state/dependency_graph.h
+++ b/src/state/dependency_graph.h
@@ -1,6 +1,6 @@
 // Which jobs wait for which. A dependency has to be done before any task of its dependant starts; a
-// job is ready once none is left. Links join jobs that are both in the tables; jobs outside
-// pipelines take no room.
+// job is ready once none is left. Edges join jobs that are both in the cluster state; jobs outside
+// pipelines take no memory. Not thread-safe.
 #pragma once
 #include <unordered_map>
 #include <vector>
@@ -19,9 +19,12 @@
     bool ready(Index job) const { return of(job).empty(); }
     // All that need the job, directly or through others; each once.
     std::vector<Index> all_dependants(Index job) const;
-    // The job leaves the tables: nothing waits for it any more, nor it for anything.
+    // The job leaves the cluster state: nothing waits for it any more, nor it for anything.
     void remove(Index job);
-    void clear() { nodes_.clear(), waiting_ = 0; }
+    void clear() {
+        nodes_.clear();
+        waiting_ = 0;
+    }
     size_t waiting() const { return waiting_; }  // jobs that are not ready
 
   private:
--- a/src/state/pending_records.cpp
+++ b/src/state/pending_records.cpp
@@ -1,6 +1,6 @@
-#include "standby/pending_records.h"
+#include "state/pending_records.h"
 
-#include "state/state_log.h"
+#include "state/state_log_codec.h"
 
 namespace weirmill {
 
--- a/src/state/pending_records.h
+++ b/src/state/pending_records.h
@@ -1,10 +1,11 @@
-// Records of the doors: what a controller writes to the state service for its users while no leader
-// answers it.
+// Pending records: what a standby controller writes to the key-value store for its users while no
+// leader answers it.
 //
-// Keys: `d/<id>` what a door took for a job and no leader has collected yet; `v/<name>` that a
-// controller's version collects them. The transactions here are the only ones that a controller
-// writes without being the leader; docs/design-doors.md has the argument for each of their
-// conditions, and tests/door_model_test.cpp takes them away one by one.
+// Keys: `d/<id>` a submission or a cancellation that a standby accepted and that no leader has
+// adopted yet; `v/<name>` states that a controller's version adopts pending records. The
+// transactions here are the only ones that a controller writes without being the leader;
+// docs/design-doors.md has the argument for each of their conditions, and
+// tests/standby_model_test.cpp removes them one by one. Pure functions.
 #pragma once
 #include <boost/json.hpp>
 #include <string>
@@ -19,7 +20,7 @@
 std::string adopter_key(const std::string& controller);
 
 // A job that was accepted, a job that was accepted and then cancelled, or (`job` null) a request to
-// cancel one that the log holds.
+// cancel one that the state log holds.
 struct PendingRecord {
     boost::json::value job;  // as submission_json writes it
     double at = 0;           // when it was submitted, by the time of day, seconds
@@ -29,12 +30,12 @@
 std::string pending_record(const PendingRecord& r);
 PendingRecord parse_pending_record(const boost::json::value& v);  // throws BadMessage
 
-// The job was not accepted by a door before, and has not ended.
+// Conditions: no standby has accepted the job before, and it has not ended.
 CasTransaction accept_transaction(const std::string& id, const PendingRecord& r);
-// The record still stands as it was read at `version` (0: none). Whether the cancellation holds is
-// read afterwards: the job may have been collected, or have ended.
+// Condition: the record is still the one that was read at `version` (0: none). Whether the
+// cancellation takes effect is read afterwards: the job may have been adopted, or have ended.
 CasTransaction cancel_transaction(const std::string& id, uint64_t version, PendingRecord r);
-// This controller collects door records whenever it leads.
+// States that this controller adopts pending records whenever it leads.
 CasTransaction adopter_transaction(const std::string& controller);
 
 }  // namespace weirmill
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -182,7 +182,7 @@
     }
 }
 
-// What the leader does with the tables and the ledger, without the rest of it.
+// What the leader does with the cluster state and the state log, without the rest of it.
 struct Bookkeeper {
     World w;
     StateLogLimits limits;
--- a/tests/standby_service_test.cpp
+++ b/tests/standby_service_test.cpp
@@ -1,7 +1,7 @@
 // Doors over loopback: users are served while no leader answers, and each job that was accepted
 // runs once.
 #include "service.h"
-#include "standby/pending_records.h"
+#include "state/pending_records.h"
 
 namespace weirmill {
 namespace {
--- a/tests/state_log_test.cpp
+++ b/tests/state_log_test.cpp
@@ -164,10 +164,10 @@
     }
 }
 
-// A job told anew in the transaction that records its cancellation stood behind that entry without
-// it: once the segments with its first record were dropped, a new leader, or a door that read the
-// log from its start, took the entry for one of an ended job, and called a job running again whose
-// user had been told that it is cancelled.
+// A record rewritten by compaction in the transaction that records the job's cancellation once
+// followed that entry without it: when the segments with the job's first record were deleted, a new
+// leader, or a standby that read the log from its start, took the entry for one of an ended job,
+// and called a job running again whose user had been answered that it is cancelled.
 TEST(StateLog, ACancellationThatWasRecordedIsReadByEverybodyFromThenOn) {
     constexpr StateLogLimits limits{12, 1};
     for (size_t types : {0, 20}) {  // long lists of types: such a record takes several entries
@@ -178,9 +178,10 @@
             World w;
             Store store;
             StateLog state_log(w.cluster, 41, limits);
-            state_log.allow_pieces();
+            state_log.allow_multi_part_records();
             auto machine = w.machine("vm-000001");
-            std::map<std::string, Index> cancelled;  // recorded, and so it may have been told
+            std::map<std::string, Index>
+                cancelled;  // recorded, and so users may have been answered so
             int jobs = 0;
             for (int step = 0; step < 500; ++step) {
                 if (w.cluster.job_index.size() < 6) {
@@ -350,8 +351,8 @@
         // is taken for gone.
         EXPECT_GT(earlier_term_expiry(s, 1000), 1000 + grace + s.lease_s * (1 + kDrift));
         EXPECT_GT(answered_lease_expiry(s, 1000), 1000 + s.lease_s * (1 + kDrift));
-        // A slow clock of ours against a true one of the state service: still sure too short, never
-        // too long.
+        // A slow clock of ours against a true one of the key-value store: the lease is valid
+        // for too short a time, never for too long.
         EXPECT_LT(lease_valid_until(1000, 4), 1000 + 4 * (1 - 0.0005));
     }
 }
--- a/tests/store.h
+++ b/tests/store.h
@@ -1,4 +1,4 @@
-// The state service as the ledger sees it: conditions, changes, versions.
+// The key-value store as the state log sees it: conditions, changes, versions.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -59,7 +59,8 @@
         EXPECT_LE(c.value.size(), static_cast<size_t>(limits.value_kb * 1024)) << c.key;
 }
 
-// Until nothing waits to be recorded; ended jobs leave the tables. How many transactions it took.
+// Until nothing waits to be recorded; ended jobs leave the cluster state. Returns how many
+// transactions it took.
 inline int flush(StateLog& state_log, ClusterState& cluster, Store& store, StateLogLimits limits,
                  double now) {
     int n = 0;
@@ -103,7 +104,7 @@
     }
 }
 
-// Every task as the tables hold it, machines by name, and what a job waits for, by id.
+// Every task as the cluster state holds it, machines by name, and what a job waits for, by id.
 inline std::map<std::string, std::string> picture(const ClusterState& cluster) {
     std::map<std::string, std::string> out;
     for (Index j = 0; j < cluster.jobs.size(); ++j) {
