--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -147,7 +147,7 @@
         job.ready_at = context_.now - std::max(0.0, wall_now() - job.ready);
         check_job(j);
     }
-    context_.cluster.spread_needs();
+    context_.cluster.propagate_demands();
     if (!inbox->events.empty())
         spdlog::info("leader: {} door records to collect", inbox->events.size());
     handle(*inbox);
--- a/src/controller/leader_adoption.cpp
+++ b/src/controller/leader_adoption.cpp
@@ -137,7 +137,7 @@
     depends.cancelled = depends.cancelled || in.record.cancelled;
     auto index = add_new_job(std::move(spec), depends, in.record.at);
     // Doors open only where all controllers collect, so all can read a record in pieces.
-    context_.state_log.allow_pieces();
+    context_.state_log.allow_multi_part_records();
     context_.state_log.new_job(index, in.version);
     in.step = PendingEntry::Step::Telling;
     context_.metrics.count("door_jobs_collected_total");
