--- a/src/scheduler/fit_queues.cpp
+++ b/src/scheduler/fit_queues.cpp
@@ -8,8 +8,8 @@
 namespace weirmill {
 
 namespace {
-// Queues kept at once. A site on which more kinds wait makes some of them anew, as it would for
-// every job without any; what they take is bounded by this and the machines.
+// Queues cached at once. A site on which more kinds wait rebuilds some of them, as it would for
+// every job without a cache; their memory is bounded by this and the number of machines.
 constexpr size_t kMaxQueues = 64;
 
 // It loses the work of all its machines with any one of them: spot machines are for others first.
@@ -73,17 +73,17 @@
         return own_;
     }
     auto it = std::ranges::find_if(
-        kept_, [&](auto& k) { return k.kind == kind && k.queue.near_ == near; });
-    if (it == kept_.end()) {
-        if (kept_.size() == kMaxQueues) kept_.pop_back();
-        kept_.push_front({kind, {}});
-        kept_.front().queue.near_ = near;
-        build(kept_.front().queue, job);
+        cached_, [&](auto& k) { return k.kind == kind && k.queue.near_ == near; });
+    if (it == cached_.end()) {
+        if (cached_.size() == kMaxQueues) cached_.pop_back();
+        cached_.push_front({kind, {}});
+        cached_.front().queue.near_ = near;
+        build(cached_.front().queue, job);
     } else {
-        kept_.splice(kept_.begin(), kept_, it);
-        catch_up(kept_.front().queue, job);
+        cached_.splice(cached_.begin(), cached_, it);
+        catch_up(cached_.front().queue, job);
     }
-    return kept_.front().queue;
+    return cached_.front().queue;
 }
 
 void FitQueues::admit(FitQueue& queue, const Job& job, Index machine) const {
--- a/src/scheduler/fit_queues.h
+++ b/src/scheduler/fit_queues.h
@@ -88,9 +88,11 @@
     }
 
   private:
+    // What tasks of one kind have in common: CPUs, GPUs, memory, zone, spot, whether it is a gang
+    // of several tasks, image, machine types.
     using Kind =
         std::tuple<int64_t, int64_t, int64_t, Index, bool, bool, Index, std::vector<Index>>;
-    struct Kept {
+    struct CachedQueue {
         uint32_t kind = 0;
         FitQueue queue;
     };
@@ -106,7 +108,7 @@
     std::vector<uint32_t> stamp_;    // by machine: 1 + the place of its newest entry in the log
     std::vector<uint32_t> kind_of_;  // by job
     std::vector<uint32_t> asking_;   // by kind: jobs that wait
-    std::list<Kept> kept_;           // last used first
+    std::list<CachedQueue> cached_;  // last used first
     FitQueue own_;                   // of a job that shares with no other
 };
 
