--- a/src/state/cluster_state.cpp
+++ b/src/state/cluster_state.cpp
@@ -16,7 +16,7 @@
 // The first free place, or a new one at the end.
 template <class T>
 Index free_place(std::vector<std::unique_ptr<T>>& table) {
-    auto free = std::ranges::find(table, nullptr);
+    auto free = std::ranges::find_if(table, [](const auto& entry) { return !entry; });
     if (free == table.end()) free = table.insert(table.end(), nullptr);
     return static_cast<Index>(free - table.begin());
 }
