--- a/src/config/capacity.h
+++ b/src/config/capacity.h
@@ -1,4 +1,4 @@
-// Limits that follow from the size of the fleet and from the platform's memory and sockets
+// Limits that follow from the size of the fleet and from the controller's memory and sockets
 // (docs/limits.md).
 #pragma once
 #include <algorithm>
@@ -8,31 +8,41 @@
 
 namespace weirmill {
 
-// The largest fleet that one leader serves. All of its machines may report within the same second.
+// The largest fleet that one leader serves. All of its machines may send a heartbeat within the
+// same second.
 inline constexpr size_t kMaxMachines = 4000;
 
-// Messages that users and workers may have waiting for the leader: a report of each machine, and as
-// many others.
-inline constexpr size_t kMaxAsked = 2 * kMaxMachines;
+// Requests of users and workers that may be queued for the leader: a heartbeat of each machine, and
+// as many others.
+inline constexpr size_t kMaxQueuedRequests = 2 * kMaxMachines;
 
-// Bytes of requests that may wait for the leader: 4 KiB for each machine at 128 MB.
-inline size_t most_asked_bytes(const Settings& s) {
-    return static_cast<size_t>(s.mem_mb * 1e6 / 8);
+// Of the memory that is assigned, the part that one queue may fill.
+inline constexpr double kQueueMemoryShare = 1.0 / 8;
+
+// In bytes.
+inline size_t max_queue_bytes(const Settings& s) {
+    return static_cast<size_t>(s.mem_mb * 1e6 * kQueueMemoryShare);
 }
 
-// Bytes that may wait to be written to one peer: a relayed report of each machine, of 4 KB at 128
-// MB.
-inline size_t most_peer_bytes(const Settings& s) { return static_cast<size_t>(s.mem_mb * 1e6 / 8); }
+// Bytes of requests that may be queued for the leader: 4 KiB for each machine at 128 MB.
+inline size_t max_queued_request_bytes(const Settings& s) { return max_queue_bytes(s); }
+
+// Bytes that may be queued to be written to one peer: a relayed heartbeat of each machine, of 4 KB
+// at 128 MB.
+inline size_t max_peer_queue_bytes(const Settings& s) { return max_queue_bytes(s); }
 
-// Sockets kept for the state service, the cloud and peers.
+// Sockets kept for the key-value store, the cloud and peers.
 inline constexpr int kServiceSockets = 64;
 
-// Sockets over which stops are sent to workers at a time.
-inline int stop_sockets(const Settings& s) { return std::max(16, s.max_sockets / 8); }
+// Limits of users, workers and stops are never below this, however few sockets there are.
+inline constexpr int kMinSockets = 16;
+
+// Sockets over which stop commands are sent to workers at a time: an eighth of all.
+inline int stop_sockets(const Settings& s) { return std::max(kMinSockets, s.max_sockets / 8); }
 
 // Connections that users and workers may hold.
-inline int most_connections(const Settings& s) {
-    return std::max(16, s.max_sockets - kServiceSockets - stop_sockets(s));
+inline int max_connections(const Settings& s) {
+    return std::max(kMinSockets, s.max_sockets - kServiceSockets - stop_sockets(s));
 }
 
 }  // namespace weirmill
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -1,7 +1,5 @@
 #include "config/settings.h"
 
-#include <Poco/Exception.h>
-#include <Poco/Util/PropertyFileConfiguration.h>
 #include <toml++/toml.h>
 
 #include <charconv>
@@ -11,7 +9,7 @@
 namespace weirmill {
 
 Endpoint Endpoint::parse(const std::string& text, const std::string& field) {
-    auto colon = text.rfind(':');
+    const auto colon = text.rfind(':');
     Endpoint e;
     if (colon != std::string::npos && colon > 0) {
         e.host = text.substr(0, colon);
@@ -24,177 +22,203 @@
 
 namespace {
 
-std::string need_string(toml::node_view<toml::node> node, const std::string& field) {
+using Node = toml::node_view<toml::node>;
+
+// The least rate or duration that makes sense, so that none is 0.
+constexpr double kMinPositive = 1e-3;
+// The largest transaction that this service needs if it splits what it can.
+constexpr double kMinTransactionOps = 4;
+constexpr double kMinMemory_mb = 16;
+constexpr double kMinSockets = 32;
+
+std::string required_string(Node node, const std::string& field) {
     auto v = node.value<std::string>();
     if (!v || v->empty()) throw SettingsError("settings: " + field + " is missing or not a text");
     return *v;
 }
 
-double need_number(toml::node_view<toml::node> node, const std::string& field, double low) {
-    auto v = node.value<double>();
+double required_number(Node node, const std::string& field, double min) {
+    const auto v = node.value<double>();
     if (!v || !std::isfinite(*v))
         throw SettingsError("settings: " + field + " is missing or not a number");
-    if (*v < low)
-        throw SettingsError("settings: " + field + " must be at least " + std::to_string(low));
+    if (*v < min)
+        throw SettingsError("settings: " + field + " must be at least " + std::to_string(min));
     return *v;
 }
 
+Endpoint required_endpoint(Node node, const std::string& field) {
+    return Endpoint::parse(required_string(node, field), field);
+}
+
+// A table and its name in the file, for error texts.
+struct Section {
+    Node node;
+    std::string name;
+
+    [[nodiscard]] std::string field(const char* key) const { return name + "." + key; }
+    [[nodiscard]] std::string text(const char* key) const {
+        return required_string(node[key], field(key));
+    }
+    [[nodiscard]] double number(const char* key, double min) const {
+        return required_number(node[key], field(key), min);
+    }
+    [[nodiscard]] Endpoint endpoint(const char* key) const {
+        return required_endpoint(node[key], field(key));
+    }
+    [[nodiscard]] double number_or_zero(const char* key, double min) const {
+        return node[key] ? number(key, min) : 0.0;
+    }
+};
+
+// Calls `read` with each table of a list, in order; never if it is missing.
 template <class F>
-void each_table(toml::node_view<toml::node> node, const std::string& field, F&& f) {
+void for_each_table(Node node, const std::string& name, const F& read) {
     if (!node) return;
     auto* list = node.as_array();
-    if (!list) throw SettingsError("settings: " + field + " must be a list of tables");
+    if (!list) throw SettingsError("settings: " + name + " must be a list of tables");
     for (size_t i = 0; i < list->size(); ++i) {
-        auto at = field + "[" + std::to_string(i) + "]";
+        auto at = name + "[" + std::to_string(i) + "]";
         if (!(*list)[i].is_table()) throw SettingsError("settings: " + at + " must be a table");
-        f(toml::node_view<toml::node>((*list)[i]), at);
+        read(Section{Node((*list)[i]), std::move(at)});
     }
 }
 
-}  // namespace
-
-Settings load_settings(const std::string& path) {
-    toml::table root;
-    try {
-        root = toml::parse_file(path);
-    } catch (const toml::parse_error& e) {
-        throw SettingsError("settings: " + path + ": " + std::string(e.description()));
-    }
-    toml::node_view<toml::node> top(root);
-    Settings s;
-    s.name = need_string(top["host_name"], "host_name");
-    s.zone = need_string(top["site"], "site");
-    s.api = Endpoint::parse(need_string(top["api_addr"], "api_addr"), "api_addr");
-    s.peer = Endpoint::parse(need_string(top["peer_bind"], "peer_bind"), "peer_bind");
-    std::set<std::string> names{s.name};
-    each_table(top["seeds"], "seeds", [&](auto node, const std::string& at) {
+std::vector<PeerSettings> read_peers(Node node, const std::string& own_name) {
+    std::vector<PeerSettings> peers;
+    std::set<std::string> names{own_name};
+    for_each_table(node, "seeds", [&](const Section& seed) {
         PeerSettings p;
-        p.name = need_string(node["host_name"], at + ".host_name");
-        p.zone = need_string(node["site"], at + ".site");
-        p.addr = Endpoint::parse(need_string(node["addr"], at + ".addr"), at + ".addr");
+        p.name = seed.text("host_name");
+        p.zone = seed.text("site");
+        p.addr = seed.endpoint("addr");
         if (!names.insert(p.name).second)
-            throw SettingsError("settings: " + at + ".host_name repeats \"" + p.name + "\"");
-        s.peers.push_back(std::move(p));
+            throw SettingsError("settings: " + seed.field("host_name") + " repeats \"" + p.name +
+                                "\"");
+        peers.push_back(std::move(p));
     });
-    auto ext = top["external"];
-    s.cloud = Endpoint::parse(need_string(ext["cloud"], "external.cloud"), "external.cloud");
-    s.state = Endpoint::parse(need_string(ext["state"], "external.state"), "external.state");
-    auto d = top["deployment"];
-    auto* zones = d["zones"].as_array();
-    if (!zones || zones->empty())
+    return peers;
+}
+
+std::vector<std::string> read_zones(Node node) {
+    auto* list = node.as_array();
+    if (!list || list->empty())
         throw SettingsError("settings: deployment.zones is missing or empty");
-    for (auto& z : *zones) {
+    std::vector<std::string> zones;
+    for (auto& z : *list) {
         auto v = z.value<std::string>();
         if (!v) throw SettingsError("settings: deployment.zones must be a list of texts");
-        s.zones.push_back(*v);
+        zones.push_back(*v);
     }
-    s.clock_off_ms = need_number(d["clock_off_ms"], "deployment.clock_off_ms", 0);
-    std::set<std::string> teams;
-    each_table(d["teams"], "deployment.teams", [&](auto node, const std::string& at) {
+    return zones;
+}
+
+std::vector<TeamSettings> read_teams(Node node) {
+    std::vector<TeamSettings> teams;
+    std::set<std::string> names;
+    for_each_table(node, "deployment.teams", [&](const Section& team) {
         TeamSettings t;
-        t.name = need_string(node["name"], at + ".name");
-        // A figure that is missing is none, as 0 is.
-        auto figure = [&](const char* name) {
-            return node[name] ? need_number(node[name], at + "." + name, 0) : 0.0;
-        };
-        t.cpus = figure("cpus");
-        t.cpus_max = figure("cpus_max");
-        t.gpus = figure("gpus");
-        t.gpus_max = figure("gpus_max");
-        if (!teams.insert(t.name).second)
-            throw SettingsError("settings: " + at + ".name is repeated");
-        s.teams.push_back(std::move(t));
+        t.name = team.text("name");
+        t.cpus = team.number_or_zero("cpus", 0);
+        t.cpus_max = team.number_or_zero("cpus_max", 0);
+        t.gpus = team.number_or_zero("gpus", 0);
+        t.gpus_max = team.number_or_zero("gpus_max", 0);
+        if (!names.insert(t.name).second)
+            throw SettingsError("settings: " + team.field("name") + " is repeated");
+        teams.push_back(std::move(t));
     });
-    if (s.teams.empty()) throw SettingsError("settings: deployment.teams is missing or empty");
-    each_table(d["objectives"], "deployment.objectives", [&](auto node, const std::string& at) {
+    if (teams.empty()) throw SettingsError("settings: deployment.teams is missing or empty");
+    return teams;
+}
+
+// What is missing or of another type counts as not given.
+std::vector<Objective> read_objectives(Node node) {
+    std::vector<Objective> objectives;
+    for_each_table(node, "deployment.objectives", [&](const Section& objective) {
         Objective o;
-        o.kind = need_string(node["kind"], at + ".kind");
-        o.job_class = node["class"].template value<std::string>().value_or("");
-        o.within_s = node["within_s"].template value<double>().value_or(0);
-        o.share = node["share"].template value<double>().value_or(0);
-        o.times = node["times"].template value<double>().value_or(0);
-        s.objectives.push_back(std::move(o));
+        o.kind = objective.text("kind");
+        o.job_class = objective.node["class"].value<std::string>().value_or("");
+        o.within_s = objective.node["within_s"].value<double>().value_or(0);
+        o.share = objective.node["share"].value<double>().value_or(0);
+        o.times = objective.node["times"].value<double>().value_or(0);
+        objectives.push_back(std::move(o));
     });
-    const double tiny = 1e-3;
-    auto w = d["workers"];
-    s.heartbeat_interval_s = need_number(w["report_s"], "deployment.workers.report_s", tiny);
-    s.lease_s = need_number(w["lease_s"], "deployment.workers.lease_s", tiny);
-    s.gang_wait_s = need_number(w["gang_wait_s"], "deployment.workers.gang_wait_s", tiny);
-    s.gang_peer_s = need_number(w["gang_peer_s"], "deployment.workers.gang_peer_s", tiny);
-    s.cancel_s = need_number(w["cancel_s"], "deployment.workers.cancel_s", tiny);
-    auto st = d["state"];
-    s.state_rps = need_number(st["rps"], "deployment.state.rps", 1);
-    s.state_write_rps = need_number(st["write_rps"], "deployment.state.write_rps", 1);
-    s.value_kb = need_number(st["value_kb"], "deployment.state.value_kb", 1);
-    s.txn_ops = static_cast<int>(need_number(st["txn_ops"], "deployment.state.txn_ops", 4));
-    if (auto next = st["next"]) {
-        if (!next.is_table())
-            throw SettingsError("settings: deployment.state.next must be a table");
-        auto tighter = [&](const char* name, double low, auto& held) {
-            if (auto field = next[name])
-                held =
-                    std::min(held, static_cast<std::decay_t<decltype(held)>>(need_number(
-                                       field, std::string("deployment.state.next.") + name, low)));
-        };
-        tighter("rps", 1, s.state_rps);
-        tighter("write_rps", 1, s.state_write_rps);
-        tighter("value_kb", 1, s.value_kb);
-        tighter("txn_ops", 4, s.txn_ops);
-    }
-    auto c = d["cloud"];
-    s.cloud_rps = need_number(c["rps"], "deployment.cloud.rps", tiny);
-    s.list_lag_s = need_number(c["list_lag_s"], "deployment.cloud.list_lag_s", 0);
-    auto r = d["resources"];
-    s.cpu_share = need_number(r["cpu"], "deployment.resources.cpu", tiny);
-    s.mem_mb = need_number(r["mem_mb"], "deployment.resources.mem_mb", 16);
-    s.max_sockets =
-        static_cast<int>(need_number(r["max_sockets"], "deployment.resources.max_sockets", 32));
-    return s;
+    return objectives;
+}
+
+void read_workers(const Section& workers, Settings& s) {
+    s.heartbeat_interval_s = workers.number("report_s", kMinPositive);
+    s.lease_s = workers.number("lease_s", kMinPositive);
+    s.gang_wait_s = workers.number("gang_wait_s", kMinPositive);
+    s.gang_peer_s = workers.number("gang_peer_s", kMinPositive);
+    s.cancel_s = workers.number("cancel_s", kMinPositive);
 }
 
-Properties load_properties(const std::string& path) {
-    Properties p;
-    struct Row {
-        const char* name;
-        double* value;
-        double low, high;
-    };
-    const Row rows[] = {
-        {"election.lease_s", &p.election_lease_s, 1.0, 60.0},
-        {"preemption.round_s", &p.preemption_round_s, 0.5, 600.0},
-        {"fleet.idle_keep_boots", &p.idle_keep_boots, 0.0, 100.0},
-        {"scheduling.pause_s", &p.scheduling_pause_s, 0.01, 10.0},
-        {"machines.quarantine_s", &p.quarantine_s, 0.0, 86400.0},
-        {"overload.begin_within_s", &p.start_deadline_s, 0.0, 86400.0},
-    };
-    Poco::AutoPtr<Poco::Util::PropertyFileConfiguration> file;
+// Takes over the figure that is announced for later where it is the tighter one.
+template <class T>
+void tighten(const Section& next, const char* key, double min, T& value) {
+    if (!next.node[key]) return;
+    value = std::min(value, static_cast<T>(next.number(key, min)));
+}
+
+void read_state_service(const Section& state, Settings& s) {
+    s.state_rps = state.number("rps", 1);
+    s.state_write_rps = state.number("write_rps", 1);
+    s.value_kb = state.number("value_kb", 1);
+    s.txn_ops = static_cast<int>(state.number("txn_ops", kMinTransactionOps));
+    const Section next{state.node["next"], state.field("next")};
+    if (!next.node) return;
+    if (!next.node.is_table()) throw SettingsError("settings: " + next.name + " must be a table");
+    tighten(next, "rps", 1, s.state_rps);
+    tighten(next, "write_rps", 1, s.state_write_rps);
+    tighten(next, "value_kb", 1, s.value_kb);
+    tighten(next, "txn_ops", kMinTransactionOps, s.txn_ops);
+}
+
+void read_cloud(const Section& cloud, Settings& s) {
+    s.cloud_rps = cloud.number("rps", kMinPositive);
+    s.list_lag_s = cloud.number("list_lag_s", 0);
+}
+
+void read_resources(const Section& resources, Settings& s) {
+    s.cpu_share = resources.number("cpu", kMinPositive);
+    s.mem_mb = resources.number("mem_mb", kMinMemory_mb);
+    s.max_sockets = static_cast<int>(resources.number("max_sockets", kMinSockets));
+}
+
+void read_deployment(Node d, Settings& s) {
+    s.zones = read_zones(d["zones"]);
+    s.clock_off_ms = required_number(d["clock_off_ms"], "deployment.clock_off_ms", 0);
+    s.teams = read_teams(d["teams"]);
+    s.objectives = read_objectives(d["objectives"]);
+    read_workers({d["workers"], "deployment.workers"}, s);
+    read_state_service({d["state"], "deployment.state"}, s);
+    read_cloud({d["cloud"], "deployment.cloud"}, s);
+    read_resources({d["resources"], "deployment.resources"}, s);
+}
+
+toml::table parse_file(const std::string& path) {
     try {
-        file = new Poco::Util::PropertyFileConfiguration(path);
-    } catch (const Poco::Exception& e) {
-        throw SettingsError("properties: " + path + ": " + e.displayText());
-    }
-    for (const auto& row : rows) {
-        if (!file->hasProperty(row.name)) continue;
-        try {
-            *row.value = file->getDouble(row.name);
-        } catch (const Poco::Exception&) {
-            throw SettingsError(std::string("properties: ") + row.name + " must be a number");
-        }
-        if (!(*row.value >= row.low && *row.value <= row.high))
-            throw SettingsError(std::string("properties: ") + row.name + " must lie between " +
-                                std::to_string(row.low) + " and " + std::to_string(row.high));
-    }
-    const std::pair<const char*, bool*> flags[] = {{"doors.enabled", &p.standby_enabled},
-                                                   {"membership.enabled", &p.membership_enabled},
-                                                   {"overload.enabled", &p.overload_enabled}};
-    for (const auto& [name, value] : flags) {
-        try {
-            *value = file->getBool(name, *value);
-        } catch (const Poco::Exception&) {
-            throw SettingsError(std::string("properties: ") + name + " must be true or false");
-        }
+        return toml::parse_file(path);
+    } catch (const toml::parse_error& e) {
+        throw SettingsError("settings: " + path + ": " + std::string(e.description()));
     }
-    return p;
+}
+
+}  // namespace
+
+Settings load_settings(const std::string& path) {
+    auto root = parse_file(path);
+    const Node top(root);
+    Settings s;
+    s.name = required_string(top["host_name"], "host_name");
+    s.zone = required_string(top["site"], "site");
+    s.api = required_endpoint(top["api_addr"], "api_addr");
+    s.peer = required_endpoint(top["peer_bind"], "peer_bind");
+    s.peers = read_peers(top["seeds"], s.name);
+    s.cloud = required_endpoint(top["external"]["cloud"], "external.cloud");
+    s.state = required_endpoint(top["external"]["state"], "external.state");
+    read_deployment(top["deployment"], s);
+    return s;
 }
 
 }  // namespace weirmill
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 // What comes back from outside has as much room again: none of that may be lost.
-constexpr size_t kMailbox = 2 * kMaxAsked;
+constexpr size_t kMailbox = 2 * kMaxQueuedRequests;
 constexpr int kSegmentsAPage = 50;
 const std::string kOldJobs = "j/";
 constexpr double kAsk_s = 2.0;
@@ -66,7 +66,7 @@
 asio::awaitable<PeerReply> Leader::ask(PeerCall call) {
     if (!ready_) co_return undecided();
     size_t bytes = call.body.size();
-    if (asked_ >= kMaxAsked || asked_bytes_ + bytes > most_asked_bytes(settings_))
+    if (asked_ >= kMaxQueuedRequests || asked_bytes_ + bytes > max_queued_request_bytes(settings_))
         co_return come_back();
     Reply reply(io_.get_executor());
     bool is_heartbeat = call.op == PeerOp::Heartbeat;
--- a/src/controller/request_router.cpp
+++ b/src/controller/request_router.cpp
@@ -53,8 +53,8 @@
                                                 [this] { return leader_ && leader_->ready(); });
     peers_in_ = std::make_unique<PeerServer>(
         io, settings.peer, [this](PeerCall call) { return from_peer(std::move(call)); },
-        most_peer_bytes(settings));
-    http_ = std::make_unique<HttpServer>(io, settings.api, most_connections(settings),
+        max_peer_queue_bytes(settings));
+    http_ = std::make_unique<HttpServer>(io, settings.api, max_connections(settings),
                                          [this](HttpRequest r) { return handle(std::move(r)); });
     asio::co_spawn(io, ping_loop(), asio::detached);
     spdlog::info("node: {} in {} serving {} peers={}", settings.name, settings.zone,
@@ -90,7 +90,7 @@
     for (auto& p : settings_.peers)
         if (p.name == name) {
             auto& link = links_[name];
-            link = std::make_unique<PeerClient>(io_, p.addr, most_peer_bytes(settings_));
+            link = std::make_unique<PeerClient>(io_, p.addr, max_peer_queue_bytes(settings_));
             return link.get();
         }
     return nullptr;
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,4 +1,5 @@
-// Command line and wiring.
+// The controller's command line. Exit codes: 1 for settings or addresses that can't be used, 2 for
+// the environment, CLI11's for the arguments.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -6,12 +7,24 @@
 #include <boost/asio/io_context.hpp>
 #include <cstdlib>
 #include <iostream>
+#include <memory>
+#include <optional>
+#include <string>
+#include <string_view>
 
 #include "config/settings.h"
 #include "controller/request_router.h"
 
 namespace {
 
+std::optional<spdlog::level::level_enum> parse_level(std::string_view name) {
+    if (name == "error") return spdlog::level::err;
+    if (name == "info") return spdlog::level::info;
+    if (name == "debug") return spdlog::level::debug;
+    return std::nullopt;
+}
+
+// All logs go to standard error, at the level that LOG_LEVEL names. False: it names none.
 bool set_up_logging() {
     auto logger = std::make_shared<spdlog::logger>(
         "weirmill", std::make_shared<spdlog::sinks::stderr_sink_st>());
@@ -19,19 +32,21 @@
     spdlog::set_pattern("%Y-%m-%dT%H:%M:%S.%eZ %l %v", spdlog::pattern_time_type::utc);
     const char* level = std::getenv("LOG_LEVEL");
     std::string name = level && *level ? level : "info";
-    if (name == "error")
-        spdlog::set_level(spdlog::level::err);
-    else if (name == "info")
-        spdlog::set_level(spdlog::level::info);
-    else if (name == "debug")
-        spdlog::set_level(spdlog::level::debug);
-    else {
+    const auto parsed = parse_level(name);
+    if (!parsed) {
         std::cerr << "LOG_LEVEL must be error, info or debug, not \"" << name << "\"\n";
         return false;
     }
+    spdlog::set_level(*parsed);
     return true;
 }
 
+void serve(const weirmill::Settings& settings, const weirmill::Properties& properties) {
+    boost::asio::io_context io(1);
+    const weirmill::RequestRouter router(io, settings, properties);
+    io.run();
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
@@ -52,17 +67,15 @@
         auto settings = weirmill::load_settings(config);
         auto properties = properties_file.empty() ? weirmill::Properties{}
                                                   : weirmill::load_properties(properties_file);
-        for (auto* e : {&settings.api, &settings.peer, &settings.cloud, &settings.state})
+        for (const auto* e : {&settings.api, &settings.peer, &settings.cloud, &settings.state})
             weirmill::resolve(*e);
-        if (auto warning = weirmill::grace_warning(settings); !warning.empty())
+        if (const auto warning = weirmill::grace_warning(settings); !warning.empty())
             spdlog::warn(warning);
         if (check) {
             std::cout << "settings are sound\n";
             return 0;
         }
-        boost::asio::io_context io(1);
-        weirmill::RequestRouter front(io, settings, properties);
-        io.run();
+        serve(settings, properties);
     } catch (const std::exception& e) {
         std::cerr << e.what() << "\n";
         return 1;
