--- a/src/controller/request_router.cpp
+++ b/src/controller/request_router.cpp
@@ -113,9 +113,9 @@
         co_return who_leads();
     }
     if (call.op == PeerOp::Command) co_return co_await pass_command(std::move(call));
-    if (auto leader = leader_; leader && (leader->lease_valid(steady_now()) || !call.via))
+    if (auto leader = leader_; leader && (leader->lease_valid(steady_now()) || !call.relay))
         co_return co_await leader->ask(std::move(call));
-    if (call.via) {
+    if (call.relay) {
         // Who asks can't reach the leader, and may not reach the state service: nobody passes it on
         // again.
         if (call.op == PeerOp::Heartbeat) co_return co_await to_leader(std::move(call));
@@ -131,9 +131,9 @@
     std::string body = call.body;
     if (co_await send_commands(io_, call.subject, std::move(body), kWorker_s))
         co_return PeerReply{200, "{}"};
-    if (!call.via) {
+    if (!call.relay) {
         auto from = call.sender;
-        call.via = true;
+        call.relay = true;
         for (auto& p : membership_->views(steady_now())) {
             if (!p.heard || p.name == from) continue;
             PeerCall again = call;
@@ -145,7 +145,7 @@
 }
 
 std::optional<std::string> RequestRouter::relay_for(const PeerCall& call) const {
-    if (!membership_->enabled() || call.via) return std::nullopt;
+    if (!membership_->enabled() || call.relay) return std::nullopt;
     auto views = membership_->views(steady_now());
     if (auto way = relay_to_leader(leader_name(), views)) return way;
     return membership_->reaches_kv(steady_now()) ? std::nullopt : relay_to_kv(views);
@@ -175,7 +175,7 @@
     if (!link || leader_silent()) {
         if (auto way = relay_for(call)) {
             metrics_.count("second_hops_total");
-            call.via = true;
+            call.relay = true;
             auto reply = co_await by_peer(*way, std::move(call));
             if (!reply.undecided) heard_leader_ = steady_now();
             co_return reply;
--- /dev/null
+++ b/src/transport/clock.h
@@ -0,0 +1,32 @@
+// The two clocks, in seconds, and a sleep.
+#pragma once
+#include <boost/asio.hpp>
+#include <chrono>
+
+namespace weirmill {
+
+inline std::chrono::steady_clock::duration steady_duration(double seconds) {
+    return std::chrono::duration_cast<std::chrono::steady_clock::duration>(
+        std::chrono::duration<double>(seconds));
+}
+
+// The time of day, since 1970. It may be set back.
+inline double wall_now() {
+    return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch())
+        .count();
+}
+
+// The clock of this host that never goes back, since some fixed time.
+inline double steady_now() {
+    return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch())
+        .count();
+}
+
+// Suspends the calling coroutine.
+inline boost::asio::awaitable<void> sleep_s(double seconds) {
+    boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor,
+                                    steady_duration(seconds));
+    co_await timer.async_wait(boost::asio::as_tuple(boost::asio::use_awaitable));
+}
+
+}  // namespace weirmill
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -3,7 +3,9 @@
 #include <boost/asio.hpp>
 #include <boost/beast.hpp>
 #include <charconv>
+#include <utility>
 
+#include "transport/clock.h"
 #include "transport/http_server.h"
 
 namespace weirmill {
@@ -12,55 +14,84 @@
 namespace beast = boost::beast;
 namespace http = beast::http;
 using tcp = asio::ip::tcp;
-constexpr auto kQuiet = asio::as_tuple(asio::use_awaitable);
-constexpr size_t kMaxIdle = 4;
+
+namespace {
+
+constexpr auto kErrorAsValue = asio::as_tuple(asio::use_awaitable);
+constexpr size_t kMaxIdle = 4;  // connections
+constexpr unsigned kHttp11 = 11;
+
+using Request = http::request<http::string_body>;
+using Response = http::response<http::string_body>;
+
+Request make_request(const char* method, const std::string& target, const std::string& host,
+                     std::string body) {
+    Request request(http::string_to_verb(method), target, kHttp11);
+    request.set(http::field::host, host);
+    if (!body.empty()) request.set(http::field::content_type, "application/json");
+    request.body() = std::move(body);
+    request.prepare_payload();
+    return request;
+}
+
+// 0: there is none, or it is no number of seconds.
+double retry_after_s(const Response& response) {
+    auto text = response[http::field::retry_after];
+    const char* end = text.data() + text.size();
+    unsigned seconds = 0;
+    auto [parsed_to, ec] = std::from_chars(text.data(), end, seconds);
+    return ec == std::errc() && parsed_to == end ? seconds : 0;
+}
+
+}  // namespace
 
 HttpClient::HttpClient(asio::io_context& io, Endpoint to, size_t body_limit)
     : io_(io), to_(std::move(to)), body_limit_(body_limit) {}
 
-asio::awaitable<std::optional<HttpAnswer>> HttpClient::request(const char* method,
-                                                               std::string target, std::string body,
-                                                               double timeout_s) {
-    Stream stream;
-    auto deadline = std::chrono::duration_cast<std::chrono::steady_clock::duration>(
-        std::chrono::duration<double>(timeout_s));
+asio::awaitable<HttpClient::Stream> HttpClient::open_stream(
+    std::chrono::steady_clock::duration timeout) {
     if (!idle_.empty()) {
-        stream = std::move(idle_.back());
+        auto idle = std::move(idle_.back());
         idle_.pop_back();
-        stream->expires_after(deadline);
-    } else {
-        stream = std::make_unique<beast::tcp_stream>(io_);
-        stream->expires_after(deadline);
-        auto [ec] = co_await stream->async_connect(resolve(to_), kQuiet);
-        if (ec) co_return std::nullopt;
-        boost::system::error_code ignored;
-        stream->socket().set_option(tcp::no_delay(true), ignored);
+        idle->expires_after(timeout);
+        co_return idle;
     }
-    http::request<http::string_body> request(http::string_to_verb(method), target, 11);
-    request.set(http::field::host, to_.text());
-    if (!body.empty()) request.set(http::field::content_type, "application/json");
-    request.body() = std::move(body);
-    request.prepare_payload();
-    auto [write_ec, written] = co_await http::async_write(*stream, request, kQuiet);
-    (void)written;
+    auto stream = std::make_unique<beast::tcp_stream>(io_);
+    stream->expires_after(timeout);
+    auto [ec] = co_await stream->async_connect(resolve(to_), kErrorAsValue);
+    if (ec) co_return nullptr;
+    boost::system::error_code ignored;
+    stream->socket().set_option(tcp::no_delay(true), ignored);
+    co_return stream;
+}
+
+void HttpClient::keep(Stream stream) {
+    if (idle_.size() >= kMaxIdle) return;
+    stream->expires_never();
+    idle_.push_back(std::move(stream));
+}
+
+asio::awaitable<std::optional<HttpAnswer>> HttpClient::request(const char* method,
+                                                               std::string target, std::string body,
+                                                               double timeout_s) {
+    // One deadline for all of it: it stays set on the stream.
+    auto stream = co_await open_stream(steady_duration(timeout_s));
+    if (!stream) co_return std::nullopt;
+    auto request = make_request(method, target, to_.text(), std::move(body));
+    [[maybe_unused]] auto [write_ec, written] =
+        co_await http::async_write(*stream, request, kErrorAsValue);
     if (write_ec) co_return std::nullopt;
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
     parser.body_limit(body_limit_);
-    auto [read_ec, got] = co_await http::async_read(*stream, buffer, parser, kQuiet);
-    (void)got;
+    [[maybe_unused]] auto [read_ec, got] =
+        co_await http::async_read(*stream, buffer, parser, kErrorAsValue);
     if (read_ec) co_return std::nullopt;
     auto response = parser.release();
-    HttpAnswer answer{static_cast<int>(response.result_int()), std::move(response.body()), 0};
-    auto after = response[http::field::retry_after];
-    unsigned seconds = 0;
-    if (auto [end, bad] = std::from_chars(after.data(), after.data() + after.size(), seconds);
-        bad == std::errc() && end == after.data() + after.size())
-        answer.retry_after_s = seconds;
-    if (response.keep_alive() && idle_.size() < kMaxIdle) {
-        stream->expires_never();
-        idle_.push_back(std::move(stream));
-    }
+    const bool keep_alive = response.keep_alive();
+    HttpAnswer answer{static_cast<int>(response.result_int()), std::move(response.body()),
+                      retry_after_s(response)};
+    if (keep_alive) keep(std::move(stream));
     co_return answer;
 }
 
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -17,7 +17,7 @@
 
 struct HttpRequest {
     std::string method, target, body;
-    std::string from;  // the other end
+    std::string from;  // the client's ADDRESS:PORT; "?": not known
 };
 
 struct HttpReply {
@@ -25,12 +25,14 @@
     std::string body;
     int retry_after_s = 0;  // 0: no header
     const char* content_type = "application/json";
-    bool from_machine =
-        false;  // asked by one of many that each ask rarely: closed first when sockets run short
+    // Asked by one of many that each ask rarely: closed first when sockets run short.
+    bool from_machine = false;
 };
 
+// Serves one request. An exception becomes a 500.
 using HttpHandler = std::function<boost::asio::awaitable<HttpReply>(HttpRequest)>;
 
+// Of a request, in bytes; a larger one gets a 413.
 inline constexpr size_t kMaxBody = 64 * 1024;
 
 // Connections are kept between requests while there are few. Near the limit they are kept for a
@@ -41,34 +43,38 @@
   public:
     HttpServer(boost::asio::io_context& io, const Endpoint& at, int max_connections,
                HttpHandler handler);
-    uint16_t port() const { return acceptor_.local_endpoint().port(); }
+    [[nodiscard]] uint16_t port() const { return acceptor_.local_endpoint().port(); }
 
   private:
-    boost::asio::awaitable<void> accept_loop();
-    boost::asio::awaitable<void> serve(boost::asio::ip::tcp::socket socket);
+    class Session;
     struct SilentConnection {
         boost::beast::tcp_stream* stream;
         std::chrono::steady_clock::time_point since;
     };
-    using Silent = std::list<SilentConnection>;  // the longest silent first
+    using SilentConnections = std::list<SilentConnection>;  // the longest silent first
     // Outlives the server where connections do.
     struct Connections {
         explicit Connections(boost::asio::io_context& io) : room(io) {}
         int count = 0;
         boost::asio::steady_timer room;  // cancelled when a connection ends
     };
+
+    boost::asio::awaitable<void> accept_loop();
+    boost::asio::awaitable<void> serve(boost::asio::ip::tcp::socket socket);
     // Waits until a further connection may be served.
     boost::asio::awaitable<void> wait_for_room();
     void close_longest_silent();
-    std::chrono::duration<double> idle_time() const;
+    [[nodiscard]] std::chrono::steady_clock::duration idle_timeout() const;
+    [[nodiscard]] bool near_limit() const;
 
     boost::asio::ip::tcp::acceptor acceptor_;
     int max_connections_;
     std::shared_ptr<Connections> connections_;
-    Silent silent_machines_, silent_users_;
+    SilentConnections silent_machines_, silent_users_;
     HttpHandler handler_;
 };
 
+// Throws SettingsError where the host is no IP address.
 boost::asio::ip::tcp::endpoint resolve(const Endpoint& e);
 
 }  // namespace weirmill
--- /dev/null
+++ b/src/transport/peer_connection.cpp
@@ -0,0 +1,97 @@
+#include "transport/peer_connection.h"
+
+#include <capnp/serialize.h>
+#include <spdlog/spdlog.h>
+
+#include <array>
+#include <utility>
+
+namespace weirmill {
+
+namespace asio = boost::asio;
+using tcp = asio::ip::tcp;
+
+namespace {
+
+constexpr auto kErrorAsValue = asio::as_tuple(asio::use_awaitable);
+constexpr uint32_t kMaxFrame = 160 * 1024;  // bytes
+
+using FrameHeader = std::array<unsigned char, 4>;
+
+uint32_t frame_bytes(const FrameHeader& h) {
+    return h[0] | h[1] << 8 | h[2] << 16 | static_cast<uint32_t>(h[3]) << 24;
+}
+
+// False: the message is malformed.
+bool handle_frame(kj::ArrayPtr<const capnp::word> words,
+                  const PeerConnection::FrameHandler& on_frame) {
+    try {
+        capnp::FlatArrayMessageReader reader(words);
+        on_frame(reader.getRoot<peer::Frame>());
+        return true;
+    } catch (const kj::Exception& e) {
+        spdlog::error("peer: malformed message refused: {}", e.getDescription().cStr());
+        return false;
+    }
+}
+
+}  // namespace
+
+PeerConnection::PeerConnection(tcp::socket socket, size_t max_queue_bytes)
+    : socket_(std::move(socket)), max_queue_bytes_(max_queue_bytes) {}
+
+void PeerConnection::close() {
+    closed_ = true;
+    boost::system::error_code ignored;
+    socket_.close(ignored);
+}
+
+void PeerConnection::send(std::string frame) {
+    if (closed_) return;
+    if (queue_bytes_ + frame.size() > max_queue_bytes_) {
+        spdlog::error("peer: link closed, {} bytes wait to be written", queue_bytes_);
+        return close();
+    }
+    queue_bytes_ += frame.size();
+    queue_.push_back(std::move(frame));
+    if (writing_) return;
+    writing_ = true;
+    asio::co_spawn(executor(), write_loop(shared_from_this()), asio::detached);
+}
+
+asio::awaitable<void> PeerConnection::write_loop(std::shared_ptr<PeerConnection> self) {
+    while (!self->queue_.empty() && !self->closed_) {
+        const std::string frame = std::move(self->queue_.front());
+        self->queue_.pop_front();
+        self->queue_bytes_ -= frame.size();
+        [[maybe_unused]] auto [ec, n] =
+            co_await asio::async_write(self->socket_, asio::buffer(frame), kErrorAsValue);
+        if (ec) self->close();
+    }
+    self->writing_ = false;
+}
+
+asio::awaitable<void> PeerConnection::read_loop(std::shared_ptr<PeerConnection> self,
+                                                FrameHandler on_frame) {
+    kj::Array<capnp::word> buffer;  // grows to the largest frame
+    while (!self->closed_) {
+        FrameHeader header{};
+        [[maybe_unused]] auto [header_ec, header_n] =
+            co_await asio::async_read(self->socket_, asio::buffer(header), kErrorAsValue);
+        if (header_ec) break;
+        const uint32_t size = frame_bytes(header);
+        if (size > kMaxFrame || size % sizeof(capnp::word) != 0) {
+            spdlog::error("peer: refused a frame of {} bytes", size);
+            break;
+        }
+        const size_t words = size / sizeof(capnp::word);
+        if (buffer.size() < words) buffer = kj::heapArray<capnp::word>(words);
+        [[maybe_unused]] auto [body_ec, body_n] = co_await asio::async_read(
+            self->socket_, asio::buffer(static_cast<void*>(buffer.begin()), size), kErrorAsValue);
+        if (body_ec) break;
+        if (!handle_frame(kj::arrayPtr(buffer.begin(), words), on_frame)) break;
+    }
+    self->close();
+}
+
+}  // namespace weirmill
--- a/src/transport/peer_link.h
+++ b/src/transport/peer_link.h
@@ -1,77 +1,60 @@
-// Calls between controllers: Cap'n Proto messages, length-framed, over one kept TCP stream per
-// peer.
+// Calls between controllers: Cap'n Proto messages, length-framed, over one kept TCP connection per
+// peer. All runs on the io_context's one thread.
 #pragma once
-#include <deque>
+#include <boost/asio.hpp>
 #include <functional>
-#include <map>
 #include <memory>
 #include <optional>
-#include <string>
 #include <vector>
 
 #include "config/settings.h"
-#include "protocol/links.h"
 #include "transport/one_shot.h"
+#include "transport/peer_messages.h"
 
 namespace weirmill {
 
-enum class PeerOp : uint8_t { Submit, Status, Cancel, Heartbeat, Ping, Command };
-
-struct PeerCall {
-    PeerOp op = PeerOp::Ping;
-    std::string subject, body;
-    bool via =
-        false;  // the sender can't reach the leader: to be passed on, but by the callee alone
-    std::string sender{};  // the controller that calls; empty: this one
-    LinkStatus links{};    // with a ping
-};
-
-struct PeerReply {
-    int status = 503;
-    std::string body;
-    int retry_after_s = 0;
-    uint64_t fencing_token = 0;
-    bool undecided = false;  // who answered does not lead, or not yet, or is unsure of it
-    LinkStatus links{};      // to a ping
-};
-
+// Serves one call; the reply goes back once the coroutine returns. Calls are served beside each
+// other.
 using PeerHandler = std::function<boost::asio::awaitable<PeerReply>(PeerCall)>;
 
-// Bytes that may wait to be written to one peer, unless told otherwise (settings/capacity.h).
-inline constexpr size_t kPeerQueueBytes = 16 * 1024 * 1024;
+// Bytes that may be queued to be written to one peer, unless told otherwise (config/capacity.h).
+inline constexpr size_t kMaxPeerQueueBytes = 16 * 1024 * 1024;
 
 class PeerServer {
   public:
-    // `queue_bytes`: answers that may wait to be written to one peer. Beyond it the connection is
-    // closed.
+    // `max_queue_bytes`: of replies that wait to be written to one peer. Beyond it the connection
+    // is closed.
     PeerServer(boost::asio::io_context& io, const Endpoint& at, PeerHandler handler,
-               size_t queue_bytes = kPeerQueueBytes);
-    uint16_t port() const { return acceptor_.local_endpoint().port(); }
+               size_t max_queue_bytes = kMaxPeerQueueBytes);
+    [[nodiscard]] uint16_t port() const { return acceptor_.local_endpoint().port(); }
 
   private:
     boost::asio::awaitable<void> accept_loop();
+    void serve(boost::asio::ip::tcp::socket socket);
+
     boost::asio::ip::tcp::acceptor acceptor_;
-    PeerHandler handler_;
-    size_t queue_bytes_;
+    std::shared_ptr<const PeerHandler> handler_;  // calls that are being served outlive the server
+    size_t max_queue_bytes_;
 };
 
 class PeerClient {
   public:
-    // `queue_bytes`: calls that may wait to be written. Beyond it the link is closed.
-    PeerClient(boost::asio::io_context& io, Endpoint to, size_t queue_bytes = kPeerQueueBytes);
+    // `max_queue_bytes`: of calls that wait to be written. Beyond it the connection is closed.
+    PeerClient(boost::asio::io_context& io, Endpoint to,
+               size_t max_queue_bytes = kMaxPeerQueueBytes);
     // Nothing: the peer did not answer in time.
     boost::asio::awaitable<std::optional<PeerReply>> call(PeerCall call, double timeout_s);
 
   private:
     struct Link;
-    bool connected() const;
+    [[nodiscard]] bool connected() const;
     // Opens the link, once for all calls that wait for it.
     boost::asio::awaitable<bool> connect(double timeout_s);
     boost::asio::awaitable<bool> open_link(double timeout_s);
 
     boost::asio::io_context& io_;
     Endpoint to_;
-    size_t queue_bytes_;
+    size_t max_queue_bytes_;
     std::shared_ptr<Link> link_;
     bool connecting_ = false;
     std::vector<OneShot<bool>> waiting_for_link_;
