--- a/src/protocol/cloud_codec.cpp
+++ b/src/protocol/cloud_codec.cpp
@@ -1,6 +1,7 @@
 #include "protocol/cloud_codec.h"
 
 #include "protocol/paths.h"
+#include "protocol/wire_names.h"
 
 namespace weirmill {
 
@@ -8,10 +9,19 @@
 
 namespace {
 
+constexpr size_t kMaxName = 200;  // bytes
+constexpr const char* kNoCapacity = "no capacity";
+
+constexpr wire::Name<MachineStatus> kStatuses[] = {{"booting", MachineStatus::Booting},
+                                                   {"running", MachineStatus::Running},
+                                                   {"failed", MachineStatus::Failed}};
+
+double amount(int64_t milli) { return static_cast<double>(milli) / 1000; }
+
 std::vector<std::string> text_list(const json::object& o, const char* name) {
     std::vector<std::string> out;
     for (auto& v : read::array(o, name)) {
-        if (!v.is_string() || v.get_string().empty() || v.get_string().size() > 200)
+        if (!v.is_string() || v.get_string().empty() || v.get_string().size() > kMaxName)
             read::bad(name);
         out.emplace_back(v.get_string());
     }
@@ -23,19 +33,19 @@
 std::vector<MachineType> parse_machine_types(std::string_view body) {
     auto v = read::parse(body);
     std::vector<MachineType> out;
-    for (auto& item : read::array(read::object(v), "rigs")) {
+    for (auto& item : read::array(read::object(v), wire::kMachineTypes)) {
         auto& o = read::object(item);
         MachineType t;
-        t.name = read::text(o, "label");
-        t.size.cpu = milli_down(read::number(o, "cores"));
-        t.size.gpu = milli_down(read::number(o, "accelerators", 0.0));
-        t.size.mem = milli_down(read::number(o, "mem_gb"));
-        t.cache_gb = read::number(o, "local_gb", 0.0);
-        t.fetch_gb_per_s = read::number(o, "fetch_gb_per_s");
-        t.price = read::number(o, "hourly");
-        t.spot_price = read::number(o, "spot_price", t.price);
-        t.boot_s = read::number(o, "startup_s");
-        t.zones = text_list(o, "yards");
+        t.name = read::text(o, wire::kTypeName);
+        t.size.cpu = milli_down(read::number(o, wire::kCpus));
+        t.size.gpu = milli_down(read::number(o, wire::kGpus, 0.0));
+        t.size.mem = milli_down(read::number(o, wire::kMemory_gb));
+        t.cache_gb = read::number(o, wire::kImageCache_gb, 0.0);
+        t.fetch_gb_per_s = read::number(o, wire::kFetchRate);
+        t.price = read::number(o, wire::kPrice);
+        t.spot_price = read::number(o, wire::kSpotPrice, t.price);
+        t.boot_s = read::number(o, wire::kBoot_s);
+        t.zones = text_list(o, wire::kZones);
         out.push_back(std::move(t));
     }
     if (out.empty()) throw BadMessage("no machine types");
@@ -47,52 +57,44 @@
     for (auto& t : types) {
         json::array zones;
         for (auto& z : t.zones) zones.emplace_back(z);
-        list.push_back(json::object{{"label", t.name},
-                                    {"cores", static_cast<double>(t.size.cpu) / 1000},
-                                    {"accelerators", static_cast<double>(t.size.gpu) / 1000},
-                                    {"mem_gb", static_cast<double>(t.size.mem) / 1000},
-                                    {"local_gb", t.cache_gb},
-                                    {"fetch_gb_per_s", t.fetch_gb_per_s},
-                                    {"hourly", t.price},
-                                    {"spot_price", t.spot_price},
-                                    {"startup_s", t.boot_s},
-                                    {"yards", std::move(zones)}});
+        list.push_back(json::object{{wire::kTypeName, t.name},
+                                    {wire::kCpus, amount(t.size.cpu)},
+                                    {wire::kGpus, amount(t.size.gpu)},
+                                    {wire::kMemory_gb, amount(t.size.mem)},
+                                    {wire::kImageCache_gb, t.cache_gb},
+                                    {wire::kFetchRate, t.fetch_gb_per_s},
+                                    {wire::kPrice, t.price},
+                                    {wire::kSpotPrice, t.spot_price},
+                                    {wire::kBoot_s, t.boot_s},
+                                    {wire::kZones, std::move(zones)}});
     }
-    return json::serialize(json::object{{"rigs", std::move(list)}});
+    return json::serialize(json::object{{wire::kMachineTypes, std::move(list)}});
 }
 
 MachinePage parse_machine_page(std::string_view body) {
     auto v = read::parse(body);
     auto& root = read::object(v);
     MachinePage page;
-    for (auto& item : read::array(root, "millstones")) {
+    for (auto& item : read::array(root, wire::kMachines)) {
         auto& o = read::object(item);
         ListedMachine m;
-        m.name = read::text(o, "name_id");
-        m.addr = read::field(o, "addr") ? read::text(o, "addr") : "";
-        m.type = read::text(o, "rig");
-        m.zone = read::text(o, "yard");
-        m.spot = read::flag(o, "loaners");
-        auto status = read::text(o, "status");
-        if (status == "booting")
-            m.status = MachineStatus::Booting;
-        else if (status == "running")
-            m.status = MachineStatus::Running;
-        else if (status == "failed")
-            m.status = MachineStatus::Failed;
-        else
-            read::bad("status");
-        m.age_s = read::number(o, "age_s", 0.0);
+        m.name = read::text(o, wire::kMachineName);
+        m.addr = read::field(o, wire::kAddress) ? read::text(o, wire::kAddress) : "";
+        m.type = read::text(o, wire::kMachineType);
+        m.zone = read::text(o, wire::kZone);
+        m.spot = read::flag(o, wire::kSpot);
+        m.status = wire::read_value(kStatuses, o, wire::kStatus);
+        m.age_s = read::number(o, wire::kAge_s, 0.0);
         page.machines.push_back(std::move(m));
     }
-    page.more = read::flag(root, "has_next", false);
+    page.more = read::flag(root, wire::kMorePages, false);
     return page;
 }
 
 bool says_no_capacity(std::string_view body) {
     try {
         auto v = read::parse(body);
-        return read::text(read::object(v), "error") == "no capacity";
+        return read::text(read::object(v), wire::kError) == kNoCapacity;
     } catch (const BadMessage&) {
         return false;
     }
@@ -100,19 +102,22 @@
 
 std::vector<std::string> parse_rented(std::string_view body) {
     auto v = read::parse(body);
-    return text_list(read::object(v), "millstones");
+    return text_list(read::object(v), wire::kMachines);
 }
 
 std::string rental_json(const std::string& request, const std::string& type,
                         const std::string& zone, bool spot, int count) {
-    return json::serialize(json::object{
-        {"hire", request}, {"rig", type}, {"yard", zone}, {"loaners", spot}, {"count", count}});
+    return json::serialize(json::object{{wire::kProvisionRequest, request},
+                                        {wire::kMachineType, type},
+                                        {wire::kZone, zone},
+                                        {wire::kSpot, spot},
+                                        {wire::kCount, count}});
 }
 
 std::string return_json(const std::vector<std::string>& machines) {
     json::array list;
     for (auto& m : machines) list.emplace_back(m);
-    return json::serialize(json::object{{"millstones", std::move(list)}});
+    return json::serialize(json::object{{wire::kMachines, std::move(list)}});
 }
 
 std::string machine_list_target(const std::string& after, int limit) {
--- /dev/null
+++ b/src/protocol/wire_names.h
@@ -0,0 +1,104 @@
+// The spellings of the users', workers' and cloud's interfaces under the names that the code has
+// for them. Only codecs include it.
+#pragma once
+#include <boost/json.hpp>
+#include <cstddef>
+#include <string_view>
+
+#include "protocol/json_read.h"
+
+namespace weirmill::wire {
+
+// Fields of several interfaces.
+inline constexpr const char* kZone = "yard";
+inline constexpr const char* kSpot = "loaners";
+inline constexpr const char* kStatus = "status";
+inline constexpr const char* kMachineTypes = "rigs";
+inline constexpr const char* kMachineType = "rig";
+inline constexpr const char* kAddress = "addr";
+inline constexpr const char* kTasks = "lots";  // of a job their number, of a heartbeat a list
+inline constexpr const char* kCpus = "cores";
+inline constexpr const char* kGpus = "accelerators";
+inline constexpr const char* kMemory_gb = "mem_gb";
+
+// Fields of a job.
+inline constexpr const char* kJobId = "name_id";
+inline constexpr const char* kJobClass = "lot_class";
+inline constexpr const char* kTeam = "consignor";
+inline constexpr const char* kJobKind = "sale_kind";
+inline constexpr const char* kPriority = "urgency";
+inline constexpr const char* kOneZone = "same_place";
+inline constexpr const char* kSpread = "scatter";
+inline constexpr const char* kImage = "bundle";
+inline constexpr const char* kImageSize_gb = "size_gb";
+inline constexpr const char* kEstimate_s = "expected_s";
+inline constexpr const char* kCheckpointInterval_s = "tally_s";
+inline constexpr const char* kCheckpointDuration_s = "bank_s";
+inline constexpr const char* kDeadline_s = "due_s";
+inline constexpr const char* kDependencies = "awaits";
+inline constexpr const char* kDone = "done";
+inline constexpr const char* kRunning = "running";
+
+// Fields of workers' heartbeats and of the answers to them.
+inline constexpr const char* kMachine = "millstone";
+inline constexpr const char* kAgentEpoch = "shift";
+inline constexpr const char* kHeartbeatSeq = "tick";
+inline constexpr const char* kFencingToken = "gavel";
+inline constexpr const char* kInterruptionNotice_s = "recall_s";
+inline constexpr const char* kTask = "lot";  // JOB/INDEX
+inline constexpr const char* kAttempt = "try";
+inline constexpr const char* kExitCause = "cause";
+inline constexpr const char* kSaved = "kept";
+inline constexpr const char* kCommands = "orders";
+inline constexpr const char* kCommand = "order";
+inline constexpr const char* kGrace_s = "wind_down_s";
+inline constexpr const char* kLeader = "clerk";
+
+// Fields of the cloud.
+inline constexpr const char* kTypeName = "label";
+inline constexpr const char* kImageCache_gb = "local_gb";
+inline constexpr const char* kFetchRate = "fetch_gb_per_s";
+inline constexpr const char* kPrice = "hourly";
+inline constexpr const char* kSpotPrice = "spot_price";
+inline constexpr const char* kBoot_s = "startup_s";
+inline constexpr const char* kZones = "yards";
+inline constexpr const char* kMachines = "millstones";
+inline constexpr const char* kMachineName = "name_id";
+inline constexpr const char* kAge_s = "age_s";
+inline constexpr const char* kMorePages = "has_next";
+inline constexpr const char* kError = "error";
+inline constexpr const char* kProvisionRequest = "hire";
+inline constexpr const char* kCount = "count";
+
+// One row of a table between an enum and its spellings.
+template <class T>
+struct Name {
+    const char* wire;
+    T value;
+};
+
+// Null: the text is none of the table's.
+template <class T, size_t N>
+const T* find_value(const Name<T> (&names)[N], std::string_view text) {
+    for (const auto& row : names)
+        if (text == row.wire) return &row.value;
+    return nullptr;
+}
+
+// Of a field that has to be there; throws BadMessage.
+template <class T, size_t N>
+T read_value(const Name<T> (&names)[N], const boost::json::object& o, const char* field) {
+    const auto* value = find_value(names, read::text(o, field));
+    if (!value) read::bad(field);
+    return *value;
+}
+
+// The table has a row for each value.
+template <class T, size_t N>
+const char* name_of(const Name<T> (&names)[N], T value) {
+    for (const auto& row : names)
+        if (value == row.value) return row.wire;
+    return names[0].wire;
+}
+
+}  // namespace weirmill::wire
