--- a/src/autoscaler/capacity_forecast.cpp
+++ b/src/autoscaler/capacity_forecast.cpp
@@ -28,7 +28,7 @@
 }
 
 CapacityForecast::CachedIndex& CapacityForecast::cached_index(const JobSpec& spec) {
-    const auto it = std::find_if(indexes_.begin(), indexes_.end(), [&](const CachedIndex& cached) {
+    const auto it = std::ranges::find_if(indexes_, [&](const CachedIndex& cached) {
         return cached.index.shape().same_shape_as(spec);
     });
     return it != indexes_.end() ? *it : add_index(spec);
@@ -41,8 +41,7 @@
         indexes_.push_back(std::move(added));
         return indexes_.back();
     }
-    auto& oldest = *std::min_element(indexes_.begin(), indexes_.end(),
-                                     [](auto& a, auto& b) { return a.last_used < b.last_used; });
+    auto& oldest = *std::ranges::min_element(indexes_, {}, &CachedIndex::last_used);
     oldest = std::move(added);
     return oldest;
 }
--- a/src/autoscaler/drain.cpp
+++ b/src/autoscaler/drain.cpp
@@ -36,11 +36,11 @@
 bool drainable(const ClusterState& cluster, const Machine& m, const Usable& usable,
                const std::vector<Index>& waiting, double now) {
     if (m.tasks.empty() || !usable(m) || m.reserved_for != kNone) return false;
-    if (!std::all_of(m.tasks.begin(), m.tasks.end(),
-                     [&](const TaskRef& ref) { return movable(cluster, ref, now); }))
+    if (!std::ranges::all_of(m.tasks,
+                             [&](const TaskRef& ref) { return movable(cluster, ref, now); }))
         return false;
-    return std::none_of(waiting.begin(), waiting.end(),
-                        [&](Index j) { return could_use(cluster, *cluster.jobs[j], m); });
+    return std::ranges::none_of(waiting,
+                                [&](Index j) { return could_use(cluster, *cluster.jobs[j], m); });
 }
 
 // Machines that stay in use anyway.
@@ -58,7 +58,7 @@
 // Takes the room that the task would have elsewhere, where its image is at hand; false: there is
 // none.
 bool move_task(const ClusterState& cluster, const JobSpec& spec, std::vector<Destination>& to) {
-    const auto place = std::find_if(to.begin(), to.end(), [&](const Destination& d) {
+    const auto place = std::ranges::find_if(to, [&](const Destination& d) {
         return cluster.machine_allowed(spec, *d.machine) && spec.demand.fits_in(d.room) &&
                d.machine->has_image(spec.image);
     });
--- a/src/autoscaler/expected_capacity.cpp
+++ b/src/autoscaler/expected_capacity.cpp
@@ -51,7 +51,7 @@
         ends.push_back(
             {remaining_task_s(cluster, m, job.spec, job.tasks[ref.task], now), job.spec.demand});
     }
-    std::sort(ends.begin(), ends.end(), ends_before);
+    std::ranges::sort(ends, ends_before);
     return ends;
 }
 
@@ -77,7 +77,7 @@
     room -= demand;
     if (start.ends > 0) from_s = std::max(from_s, start.in_s);
     const TaskEnd end{start.in_s + duration_s, demand};
-    ends.insert(std::upper_bound(ends.begin(), ends.end(), end, ends_before), end);
+    ends.insert(std::ranges::upper_bound(ends, end, ends_before), end);
 }
 
 bool capacity_suits(const ClusterState& cluster, const JobSpec& spec, const ExpectedCapacity& c) {
@@ -113,10 +113,10 @@
             ++silent_excess[m->zone];
     }
     std::vector<bool> out;
+    out.reserve(silent_excess.size());
     for (const int excess : silent_excess) out.push_back(excess > kMaxSilentExcess);
     // If all zones are silent, it is rather this controller that is partitioned off.
-    if (std::all_of(out.begin(), out.end(), [](bool silent) { return silent; }))
-        out.assign(out.size(), false);
+    if (std::ranges::all_of(out, [](bool silent) { return silent; })) out.assign(out.size(), false);
     return out;
 }
 
--- a/src/autoscaler/expected_capacity.h
+++ b/src/autoscaler/expected_capacity.h
@@ -14,7 +14,7 @@
 
 // What a running task frees when it ends.
 struct TaskEnd {
-    double in_s;  // from now
+    double in_s = 0;  // from now
     Resources frees;
 };
 
--- a/src/autoscaler/job_planner.cpp
+++ b/src/autoscaler/job_planner.cpp
@@ -139,12 +139,12 @@
     if (o.start.in_s > kHorizon_s) return;
     const ReusedOpening reused{o, context_.uses[machine]};
     reused_.push_back(reused);
-    std::push_heap(reused_.begin(), reused_.end(), std::greater<>());
+    std::ranges::push_heap(reused_, std::greater<>());
     if (c.booting && o.start.ends == 0) reused_booting_.push_back(reused);
 }
 
 void JobPlanner::pop_reused() {
-    std::pop_heap(reused_.begin(), reused_.end(), std::greater<>());
+    std::ranges::pop_heap(reused_, std::greater<>());
     reused_.pop_back();
 }
 
--- a/src/autoscaler/job_planner.h
+++ b/src/autoscaler/job_planner.h
@@ -31,8 +31,8 @@
     const ClusterState& cluster;
     double now;
     std::vector<bool> silent_zones;
-    double highest_price;          // see highest_price()
-    std::vector<uint32_t> uses{};  // scratch of JobPlanner: by machine, all 0 between plans
+    double highest_price;        // see highest_price()
+    std::vector<uint32_t> uses;  // scratch of JobPlanner: by machine, all 0 between plans
 };
 
 // The part of a job that is to be planned.
--- a/src/autoscaler/opening_list.h
+++ b/src/autoscaler/opening_list.h
@@ -2,6 +2,7 @@
 #pragma once
 #include <algorithm>
 #include <cstdint>
+#include <functional>
 #include <iterator>
 #include <tuple>
 #include <utility>
@@ -34,14 +35,14 @@
     };
 
     void assign(std::vector<Opening> openings) {
-        std::sort(openings.begin(), openings.end());
+        std::ranges::sort(openings, std::less<>());
         merged_ = std::move(openings);
         recent_.clear();
         begin_ = 0;
     }
 
     void insert(const Opening& o) {
-        recent_.insert(std::upper_bound(recent_.begin(), recent_.end(), o), o);
+        recent_.insert(std::ranges::upper_bound(recent_, o, std::less<>()), o);
     }
 
     // Drops stale openings where that is cheap; `stale` tells whether one is.
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -18,7 +18,7 @@
         const auto& job = *cluster.jobs[j];
         const auto& spec = job.spec;
         if (spec.kind != JobKind::Gang) continue;
-        const bool known = std::any_of(gangs.begin(), gangs.end(), [&](const Job* other) {
+        const bool known = std::ranges::any_of(gangs, [&](const Job* other) {
             return other->spec.team == spec.team && other->spec.same_shape_as(spec);
         });
         if (!known) gangs.push_back(&job);
@@ -70,8 +70,8 @@
         // Only a gang has to wait for several machines at once: a single task that could be placed
         // here would have been. Hundreds of idle machines were once kept for jobs held back by
         // their team's limit.
-        if (std::any_of(gangs.begin(), gangs.end(),
-                        [&](const Job* job) { return could_use(cluster, *job, *m); }))
+        if (std::ranges::any_of(gangs,
+                                [&](const Job* job) { return could_use(cluster, *job, *m); }))
             continue;
         if (!keep_for_headroom(cluster, *m, headroom)) out.push_back(i);
     }
--- a/src/autoscaler/scale_out.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -47,7 +47,7 @@
   public:
     ScaleOutPlanner(const ClusterState& cluster, const Usable& usable, size_t max_shapes,
                     double now)
-        : context_{cluster, now, silent_zones(cluster, usable), highest_price(cluster)},
+        : context_{cluster, now, silent_zones(cluster, usable), highest_price(cluster), {}},
           cluster_(cluster),
           forecast_(cluster, expected_capacity(cluster, usable, now), max_shapes),
           planned_(cluster.teams.size()) {}
@@ -88,9 +88,8 @@
     std::vector<Index> zones;
     for (Index z = 0; z < cluster_.names.zones.size(); ++z)
         if (rule.allows(z)) zones.push_back(z);
-    std::stable_sort(zones.begin(), zones.end(), [&](Index a, Index b) {
-        return index.tasks_in_zone(a) > index.tasks_in_zone(b);
-    });
+    std::ranges::stable_sort(
+        zones, [&](Index a, Index b) { return index.tasks_in_zone(a) > index.tasks_in_zone(b); });
     return zones;
 }
 
@@ -146,6 +145,7 @@
 
 std::vector<ScaleOutRequest> ScaleOutPlanner::requests() const {
     std::vector<ScaleOutRequest> out;
+    out.reserve(requests_.size());
     for (const auto& [offer, count] : requests_)
         out.push_back(
             {offer.type, offer.zone, offer.spot, std::min(count, kMaxMachinesPerRequest)});
