--- a/src/autoscaler/job_planner.h
+++ b/src/autoscaler/job_planner.h
@@ -58,12 +58,12 @@
     // An opening of a machine that this plan has used, and how often it had when this was found.
     struct ReusedOpening {
         Opening opening;
-        uint32_t uses;
+        uint32_t uses = 0;
         bool operator>(const ReusedOpening& o) const { return opening > o.opening; }
     };
     struct SoonestOpening {
         Opening opening;
-        bool reused;
+        bool reused = false;
     };
 
     bool place_task(size_t remaining);
--- a/src/autoscaler/offers.cpp
+++ b/src/autoscaler/offers.cpp
@@ -11,6 +11,23 @@
 // Costs closer than this are equal: the earlier type and zone, and the spot instance, go first.
 constexpr double kEqualCost = 1e-12;
 
+struct BestOffer {
+    double cost = 0;
+    std::optional<Offer> offer;
+};
+
+// The spot instance and the regular one of a type in a zone; `fits`: tasks on one machine.
+void consider_markets(const ClusterState& cluster, const JobSpec& spec, Index t, Index z,
+                      int64_t fits, double now, BestOffer& best) {
+    const auto& type = cluster.types[t].type;
+    for (const bool spot : {true, false}) {
+        if (!market_suits(spec, spot, z) || cluster.refused(t, z, spot, now)) continue;
+        const double cost = (spot ? type.spot_price : type.price) / static_cast<double>(fits);
+        const bool cheaper = !best.offer || cost < best.cost - kEqualCost;
+        if (cheaper) best = {cost, Offer{t, z, spot}};
+    }
+}
+
 }  // namespace
 
 std::optional<ExpectedCapacity> cheapest_offer(const ClusterState& cluster, const JobSpec& spec,
@@ -18,10 +35,10 @@
                                                const std::vector<bool>& silent_zones, double now) {
     const auto zone_allowed = [&](Index z) {
         if (z == kNone || (only_zone != kNone && z != only_zone)) return false;
-        return rule.allows(z) && !(z < silent_zones.size() && silent_zones[z]);
+        const bool silent = z < silent_zones.size() && silent_zones[z];
+        return !silent && rule.allows(z);
     };
-    double best_cost = 0;
-    std::optional<Offer> best;
+    BestOffer best;
     for (Index t = 0; t < cluster.types.size(); ++t) {
         if (!type_suits(cluster, spec, t)) continue;
         const auto& type = cluster.types[t].type;
@@ -29,22 +46,14 @@
             std::min<int64_t>(spec.demand.times_in(type.size), static_cast<int64_t>(tasks));
         for (const auto& zone_name : type.zones) {
             const auto z = cluster.names.zones.find(zone_name);
-            if (!zone_allowed(z)) continue;
-            for (const bool spot : {true, false}) {
-                if (!market_suits(spec, spot, z) || cluster.refused(t, z, spot, now)) continue;
-                const double cost =
-                    (spot ? type.spot_price : type.price) / static_cast<double>(fits);
-                const bool cheaper = !best || cost < best_cost - kEqualCost;
-                if (!cheaper) continue;
-                best_cost = cost;
-                best = Offer{t, z, spot};
-            }
+            if (zone_allowed(z)) consider_markets(cluster, spec, t, z, fits, now, best);
         }
     }
-    if (!best) return std::nullopt;
-    const auto& type = cluster.types[best->type].type;
-    return ExpectedCapacity{best->type, best->zone, best->spot, cluster.boot_factor * type.boot_s,
-                            type.size,  {},         true};
+    if (!best.offer) return std::nullopt;
+    const auto& offer = *best.offer;
+    const auto& type = cluster.types[offer.type].type;
+    const double boot_s = cluster.boot_factor * type.boot_s;
+    return ExpectedCapacity{offer.type, offer.zone, offer.spot, boot_s, type.size, {}, true};
 }
 
 double highest_price(const ClusterState& cluster) {
