--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -32,6 +32,7 @@
 Leader::Leader(asio::io_context& io, const Settings& settings, const Properties& properties,
                KvClient& state, Metrics& metrics, std::shared_ptr<LeadershipTerm> term)
     : context_(io, settings, properties, state, metrics, std::move(term)),
+      stop_sender_(context_),
       cloud_(io, settings.cloud, 1024 * 1024),
       mailbox_(io, kMailbox),
       // A share is left to renewals and to what other controllers ask for.
@@ -158,7 +159,7 @@
         std::visit([this](auto& m) { handle(m); }, message);
         if (context_.stopped) break;
         if (context_.scheduling_needed && context_.now >= next_schedule_) schedule();
-        flush_stops();
+        stop_sender_.flush_stops();
         flush();
         if (on_settled_) settle();
     }
@@ -229,7 +230,7 @@
     if (context_.now >= next_check_) {
         next_check_ = context_.now + 0.5;
         check_machines();
-        repeat_stops();
+        stop_sender_.repeat_stops();
     }
     if (context_.now >= next_round_) {
         next_round_ = context_.now + context_.properties.preemption_round_s;
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -8,6 +8,7 @@
 
 #include "autoscaler/autoscaler.h"
 #include "controller/leader_context.h"
+#include "controller/stop_sender.h"
 #include "leadership/election.h"
 #include "metrics/metrics.h"
 #include "scheduler/overload_forecast.h"
@@ -27,10 +28,6 @@
     return task.graceful ? job.spec.checkpoint_duration_s * 1.25 + 1 : 0;
 }
 
-// Sends commands straight to a worker. False: it did not answer, and may carry them out or not.
-boost::asio::awaitable<bool> send_commands(boost::asio::io_context& io, std::string addr,
-                                           std::string body, double timeout_s);
-
 // One actor in several files, by what owns which state: leader_users.cpp, leader_records.cpp,
 // leader_inbox.cpp (what doors accepted), leader_workers.cpp (reports, held answers),
 // leader_tasks.cpp (endings, stops), leader_fleet.cpp.
@@ -53,8 +50,8 @@
     // Settles what is under way and starts nothing more, then calls `settled`.
     void transfer_leadership(std::function<void()> settled);
     const ClusterState& cluster() const { return context_.cluster; }
-    // Passes a call on to the controller with this name, for workers whose reports it relays.
-    std::function<boost::asio::awaitable<bool>(std::string, PeerCall)> pass_on;
+    // Stops also go by way of peers from here on.
+    void set_relay(PeerRelay relay) { stop_sender_.set_relay(std::move(relay)); }
 
     // What users and workers ask for, from this node's own door or over the peer link.
     boost::asio::awaitable<PeerReply> ask(PeerCall call);
@@ -94,8 +91,6 @@
                                            std::vector<ScaleOutRequest> rentals);
     boost::asio::awaitable<void> terminate(std::shared_ptr<Leader> self,
                                            std::vector<std::string> names);
-    boost::asio::awaitable<void> send_stops(std::shared_ptr<Leader> self, std::string addr,
-                                            std::string by, std::string body, bool by_any);
     boost::asio::awaitable<std::optional<HttpAnswer>> cloud_call(const char* method,
                                                                  std::string target,
                                                                  std::string body,
@@ -185,8 +180,6 @@
     AutoscalerSettings autoscaler_settings() const;
     void flush();
     void mark_ends(const StateLogBatch& batch, bool sent);
-    void flush_stops();
-    void repeat_stops();
     bool usable(const Machine& m) const;
     Usable usable_now() const {
         return [this](const Machine& m) { return usable(m); };
@@ -208,6 +201,7 @@
     PeerReply undecided() const;  // a door may serve instead
 
     LeaderContext context_;
+    StopSender stop_sender_;
     HttpClient cloud_;
     Mailbox mailbox_;
     Forecast forecast_;
@@ -222,15 +216,13 @@
     double flush_not_before_ = 0, kv_failed_at_ = -1e9, kv_succeeded_at_ = 0;
     std::map<std::string, std::vector<std::pair<PeerOp, ReplyPromise>>> waiters_;  // by job id
     std::map<Index, Held> held_;                                                   // by machine
-    std::map<Index, std::vector<Command>> direct_;  // stops to send, by machine
-    std::map<std::string, PendingEntry> pending_;   // by job id
+    std::map<std::string, PendingEntry> pending_;                                  // by job id
     uint64_t pending_revision_ = 0;
     std::unordered_map<std::string, FinalState> finals_;
     std::deque<std::string> finals_order_;
 
     double next_schedule_ = 0, next_round_ = 0, next_check_ = 0, next_autoscale_ = 0,
-           next_drain_ = 0, next_capacity_log_ = 0, next_warning_ = 0, next_stops_ = 0;
-    size_t stops_cursor_ = 0;  // machines are told in turn
+           next_drain_ = 0, next_capacity_log_ = 0, next_warning_ = 0;
     uint64_t rounds_ = 0, passes_ = 0;
     std::string recorded_types_, recorded_shape_;
     bool provisioning_ = false, terminating_ = false, listed_once_ = false;
--- a/src/controller/leader_instances.cpp
+++ b/src/controller/leader_instances.cpp
@@ -35,7 +35,7 @@
         it->second.reply.set({503, "{}"});
         held_.erase(it);
     }
-    direct_.erase(index);
+    stop_sender_.drop_stops(index);
     context_.scheduling_needed = true;
 }
 
--- a/src/controller/leader_tasks.cpp
+++ b/src/controller/leader_tasks.cpp
@@ -1,22 +1,10 @@
 // The leader: how tasks, gangs and jobs end, and how they are stopped.
 #include <spdlog/spdlog.h>
 
-#include <boost/asio.hpp>
-
-#include "config/capacity.h"
 #include "controller/leader.h"
-#include "protocol/paths.h"
-#include "protocol/worker_codec.h"
 
 namespace weirmill {
 
-namespace asio = boost::asio;
-
-namespace {
-constexpr double kMissedReports =
-    1.5;  // without a report for so many of their intervals, a machine is told by itself
-}  // namespace
-
 // What this leader saw of it is its whole run. Learnt from tasks that an earlier leader had
 // started, or that went on from saved progress, a class's run times came out at a quarter after
 // each change of leader.
@@ -150,98 +138,8 @@
     task.stopping = true;
     task.graceful = graceful && job.spec.checkpoint_interval_s > 0;
     if (job.spec.kind == JobKind::Gang) job.gang_ending = true;
-    direct_[task.machine].push_back(
-        {CommandOp::Stop, job.spec.id, t, task.attempt, stop_grace_s(job, task)});
-}
-
-// A stop is sent straight to its worker as well, so that a gang hears of it within gang_peer_s. A
-// late copy does no harm: it names the attempt, and the session must still match.
-void Leader::flush_stops() {
-    for (auto& [index, commands] : direct_) {
-        auto* m = context_.cluster.machines[index].get();
-        if (!m || !m->up || m->addr.empty()) continue;
-        asio::co_spawn(
-            context_.io,
-            send_stops(shared_from_this(), m->addr, m->relayed_by,
-                       direct_commands(context_.term->fencing_token, m->agent_epoch, commands),
-                       false),
-            asio::detached);
-    }
-    direct_.clear();
-}
-
-// Tasks of cancelled jobs on machines that do not come here are stopped where they are, again and
-// again until they are proven gone: an earlier leader that can't know of the cancellation may still
-// answer their workers. The session is the one that the placement was recorded with; in a newer one
-// they are gone. The command shows the worker our token, so from then on it drops what the earlier
-// leader answers.
-void Leader::repeat_stops() {
-    if (context_.now < next_stops_) return;
-    next_stops_ = context_.now + context_.settings.heartbeat_interval_s;
-    size_t count = context_.cluster.machines.size(),
-           left = static_cast<size_t>(stop_sockets(context_.settings));
-    for (size_t n = 0; n < count && left > 0; ++n) {
-        stops_cursor_ = (stops_cursor_ + 1) % count;
-        auto* m = context_.cluster.machines[stops_cursor_].get();
-        if (!m || m->addr.empty() || m->status == MachineStatus::Failed) continue;
-        if (context_.now - std::max(m->last_heartbeat, context_.term->won) <=
-            kMissedReports * context_.settings.heartbeat_interval_s)
-            continue;
-        uint64_t agent_epoch = m->up ? m->agent_epoch : 0;
-        for (auto& ref : m->tasks)
-            agent_epoch = std::max<uint64_t>(
-                agent_epoch, context_.cluster.jobs[ref.job]->tasks[ref.task].agent_epoch);
-        std::vector<Command> commands;
-        for (auto& ref : m->tasks) {
-            auto& job = *context_.cluster.jobs[ref.job];
-            auto& task = job.tasks[ref.task];
-            if (job.cancelled && task.agent_epoch == agent_epoch)
-                commands.push_back({CommandOp::Stop, job.spec.id, ref.task, task.attempt, 0});
-        }
-        if (commands.empty()) continue;
-        --left;
-        context_.metrics.count("stops_repeated_total");
-        asio::co_spawn(
-            context_.io,
-            send_stops(shared_from_this(), m->addr, m->relayed_by,
-                       direct_commands(context_.term->fencing_token, agent_epoch, commands), true),
-            asio::detached);
-    }
-}
-
-// By the controller that relays for the worker, where there is one: the worker can't be reached
-// from here, as it seems. `by_any`: by each other controller in turn, where it turns out that it
-// can't.
-asio::awaitable<void> Leader::send_stops(std::shared_ptr<Leader> self, std::string addr,
-                                         std::string by, std::string body, bool by_any) {
-    (void)self;
-    if (!by.empty() && pass_on) {
-        PeerCall call{PeerOp::Command, addr, body};
-        std::string relay = by;
-        if (co_await pass_on(std::move(relay), std::move(call))) co_return;
-    }
-    std::string again = body;
-    if (co_await send_commands(context_.io, addr, std::move(again), 2.0) || !by_any || !pass_on)
-        co_return;
-    for (auto& peer : context_.settings.peers) {
-        if (context_.stopped) co_return;
-        if (peer.name == by) continue;
-        std::string name = peer.name;
-        PeerCall call{PeerOp::Command, addr, body};
-        if (co_await pass_on(std::move(name), std::move(call))) co_return;
-    }
-}
-
-asio::awaitable<bool> send_commands(asio::io_context& io, std::string addr, std::string body,
-                                    double timeout_s) {
-    try {
-        HttpClient worker(io, Endpoint::parse(addr, "worker"), 1024 * 1024);
-        auto reply = co_await worker.request("POST", paths::kCommands, std::move(body), timeout_s);
-        co_return reply.has_value();
-    } catch (const SettingsError& e) {
-        spdlog::error("worker: bad address {}: {}", addr, e.what());
-    }
-    co_return false;
+    stop_sender_.queue_stop(
+        task.machine, {CommandOp::Stop, job.spec.id, t, task.attempt, stop_grace_s(job, task)});
 }
 
 // The machine will be taken: what can save does so in time, what can't may still complete.
--- a/src/controller/request_router.cpp
+++ b/src/controller/request_router.cpp
@@ -34,10 +34,10 @@
     events.won = [this](std::shared_ptr<LeadershipTerm> term) {
         term_ = term;
         leader_ = std::make_shared<Leader>(io_, settings_, properties_, kv_, metrics_, term);
-        leader_->pass_on = [this](std::string name, PeerCall call) -> asio::awaitable<bool> {
+        leader_->set_relay([this](std::string name, PeerCall call) -> asio::awaitable<bool> {
             auto reply = co_await by_peer(std::move(name), std::move(call));
             co_return reply.status == 200;
-        };
+        });
         leader_->start();
     };
     events.lost = [this] {
