--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -33,6 +33,7 @@
                KvClient& state, Metrics& metrics, std::shared_ptr<LeadershipTerm> term)
     : context_(io, settings, properties, state, metrics, std::move(term)),
       stop_sender_(context_),
+      task_lifecycle_(context_, stop_sender_),
       cloud_(io, settings.cloud, 1024 * 1024),
       mailbox_(io, kMailbox),
       // A share is left to renewals and to what other controllers ask for.
@@ -143,7 +144,7 @@
         auto& job = *context_.cluster.jobs[j];
         job.seen_at = context_.now - std::max(0.0, wall_now() - job.submitted);
         job.ready_at = context_.now - std::max(0.0, wall_now() - job.ready);
-        check_job(j);
+        task_lifecycle_.check_job(j);
     }
     context_.cluster.spread_needs();
     if (!inbox->events.empty())
@@ -329,7 +330,8 @@
     }
     for (auto& ref : round.stops) {
         auto& task = context_.cluster.jobs[ref.job]->tasks[ref.task];
-        if (task.state == TaskState::Placed && !task.stopping) stop_task(ref.job, ref.task, true);
+        if (task.state == TaskState::Placed && !task.stopping)
+            task_lifecycle_.stop_task(ref.job, ref.task, true);
     }
 }
 
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -9,6 +9,7 @@
 #include "autoscaler/autoscaler.h"
 #include "controller/leader_context.h"
 #include "controller/stop_sender.h"
+#include "controller/task_lifecycle.h"
 #include "leadership/election.h"
 #include "metrics/metrics.h"
 #include "scheduler/overload_forecast.h"
@@ -23,11 +24,6 @@
 
 namespace weirmill {
 
-// What a stop allows the task: time to save, with some to spare, or none.
-inline double stop_grace_s(const Job& job, const Task& task) {
-    return task.graceful ? job.spec.checkpoint_duration_s * 1.25 + 1 : 0;
-}
-
 // One actor in several files, by what owns which state: leader_users.cpp, leader_records.cpp,
 // leader_inbox.cpp (what doors accepted), leader_workers.cpp (reports, held answers),
 // leader_tasks.cpp (endings, stops), leader_fleet.cpp.
@@ -127,7 +123,6 @@
     std::optional<Dependence> dependence(PeerCall& call, ReplyPromise& reply, const JobSpec& spec);
     void refuse_for_good(PeerCall& call, ReplyPromise& reply, const std::string& id,
                          PeerReply refusal = kNeverRuns);
-    void check_cancelled(const std::vector<Index>& jobs);
 
     // A door's record, and what is done with it.
     struct PendingEntry {
@@ -160,13 +155,6 @@
     void heartbeat(PeerCall& call, ReplyPromise& reply);
     void apply_heartbeat(Machine& m, Index index, const Heartbeat& r);
     void apply_task_status(Machine& m, Index index, const TaskStatus& t);
-    void task_exited(Index job, uint32_t task, Index machine, const TaskStatus& t);
-    void task_failed(Index job, Index machine);
-    void lose_task(Index job, uint32_t task);
-    void end_gang(Index job, bool graceful, bool fetch_on = false);
-    void check_job(Index job);
-    void stop_task(Index job, uint32_t task, bool graceful);
-    void drain(Index machine, double interruption_notice_s);
     void respond_to_heartbeat(Index machine, Held& held);
     bool renew_lease(ReplyPromise& reply, const std::vector<Command>& commands);
     void release_held(bool due_only);
@@ -202,6 +190,7 @@
 
     LeaderContext context_;
     StopSender stop_sender_;
+    TaskLifecycle task_lifecycle_;
     HttpClient cloud_;
     Mailbox mailbox_;
     Forecast forecast_;
--- a/src/controller/leader_heartbeats.cpp
+++ b/src/controller/leader_heartbeats.cpp
@@ -106,7 +106,7 @@
             auto& task = context_.cluster.jobs[ref.job]->tasks[ref.task];
             if (task.state == TaskState::Placed && task.machine == index &&
                 task.agent_epoch < r.agent_epoch)
-                lose_task(ref.job, ref.task);
+                task_lifecycle_.lose_task(ref.job, ref.task);
         }
         m.images.clear();
     }
@@ -150,9 +150,9 @@
         if (!proof) continue;
         // One that was not taken is launched again, unless the machine does not hear that either.
         if (task.phase != TaskPhase::Unseen || task.stopping || m.downlink.downlink_lost())
-            lose_task(ref.job, ref.task);
+            task_lifecycle_.lose_task(ref.job, ref.task);
     }
-    if (r.interruption_notice_s >= 0) drain(index, r.interruption_notice_s);
+    if (r.interruption_notice_s >= 0) task_lifecycle_.drain_machine(index, r.interruption_notice_s);
 }
 
 void Leader::apply_task_status(Machine& m, Index index, const TaskStatus& t) {
@@ -175,7 +175,8 @@
                 bool began = job.running == 0 && t.phase == TaskPhase::Running;
                 context_.cluster.set_phase(job, task, t.phase);
                 if (job.gang_ending && !task.stopping && t.phase != TaskPhase::Fetching)
-                    stop_task(it->second, t.task, false);  // it was left to fetch its image
+                    task_lifecycle_.stop_task(it->second, t.task,
+                                              false);  // it was left to fetch its image
                 if (began)
                     spdlog::debug(
                         "job: {} class={} tasks={} attempt={} runs {:.1f}s after it came, placed "
@@ -184,7 +185,7 @@
                         job.spec.tasks, t.attempt, context_.now - job.came_at(),
                         context_.now - task.placed_at);
             } else if (expected) {
-                task_exited(it->second, t.task, index, t);
+                task_lifecycle_.task_exited(it->second, t.task, index, t);
             } else if (exited && t.cause == ExitCause::Done && task.state != TaskState::Done &&
                        t.attempt <= task.attempt) {
                 // An older attempt completed after all; its result is kept.
--- a/src/controller/leader_instances.cpp
+++ b/src/controller/leader_instances.cpp
@@ -30,7 +30,7 @@
     auto tasks = m.tasks;
     for (auto& ref : tasks)
         if (context_.cluster.jobs[ref.job]->tasks[ref.task].machine == index)
-            lose_task(ref.job, ref.task);
+            task_lifecycle_.lose_task(ref.job, ref.task);
     if (auto it = held_.find(index); it != held_.end()) {
         it->second.reply.set({503, "{}"});
         held_.erase(it);
@@ -208,7 +208,7 @@
             spdlog::info("machine: {} closed, {} tasks move", m.name, m.tasks.size());
             m.draining = true;
             auto tasks = m.tasks;
-            for (auto& ref : tasks) stop_task(ref.job, ref.task, true);
+            for (auto& ref : tasks) task_lifecycle_.stop_task(ref.job, ref.task, true);
         }
     }
     if (!provisioning_ && context_.now >= provision_not_before_) {
--- a/src/controller/leader_records.cpp
+++ b/src/controller/leader_records.cpp
@@ -106,7 +106,7 @@
 void Leader::drop_new_job(Index j) {
     auto on = context_.cluster.dependencies().of(j);
     context_.cluster.remove_job(j, context_.now);
-    check_cancelled(on);
+    task_lifecycle_.check_cancelled(on);
 }
 
 // Users are not kept waiting for an outcome that may take long.
@@ -136,8 +136,8 @@
                               job.spec.tasks, context_.cluster.dependencies().of(e.job).size());
                 context_.scheduling_needed = true;
                 if (job.cancelled) {
-                    check_job(e.job);
-                    check_cancelled(context_.cluster.dependencies().of(e.job));
+                    task_lifecycle_.check_job(e.job);
+                    task_lifecycle_.check_cancelled(context_.cluster.dependencies().of(e.job));
                 }
             } else if (e.kind == EntryKind::Cancel) {
                 auto& job = *context_.cluster.jobs[e.job];
@@ -148,8 +148,8 @@
                 spdlog::debug("job: {} cancellation recorded, {} tasks placed", job.spec.id,
                               job.placed);
                 answer_waiters(job.spec.id, job_reply(job, PeerOp::Cancel, 200));
-                check_job(e.job);
-                check_cancelled(context_.cluster.dependencies().of(e.job));
+                task_lifecycle_.check_job(e.job);
+                task_lifecycle_.check_cancelled(context_.cluster.dependencies().of(e.job));
             } else if (e.kind == EntryKind::Finish) {
                 auto& job = *context_.cluster.jobs[e.job];
                 auto id = job.spec.id;
@@ -163,7 +163,7 @@
                     if (!context_.cluster.jobs[d]->waits && !context_.cluster.jobs[d]->cancelled)
                         spdlog::debug("job: {} ready", context_.cluster.jobs[d]->spec.id);
                 }
-                check_cancelled(on);
+                task_lifecycle_.check_cancelled(on);
                 spdlog::debug("job: {} {}", id,
                               e.ended.state == JobState::Done ? "done" : "cancelled");
             } else if (e.kind == EntryKind::Forget) {
--- a/src/controller/leader_users.cpp
+++ b/src/controller/leader_users.cpp
@@ -286,7 +286,7 @@
 void Leader::ask_cancel(Index j) {
     context_.cluster.jobs[j]->cancelled = true;
     context_.state_log.cancel(j);
-    check_job(j);
+    task_lifecycle_.check_job(j);
 }
 
 // Nothing: it makes no sense, and is as good as not read.
