--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -5,10 +5,10 @@
 #include <boost/asio.hpp>
 
 #include "config/capacity.h"
+#include "controller/planning_inputs.h"
 #include "protocol/cloud_codec.h"
 #include "protocol/worker_codec.h"
 #include "scheduler/capacity_breakdown.h"
-#include "scheduler/start_deadline.h"
 #include "scheduler/starvation.h"
 
 namespace weirmill {
@@ -23,9 +23,7 @@
 const std::string kOldJobs = "j/";
 constexpr double kAsk_s = 2.0;
 constexpr double kSettle_s = 0.6;
-constexpr double kGather_s = 5;      // renewed with each pass
-constexpr size_t kMaxPlaced = 4096;  // in one pass
-constexpr double kAccount_s = 5;     // between lines about where the room is
+constexpr double kAccount_s = 5;  // between lines about where the room is
 
 }  // namespace
 
@@ -34,6 +32,7 @@
     : context_(io, settings, properties, state, metrics, std::move(term)),
       stop_sender_(context_),
       task_lifecycle_(context_, stop_sender_),
+      scheduling_loop_(context_, task_lifecycle_, [this] { return may_decide(); }),
       cloud_(io, settings.cloud, 1024 * 1024),
       mailbox_(io, kMailbox),
       // A share is left to renewals and to what other controllers ask for.
@@ -97,9 +96,9 @@
     out["tasks_placed"] = static_cast<double>(placed);
     out["tasks_pending"] = static_cast<double>(pending);
     out["queues_pressed"] = static_cast<double>(forecast_.overloaded());
-    capacity_gauges(capacity_breakdown(context_.cluster, usable_now(), context_.now), out);
-    starved_gauges(starved_jobs(context_.cluster, usable_now(), context_.now, kStarvedAfter_s),
-                   out);
+    capacity_gauges(capacity_breakdown(context_.cluster, usable_now(context_), context_.now), out);
+    starved_gauges(
+        starved_jobs(context_.cluster, usable_now(context_), context_.now, kStarvedAfter_s), out);
 }
 
 PeerReply Leader::come_back(int seconds) const {
@@ -159,7 +158,7 @@
         context_.now = steady_now();
         std::visit([this](auto& m) { handle(m); }, message);
         if (context_.stopped) break;
-        if (context_.scheduling_needed && context_.now >= next_schedule_) schedule();
+        scheduling_loop_.run_if_due();
         stop_sender_.flush_stops();
         flush();
         if (on_settled_) settle();
@@ -188,7 +187,8 @@
                 try {
                     if (item.key == kRoundKey) {
                         context_.state_log.load_note(item.key, item.version);
-                        rounds_ = read::count(read::object(item.value), "number", 0);
+                        scheduling_loop_.resume_rounds(
+                            read::count(read::object(item.value), "number", 0));
                     } else if (item.key == kTypesKey) {
                         context_.state_log.load_note(item.key, item.version);
                         recorded_types_ = boost::json::serialize(item.value);
@@ -235,7 +235,7 @@
     }
     if (context_.now >= next_round_) {
         next_round_ = context_.now + context_.properties.preemption_round_s;
-        preempt();
+        scheduling_loop_.preempt();
     }
     if (context_.now >= next_autoscale_) {
         next_autoscale_ = context_.now + 1.0;
@@ -244,7 +244,7 @@
         if (spdlog::should_log(spdlog::level::debug) && context_.now >= next_capacity_log_) {
             next_capacity_log_ = context_.now + kAccount_s;
             spdlog::debug("room: {}", capacity_text(capacity_breakdown(
-                                          context_.cluster, usable_now(), context_.now)));
+                                          context_.cluster, usable_now(context_), context_.now)));
             for (auto& [key, q] : forecast_.queues())
                 if (q.jobs > 0)
                     spdlog::debug(
@@ -283,56 +283,4 @@
     settled();
 }
 
-// ---- decisions ----
-
-void Leader::schedule() {
-    next_schedule_ = context_.now + context_.properties.scheduling_pause_s;
-    if (!may_decide()) return;
-    context_.scheduling_needed = false;
-    ++passes_;
-    std::vector<Index> late;
-    if (context_.properties.overload_enabled)
-        late = jobs_near_start_deadline(context_.cluster, context_.properties.start_deadline_s,
-                                        context_.now);
-    place_waiting(context_.cluster, usable_now(), context_.now, kMaxPlaced,
-                  planned_headroom(context_.cluster, autoscaler_settings(), context_.now), late);
-    // For one gang at a time, the one that waits the longest.
-    auto gang = std::find_if(late.begin(), late.end(), [&](Index j) {
-        return context_.cluster.jobs[j]->spec.kind == JobKind::Gang &&
-               context_.cluster.jobs[j]->placed == 0;
-    });
-    if (gang == late.end()) return;
-    for (auto i : machines_for_gang(context_.cluster, usable_now(), *gang, context_.now)) {
-        context_.cluster.machines[i]->reserved_for = *gang;
-        context_.cluster.machines[i]->reserved_until = context_.now + kGather_s;
-    }
-}
-
-void Leader::preempt() {
-    if (!may_decide()) return;
-    auto round = plan_preemption(context_.cluster, usable_now(), context_.now);
-    if (round.clearings.empty()) return;
-    ++rounds_;
-    context_.metrics.count("preemption_rounds_total");
-    context_.metrics.count("preemption_stops_total", round.stops.size());
-    context_.state_log.note(kRoundKey, round_record(round, context_.cluster, rounds_));
-    for (auto& c : round.clearings) {
-        for (auto* machines : {&c.machines, &c.kept})
-            for (auto i : *machines) {
-                context_.cluster.machines[i]->reserved_for = c.job;
-                context_.cluster.machines[i]->reserved_until =
-                    context_.now + 2 * context_.properties.preemption_round_s +
-                    context_.settings.lease_s;
-            }
-        spdlog::info("preemption: round={} job={} machines={} kept={} stops={}", rounds_,
-                     context_.cluster.jobs[c.job]->spec.id, c.machines.size(), c.kept.size(),
-                     round.stops.size());
-    }
-    for (auto& ref : round.stops) {
-        auto& task = context_.cluster.jobs[ref.job]->tasks[ref.task];
-        if (task.state == TaskState::Placed && !task.stopping)
-            task_lifecycle_.stop_task(ref.job, ref.task, true);
-    }
-}
-
 }  // namespace weirmill
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -8,6 +8,7 @@
 
 #include "autoscaler/autoscaler.h"
 #include "controller/leader_context.h"
+#include "controller/scheduling_loop.h"
 #include "controller/stop_sender.h"
 #include "controller/task_lifecycle.h"
 #include "leadership/election.h"
@@ -162,18 +163,9 @@
     void machine_gone(Index machine, const char* why);
     void check_machines();
     double replacement_s(const Machine& m, bool cut_off) const;
-    void schedule();
-    void preempt();
     void autoscale();
-    AutoscalerSettings autoscaler_settings() const;
     void flush();
     void mark_ends(const StateLogBatch& batch, bool sent);
-    bool usable(const Machine& m) const;
-    Usable usable_now() const {
-        return [this](const Machine& m) { return usable(m); };
-    }
-    // Without a report for this long a machine is taken for silent: nothing new is placed there.
-    double silence_s() const { return 2.2 * context_.settings.heartbeat_interval_s + 1; }
     // Unsure of the lease for so long that reports may not be answered any more.
     bool past_grace() const {
         return context_.now > context_.term->lease_valid_until + answering_grace(context_.settings);
@@ -191,6 +183,7 @@
     LeaderContext context_;
     StopSender stop_sender_;
     TaskLifecycle task_lifecycle_;
+    SchedulingLoop scheduling_loop_;
     HttpClient cloud_;
     Mailbox mailbox_;
     Forecast forecast_;
@@ -210,9 +203,8 @@
     std::unordered_map<std::string, FinalState> finals_;
     std::deque<std::string> finals_order_;
 
-    double next_schedule_ = 0, next_round_ = 0, next_check_ = 0, next_autoscale_ = 0,
-           next_drain_ = 0, next_capacity_log_ = 0, next_warning_ = 0;
-    uint64_t rounds_ = 0, passes_ = 0;
+    double next_round_ = 0, next_check_ = 0, next_autoscale_ = 0, next_drain_ = 0,
+           next_capacity_log_ = 0, next_warning_ = 0;
     std::string recorded_types_, recorded_shape_;
     bool provisioning_ = false, terminating_ = false, listed_once_ = false;
     double provision_not_before_ = 0;
--- a/src/controller/leader_heartbeats.cpp
+++ b/src/controller/leader_heartbeats.cpp
@@ -20,13 +20,6 @@
 
 }  // namespace
 
-bool Leader::usable(const Machine& m) const {
-    return m.up && !m.terminating && !m.abandoned && !m.draining && m.interruption_at < 0 &&
-           m.quarantined_until <= context_.now && context_.now - m.last_heartbeat < silence_s() &&
-           !m.downlink.downlink_lost() && m.type < context_.cluster.types.size() &&
-           context_.cluster.types[m.type].offered;
-}
-
 void Leader::heartbeat(PeerCall& call, ReplyPromise& reply) {
     if (context_.term->ended || past_grace()) return reply.set({503, "{}"});
     Heartbeat r;
@@ -74,13 +67,13 @@
     apply_heartbeat(m, index, r);
     // What came free is offered to a scheduling pass before the answer goes: without it, the next
     // task's start waited for the next regular report.
-    if (m.tasks.size() < before) held.passes = passes_ + 1;
+    if (m.tasks.size() < before) held.passes = scheduling_loop_.passes() + 1;
     if (auto it = held_.find(index); it != held_.end()) {
         it->second.reply.set({503, "{}"});
         held_.erase(it);
     }
-    if (context_.scheduling_needed && context_.now >= next_schedule_) schedule();
-    if (lease_valid(context_.now) && (held.passes > passes_ || unsettled(m)))
+    scheduling_loop_.run_if_due();
+    if (lease_valid(context_.now) && (held.passes > scheduling_loop_.passes() || unsettled(m)))
         held_.emplace(index, held);
     else
         respond_to_heartbeat(index, held);
@@ -288,7 +281,7 @@
             it->second.reply.set({503, "{}"});
             it = held_.erase(it);
         } else if ((due_only && context_.now >= it->second.until) ||
-                   (it->second.passes <= passes_ && !unsettled(*m))) {
+                   (it->second.passes <= scheduling_loop_.passes() && !unsettled(*m))) {
             respond_to_heartbeat(it->first, it->second);
             it = held_.erase(it);
         } else {
--- a/src/controller/leader_instances.cpp
+++ b/src/controller/leader_instances.cpp
@@ -4,6 +4,7 @@
 #include <boost/asio.hpp>
 
 #include "controller/leader.h"
+#include "controller/planning_inputs.h"
 #include "protocol/cloud_codec.h"
 #include "protocol/paths.h"
 
@@ -19,7 +20,6 @@
 // and will come back with their images, which a replacement would have to fetch as well.
 constexpr double kAloneBoots = 1;
 constexpr double kCutBoots = 3;
-constexpr double kStopped_s = 3;  // from the order to a task until its place is free
 
 }  // namespace
 
@@ -49,7 +49,7 @@
 
 void Leader::check_machines() {
     if (past_grace()) responses_blocked_at_ = context_.now;
-    auto cut = silent_zones(context_.cluster, usable_now());
+    auto cut = silent_zones(context_.cluster, usable_now(context_));
     size_t downlink_lost = 0, up = 0;
     for (auto& m : context_.cluster.machines) {
         up += m && m->up;
@@ -105,7 +105,8 @@
         }
         // Silent, and no longer listed: taken, as it seems. To return it costs nothing and proves
         // it gone, long before its lease would.
-        bool silent = context_.now - std::max(m->last_heartbeat, context_.term->won) > silence_s();
+        bool silent = context_.now - std::max(m->last_heartbeat, context_.term->won) >
+                      silence_s(context_.settings);
         bool unlisted = listed_once_ && (m->listed ? m->missing
                                                    : context_.now - m->added >
                                                          2 * context_.settings.list_lag_s + 1);
@@ -174,19 +175,10 @@
     }
 }
 
-AutoscalerSettings Leader::autoscaler_settings() const {
-    // A round may just be over; then tasks save, and their workers say that they are gone.
-    AutoscalerSettings s;
-    s.idle_keep_boots = context_.properties.idle_keep_boots;
-    s.heartbeat_interval_s = context_.settings.heartbeat_interval_s;
-    s.clear_s = context_.properties.preemption_round_s + kStopped_s;
-    return s;
-}
-
 void Leader::autoscale() {
     if (!context_.cluster.types_known || !listed_once_ || !may_decide()) return;
     if (!terminating_) {
-        auto idle = plan_scale_in(context_.cluster, autoscaler_settings(), context_.now);
+        auto idle = plan_scale_in(context_.cluster, autoscaler_settings(context_), context_.now);
         std::vector<std::string> names;
         for (auto i : idle) {
             if (names.size() == 100) break;
@@ -200,7 +192,7 @@
                            asio::detached);
         }
     }
-    auto can_use = usable_now();
+    auto can_use = usable_now(context_);
     if (context_.now >= next_drain_) {
         next_drain_ = context_.now + kClosingPause_s;
         if (auto i = plan_drain(context_.cluster, can_use, context_.now); i != kNone) {
@@ -213,7 +205,7 @@
     }
     if (!provisioning_ && context_.now >= provision_not_before_) {
         auto rentals =
-            plan_scale_out(context_.cluster, can_use, autoscaler_settings(), context_.now);
+            plan_scale_out(context_.cluster, can_use, autoscaler_settings(context_), context_.now);
         if (!rentals.empty()) {
             provisioning_ = true;
             asio::co_spawn(context_.io, provision(shared_from_this(), std::move(rentals)),
