--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -7,7 +7,6 @@
 #include "config/capacity.h"
 #include "controller/planning_inputs.h"
 #include "protocol/cloud_codec.h"
-#include "protocol/worker_codec.h"
 #include "scheduler/capacity_breakdown.h"
 #include "scheduler/starvation.h"
 
@@ -33,6 +32,8 @@
       stop_sender_(context_),
       task_lifecycle_(context_, stop_sender_),
       scheduling_loop_(context_, task_lifecycle_, [this] { return may_decide(); }),
+      heartbeat_handler_(context_, task_lifecycle_, scheduling_loop_,
+                         [this](const std::string& name) { return gone_.contains(name); }),
       cloud_(io, settings.cloud, 1024 * 1024),
       mailbox_(io, kMailbox),
       // A share is left to renewals and to what other controllers ask for.
@@ -55,8 +56,7 @@
     for (auto& [id, list] : waiters_)
         for (auto& [op, reply] : list) reply.set(undecided());
     waiters_.clear();
-    for (auto& [m, held] : held_) held.reply.set({421, redirect_answer("")});
-    held_.clear();
+    heartbeat_handler_.redirect_held();
 }
 
 asio::awaitable<PeerReply> Leader::ask(PeerCall call) {
@@ -226,7 +226,7 @@
 }
 
 void Leader::handle(TimerTick&) {
-    release_held(true);
+    heartbeat_handler_.release_held(true);
     adopt_pending();
     if (context_.now >= next_check_) {
         next_check_ = context_.now + 0.5;
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -7,6 +7,7 @@
 #include <variant>
 
 #include "autoscaler/autoscaler.h"
+#include "controller/heartbeat_handler.h"
 #include "controller/leader_context.h"
 #include "controller/scheduling_loop.h"
 #include "controller/stop_sender.h"
@@ -58,13 +59,6 @@
     using Mailbox =
         boost::asio::experimental::channel<void(boost::system::error_code, LeaderMessage)>;
 
-    struct Held {  // a worker's report that waits for records before it is answered
-        ReplyPromise reply;
-        uint64_t seq = 0;
-        double until = 0;
-        uint64_t passes = 0;  // and for this scheduling pass
-    };
-
     boost::asio::awaitable<void> run(std::shared_ptr<Leader> self);
     boost::asio::awaitable<bool> load();
     boost::asio::awaitable<void> tick_loop(std::shared_ptr<Leader> self);
@@ -153,23 +147,12 @@
     void status(PeerCall& call, ReplyPromise& reply);
     void cancel(PeerCall& call, ReplyPromise& reply);
     void ask_cancel(Index job);
-    void heartbeat(PeerCall& call, ReplyPromise& reply);
-    void apply_heartbeat(Machine& m, Index index, const Heartbeat& r);
-    void apply_task_status(Machine& m, Index index, const TaskStatus& t);
-    void respond_to_heartbeat(Index machine, Held& held);
-    bool renew_lease(ReplyPromise& reply, const std::vector<Command>& commands);
-    void release_held(bool due_only);
-    bool unsettled(const Machine& m) const;
     void machine_gone(Index machine, const char* why);
     void check_machines();
     double replacement_s(const Machine& m, bool cut_off) const;
     void autoscale();
     void flush();
     void mark_ends(const StateLogBatch& batch, bool sent);
-    // Unsure of the lease for so long that reports may not be answered any more.
-    bool past_grace() const {
-        return context_.now > context_.term->lease_valid_until + answering_grace(context_.settings);
-    }
     bool may_tell(const Job& job) const;
     bool kv_unavailable() const;
     JobState job_state(const Job& job) const;
@@ -184,6 +167,7 @@
     StopSender stop_sender_;
     TaskLifecycle task_lifecycle_;
     SchedulingLoop scheduling_loop_;
+    HeartbeatHandler heartbeat_handler_;
     HttpClient cloud_;
     Mailbox mailbox_;
     Forecast forecast_;
@@ -197,14 +181,13 @@
     bool flushing_ = false;
     double flush_not_before_ = 0, kv_failed_at_ = -1e9, kv_succeeded_at_ = 0;
     std::map<std::string, std::vector<std::pair<PeerOp, ReplyPromise>>> waiters_;  // by job id
-    std::map<Index, Held> held_;                                                   // by machine
     std::map<std::string, PendingEntry> pending_;                                  // by job id
     uint64_t pending_revision_ = 0;
     std::unordered_map<std::string, FinalState> finals_;
     std::deque<std::string> finals_order_;
 
     double next_round_ = 0, next_check_ = 0, next_autoscale_ = 0, next_drain_ = 0,
-           next_capacity_log_ = 0, next_warning_ = 0;
+           next_capacity_log_ = 0;
     std::string recorded_types_, recorded_shape_;
     bool provisioning_ = false, terminating_ = false, listed_once_ = false;
     double provision_not_before_ = 0;
--- a/src/controller/leader_instances.cpp
+++ b/src/controller/leader_instances.cpp
@@ -31,10 +31,7 @@
     for (auto& ref : tasks)
         if (context_.cluster.jobs[ref.job]->tasks[ref.task].machine == index)
             task_lifecycle_.lose_task(ref.job, ref.task);
-    if (auto it = held_.find(index); it != held_.end()) {
-        it->second.reply.set({503, "{}"});
-        held_.erase(it);
-    }
+    heartbeat_handler_.drop_held(index);
     stop_sender_.drop_stops(index);
     context_.scheduling_needed = true;
 }
@@ -48,7 +45,7 @@
 }
 
 void Leader::check_machines() {
-    if (past_grace()) responses_blocked_at_ = context_.now;
+    if (heartbeat_handler_.past_grace()) responses_blocked_at_ = context_.now;
     auto cut = silent_zones(context_.cluster, usable_now(context_));
     size_t downlink_lost = 0, up = 0;
     for (auto& m : context_.cluster.machines) {
--- a/src/controller/leader_records.cpp
+++ b/src/controller/leader_records.cpp
@@ -170,7 +170,7 @@
                 forgotten(e);
             }
         }
-        release_held(false);
+        heartbeat_handler_.release_held(false);
         return;
     }
     bool deposed = names_leader(m.result.failed);
--- a/src/controller/leader_users.cpp
+++ b/src/controller/leader_users.cpp
@@ -35,7 +35,7 @@
         case PeerOp::Cancel:
             return cancel(m.call, m.reply);
         case PeerOp::Heartbeat:
-            return heartbeat(m.call, m.reply);
+            return heartbeat_handler_.heartbeat(m.call, m.reply);
         case PeerOp::Ping:
         case PeerOp::Command:
             break;  // answered by the node itself
