--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -6,7 +6,6 @@
 
 #include "config/capacity.h"
 #include "controller/planning_inputs.h"
-#include "protocol/cloud_codec.h"
 #include "scheduler/capacity_breakdown.h"
 #include "scheduler/starvation.h"
 
@@ -32,20 +31,21 @@
       stop_sender_(context_),
       task_lifecycle_(context_, stop_sender_),
       scheduling_loop_(context_, task_lifecycle_, [this] { return may_decide(); }),
-      heartbeat_handler_(context_, task_lifecycle_, scheduling_loop_,
-                         [this](const std::string& name) { return gone_.contains(name); }),
-      cloud_(io, settings.cloud, 1024 * 1024),
+      heartbeat_handler_(
+          context_, task_lifecycle_, scheduling_loop_,
+          [this](const std::string& name) { return instance_manager_.is_terminated(name); }),
+      instance_manager_(context_, task_lifecycle_, stop_sender_, heartbeat_handler_,
+                        [this] { return may_decide(); }),
       mailbox_(io, kMailbox),
       // A share is left to renewals and to what other controllers ask for.
-      writes_(settings.state_write_rps * 0.9, 0.8),
-      cloud_budget_(settings.cloud_rps * 0.85, 1.0) {
+      writes_(settings.state_write_rps * 0.9, 0.8) {
     context_.post = [this](LeaderMessage message) { post(std::move(message)); };
     context_.keep_alive = [this] { return shared_from_this(); };
 }
 
 void Leader::start() {
     asio::co_spawn(context_.io, run(shared_from_this()), asio::detached);
-    asio::co_spawn(context_.io, types_loop(shared_from_this()), asio::detached);
+    instance_manager_.start_reading_types();
 }
 
 void Leader::stop() {
@@ -133,7 +133,7 @@
     context_.now = steady_now();
     // A predecessor's rentals may not be listed yet: without waiting, they would be rented again.
     if (!context_.cluster.jobs.empty())
-        provision_not_before_ = context_.term->won + 2 * context_.settings.list_lag_s;
+        instance_manager_.defer_scale_out(context_.term->won + 2 * context_.settings.list_lag_s);
     next_round_ = context_.now + context_.properties.preemption_round_s / 2;
     ready_ = true;
     spdlog::info("leader: ready token={} jobs={} machines={}", context_.term->fencing_token,
@@ -150,7 +150,7 @@
         spdlog::info("leader: {} door records to collect", inbox->events.size());
     handle(*inbox);
     asio::co_spawn(context_.io, tick_loop(self), asio::detached);
-    asio::co_spawn(context_.io, list_loop(self), asio::detached);
+    instance_manager_.start_reading_list();
     asio::co_spawn(context_.io, pending_loop(self), asio::detached);
     while (!context_.stopped) {
         auto [ec, message] = co_await mailbox_.async_receive(asio::as_tuple(asio::use_awaitable));
@@ -191,9 +191,7 @@
                             read::count(read::object(item.value), "number", 0));
                     } else if (item.key == kTypesKey) {
                         context_.state_log.load_note(item.key, item.version);
-                        recorded_types_ = boost::json::serialize(item.value);
-                        if (!context_.cluster.types_known)
-                            context_.cluster.set_types(parse_machine_types(recorded_types_));
+                        instance_manager_.load_types(boost::json::serialize(item.value));
                     } else if (item.key == kLogKey) {
                         context_.state_log.load_head(item);
                     } else if (prefix == kSegmentPrefix) {
@@ -230,7 +228,7 @@
     adopt_pending();
     if (context_.now >= next_check_) {
         next_check_ = context_.now + 0.5;
-        check_machines();
+        instance_manager_.check_machines();
         stop_sender_.repeat_stops();
     }
     if (context_.now >= next_round_) {
@@ -240,7 +238,7 @@
     if (context_.now >= next_autoscale_) {
         next_autoscale_ = context_.now + 1.0;
         if (context_.properties.overload_enabled) forecast_.observe(context_.cluster, context_.now);
-        autoscale();
+        instance_manager_.autoscale();
         if (spdlog::should_log(spdlog::level::debug) && context_.now >= next_capacity_log_) {
             next_capacity_log_ = context_.now + kAccount_s;
             spdlog::debug("room: {}", capacity_text(capacity_breakdown(
@@ -260,6 +258,11 @@
     }
 }
 
+void Leader::handle(ScaleOutFinished& m) {
+    instance_manager_.handle(m);
+    next_autoscale_ = std::min(next_autoscale_, context_.now + 0.2);
+}
+
 // ---- a hand-over ----
 
 void Leader::transfer_leadership(std::function<void()> settled) {
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -8,6 +8,7 @@
 
 #include "autoscaler/autoscaler.h"
 #include "controller/heartbeat_handler.h"
+#include "controller/instance_manager.h"
 #include "controller/leader_context.h"
 #include "controller/scheduling_loop.h"
 #include "controller/stop_sender.h"
@@ -76,16 +77,6 @@
     boost::asio::awaitable<KvResult<KvItem>> read_ended(std::string id, double timeout_s);
     boost::asio::awaitable<std::optional<PendingRecordsChanged>> read_pending();
     boost::asio::awaitable<void> pending_loop(std::shared_ptr<Leader> self);
-    boost::asio::awaitable<void> types_loop(std::shared_ptr<Leader> self);
-    boost::asio::awaitable<void> list_loop(std::shared_ptr<Leader> self);
-    boost::asio::awaitable<void> provision(std::shared_ptr<Leader> self,
-                                           std::vector<ScaleOutRequest> rentals);
-    boost::asio::awaitable<void> terminate(std::shared_ptr<Leader> self,
-                                           std::vector<std::string> names);
-    boost::asio::awaitable<std::optional<HttpAnswer>> cloud_call(const char* method,
-                                                                 std::string target,
-                                                                 std::string body,
-                                                                 double timeout_s);
 
     void post(LeaderMessage m);
     void handle(RequestReceived& m);
@@ -94,11 +85,11 @@
     void handle(TransactionFinished& m);
     void handle(TransactionOutcomeUnknown&);
     void handle(PendingRecordsChanged& m);
-    void handle(MachineTypesRead& m);
-    void handle(MachineListRead& m);
-    void handle(MachinesProvisioned& m);
-    void handle(ScaleOutFinished&);
-    void handle(MachinesTerminated& m);
+    void handle(MachineTypesRead& m) { instance_manager_.handle(m); }
+    void handle(MachineListRead& m) { instance_manager_.handle(m); }
+    void handle(MachinesProvisioned& m) { instance_manager_.handle(m); }
+    void handle(ScaleOutFinished& m);
+    void handle(MachinesTerminated& m) { instance_manager_.handle(m); }
     void handle(TimerTick&);
     void handle(TransferRequested& m);
     void settle();
@@ -147,10 +138,6 @@
     void status(PeerCall& call, ReplyPromise& reply);
     void cancel(PeerCall& call, ReplyPromise& reply);
     void ask_cancel(Index job);
-    void machine_gone(Index machine, const char* why);
-    void check_machines();
-    double replacement_s(const Machine& m, bool cut_off) const;
-    void autoscale();
     void flush();
     void mark_ends(const StateLogBatch& batch, bool sent);
     bool may_tell(const Job& job) const;
@@ -168,7 +155,7 @@
     TaskLifecycle task_lifecycle_;
     SchedulingLoop scheduling_loop_;
     HeartbeatHandler heartbeat_handler_;
-    HttpClient cloud_;
+    InstanceManager instance_manager_;
     Mailbox mailbox_;
     Forecast forecast_;
     size_t asked_ = 0, asked_bytes_ = 0;  // requests in the mailbox
@@ -176,8 +163,7 @@
     std::function<void()> on_settled_;  // handing over: called once nothing is under way
     double settle_deadline_ = 0;
 
-    RateLimiter writes_, cloud_budget_;
-    double cloud_pause_until_ = 0;
+    RateLimiter writes_;
     bool flushing_ = false;
     double flush_not_before_ = 0, kv_failed_at_ = -1e9, kv_succeeded_at_ = 0;
     std::map<std::string, std::vector<std::pair<PeerOp, ReplyPromise>>> waiters_;  // by job id
@@ -186,15 +172,7 @@
     std::unordered_map<std::string, FinalState> finals_;
     std::deque<std::string> finals_order_;
 
-    double next_round_ = 0, next_check_ = 0, next_autoscale_ = 0, next_drain_ = 0,
-           next_capacity_log_ = 0;
-    std::string recorded_types_, recorded_shape_;
-    bool provisioning_ = false, terminating_ = false, listed_once_ = false;
-    double provision_not_before_ = 0;
-    uint64_t provision_count_ = 0;
-    double responses_blocked_at_ = -1e9;  // when this leader last could not answer reports
-    std::map<std::string, double>
-        gone_;  // machines known to be gone, which a late list may still show
+    double next_round_ = 0, next_check_ = 0, next_autoscale_ = 0, next_capacity_log_ = 0;
 };
 
 }  // namespace weirmill
