--- a/src/controller/stop_sender.cpp
+++ b/src/controller/stop_sender.cpp
@@ -23,16 +23,32 @@
 }  // namespace
 
 // A stop is sent straight to its worker as well, so that a gang receives it within gang_peer_s. A
-// late copy does no harm: it names the attempt, and the agent epoch must still match.
+// late copy does no harm: it names the attempt, and the agent epoch must still match. Workers that
+// may not answer come last and get half of the sockets, so that the others need not wait for them.
 void StopSender::flush_stops() {
-    for (auto& [index, commands] : queued_) {
-        const auto* machine = context_.cluster.machines[index].get();
-        if (!machine || !machine->up || machine->addr.empty()) continue;
+    if (queued_.empty()) return;
+    auto max_sockets = static_cast<size_t>(stop_sockets(context_.settings));
+    flush_to(false, max_sockets);
+    flush_to(true, max_sockets / 2);
+}
+
+void StopSender::flush_to(bool silent, size_t max_sockets) {
+    for (auto it = queued_.begin(); it != queued_.end() && *flush_sockets_ < max_sockets;) {
+        const auto* machine = context_.cluster.machines[it->first].get();
+        if (!machine || !machine->up || machine->addr.empty()) {
+            it = queued_.erase(it);
+            continue;
+        }
+        if (is_silent(*machine) != silent) {
+            ++it;
+            continue;
+        }
         start_sending(
             {machine->addr, machine->relayed_by, false},
-            direct_commands(context_.term->fencing_token, machine->agent_epoch, commands));
+            direct_commands(context_.term->fencing_token, machine->agent_epoch, it->second),
+            flush_sockets_);
+        it = queued_.erase(it);
     }
-    queued_.clear();
 }
 
 // Tasks of cancelled jobs on machines that send no heartbeats here are stopped where they are,
@@ -41,26 +57,42 @@
 // in a newer one they are gone. The command shows the worker our fencing token, so from then on it
 // drops what the earlier leader answers.
 void StopSender::repeat_stops() {
-    if (context_.now < next_repeat_) return;
-    next_repeat_ = context_.now + context_.settings.heartbeat_interval_s;
+    if (context_.now >= repeat_interval_ends_) {
+        repeat_interval_ends_ = context_.now + context_.settings.heartbeat_interval_s;
+        repeated_in_interval_ = 0;
+    }
+    std::erase_if(next_repeat_, [&](auto& entry) { return context_.now >= entry.second; });
     size_t count = context_.cluster.machines.size();
-    auto left = static_cast<size_t>(stop_sockets(context_.settings));
-    for (size_t n = 0; n < count && left > 0; ++n) {
+    for (size_t n = 0; n < count && may_repeat_one_more(); ++n) {
         repeat_cursor_ = (repeat_cursor_ + 1) % count;
-        const auto* machine = context_.cluster.machines[repeat_cursor_].get();
-        if (!machine || !needs_repeated_stops(*machine)) continue;
+        auto index = static_cast<Index>(repeat_cursor_);
+        const auto* machine = context_.cluster.machines[index].get();
+        if (!machine || next_repeat_.contains(index) || !needs_repeated_stops(*machine)) continue;
         uint64_t agent_epoch = latest_agent_epoch(*machine);
         auto commands = stops_of_cancelled_jobs(*machine, agent_epoch);
         if (commands.empty()) continue;
-        --left;
+        next_repeat_[index] = context_.now + context_.settings.heartbeat_interval_s;
+        ++repeated_in_interval_;
         context_.metrics.count("stops_repeated_total");
         start_sending({machine->addr, machine->relayed_by, true},
-                      direct_commands(context_.term->fencing_token, agent_epoch, commands));
+                      direct_commands(context_.term->fencing_token, agent_epoch, commands),
+                      repeat_sockets_);
     }
 }
 
+// Where workers do not answer, sockets come free by their time-outs alone: then there is a turn for
+// as many machines in each interval all the same.
+bool StopSender::may_repeat_one_more() const {
+    auto max_sockets = static_cast<size_t>(stop_sockets(context_.settings));
+    return *repeat_sockets_ < max_sockets || repeated_in_interval_ < max_sockets;
+}
+
 bool StopSender::needs_repeated_stops(const Machine& machine) const {
     if (machine.addr.empty() || machine.status == MachineStatus::Failed) return false;
+    return is_silent(machine);
+}
+
+bool StopSender::is_silent(const Machine& machine) const {
     double silent_s = context_.now - std::max(machine.last_heartbeat, context_.term->won);
     return silent_s > kMissedHeartbeats * context_.settings.heartbeat_interval_s;
 }
@@ -86,12 +118,20 @@
     return commands;
 }
 
-void StopSender::start_sending(Route route, std::string body) {
+void StopSender::start_sending(Route route, std::string body, const SocketCount& in_use) {
+    ++*in_use;
     asio::co_spawn(context_.io,
-                   send_stops(context_.keep_alive(), std::move(route), std::move(body)),
+                   send_and_count(context_.keep_alive(), std::move(route), std::move(body), in_use),
                    asio::detached);
 }
 
+asio::awaitable<void> StopSender::send_and_count(std::shared_ptr<void> keep_alive, Route route,
+                                                 std::string body, SocketCount in_use) {
+    // Given back however the coroutine ends.
+    std::shared_ptr<void> socket(nullptr, [in_use](void*) { --*in_use; });
+    co_await send_stops(std::move(keep_alive), std::move(route), std::move(body));
+}
+
 // First by the controller that relays for the worker, where there is one: the worker can't be
 // reached from here, as it seems.
 asio::awaitable<void> StopSender::send_stops(std::shared_ptr<void> keep_alive, Route route,
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -5,6 +5,7 @@
 
 #include "config/capacity.h"
 #include "controller/leader.h"
+#include "controller/stop_sender.h"
 #include "fixtures.h"
 #include "protocol/paths.h"
 #include "service.h"
@@ -151,7 +152,7 @@
     settings.heartbeat_interval_s = 60;  // nothing but this burst
     fakes::State state_service(io);
     fakes::Cloud cloud(io, settings);
-    settings.state = state_service.standby(0);
+    settings.state = state_service.endpoint_for(0);
     settings.cloud = cloud.at();
     Properties properties;
     Metrics metrics;
@@ -224,5 +225,115 @@
     EXPECT_EQ(report_all(s, follower, fencing_token).statuses, kAllTaken);
 }
 
+// A cancelled job with a task on each of 200 machines, all at one address. The time is the test's.
+struct StopFixture {
+    static constexpr int kStopMachines = 200;
+    asio::io_context io;
+    asio::executor_work_guard<asio::io_context::executor_type> work{io.get_executor()};
+    Settings settings = small_settings();
+    Properties properties;
+    Metrics metrics;
+    KvClient kv{io, settings};
+    std::shared_ptr<LeadershipTerm> term = std::make_shared<LeadershipTerm>();
+    LeaderContext context{io, settings, properties, kv, metrics, term};
+    StopSender sender{context};
+    asio::ip::tcp::acceptor worker{io, {asio::ip::make_address("127.0.0.1"), 0}};
+    std::vector<asio::ip::tcp::socket> accepted;  // and never answered
+
+    explicit StopFixture(bool listens) {
+        context.keep_alive = [] { return std::shared_ptr<void>(); };
+        auto addr = "127.0.0.1:" + std::to_string(worker.local_endpoint().port());
+        if (listens)
+            asio::co_spawn(io, accept(), asio::detached);
+        else
+            worker.close();
+        auto& cluster = context.cluster;
+        cluster.set_types({{"std", {8000, 0, 64000}, 50, 1, 1.0, 0.4, 30, {"a", "b"}}});
+        JobSpec spec;
+        spec.id = "cancelled";
+        spec.tasks = kStopMachines;
+        spec.demand = {1000, 0, 1000};
+        spec.team = cluster.names.teams.find("blue");
+        spec.job_class = cluster.names.classes.intern("class");
+        spec.image = cluster.names.images.intern("image");
+        auto job = cluster.add_job(spec, 1000, 0);
+        cluster.jobs[job]->version = 1;
+        for (uint32_t t = 0; t < kStopMachines; ++t) {
+            auto index = cluster.add_machine("machine-" + std::to_string(t), 0);
+            auto& machine = *cluster.machines[index];
+            cluster.describe_machine(machine, "std", "a", false);
+            machine.up = true;
+            machine.agent_epoch = 1;
+            machine.addr = addr;
+            cluster.place(job, t, index, 1, 0);
+        }
+        cluster.jobs[job]->cancelled = true;
+    }
+
+    asio::awaitable<void> accept() {
+        for (;;) accepted.push_back(co_await worker.async_accept(asio::use_awaitable));
+    }
+    void turn(double seconds) {
+        turn_until(io, [] { return false; }, seconds);
+    }
+    // Machines that were told again, after a check at this time.
+    uint64_t repeated_at(double now) {
+        context.now = now;
+        sender.repeat_stops();
+        turn(0.2);
+        auto text = metrics.text({});
+        auto at = text.rfind("stops_repeated_total ");
+        return at == std::string::npos ? 0 : std::stoull(text.substr(at + 21));
+    }
+    // Sockets opened so far, after stops for all machines were queued or not, and sent.
+    size_t opened_after_flush(double now, bool queue) {
+        context.now = now;
+        for (Index i = 0; queue && i < kStopMachines; ++i)
+            sender.queue_stop(i, {CommandOp::Stop, "cancelled", i, 1, 0});
+        sender.flush_stops();
+        turn(0.2);
+        return accepted.size();
+    }
+};
+
+TEST(Limits, RepeatedStopsReachAllMachinesWithinAnIntervalAndNoneTwice) {
+    StopFixture f(false);  // each connection is refused, so its socket is free at the next check
+    struct {
+        double now;
+        uint64_t repeated;
+    } steps[] = {{100, 62},    {100.5, 124}, {101, 186},   {101.5, 200}, {101.9, 200}, {102, 262},
+                 {102.5, 324}, {103, 386},   {103.4, 386}, {103.5, 400}, {103.9, 400}, {104, 462}};
+    ASSERT_EQ(stop_sockets(f.settings), 62);
+    for (auto& step : steps) EXPECT_EQ(f.repeated_at(step.now), step.repeated) << step.now;
+}
+
+TEST(Limits, RepeatedStopsThatNobodyAnswersKeepTheirSocketsAndTheFormerRate) {
+    StopFixture f(true);
+    EXPECT_EQ(f.repeated_at(100), 62u);
+    EXPECT_EQ(f.repeated_at(100.5), 62u);
+    EXPECT_EQ(f.repeated_at(101.5), 62u);
+    EXPECT_EQ(f.repeated_at(102), 124u);
+    EXPECT_EQ(f.repeated_at(102.5), 124u);
+    EXPECT_EQ(f.accepted.size(), 124u);
+    f.turn(2.2);  // their time-out
+    EXPECT_EQ(f.repeated_at(103), 186u);
+}
+
+TEST(Limits, FirstStopsAreSentOverSoManySocketsAtATimeAndTheRestFollows) {
+    StopFixture f(true);
+    for (auto& machine : f.context.cluster.machines) machine->last_heartbeat = 100;
+    EXPECT_EQ(f.opened_after_flush(100, true), 62u);
+    EXPECT_EQ(f.opened_after_flush(100.3, false), 62u);
+    f.turn(2.2);
+    EXPECT_EQ(f.opened_after_flush(100.6, false), 124u);
+}
+
+TEST(Limits, FirstStopsForSilentMachinesLeaveSocketsToTheOthers) {
+    StopFixture f(true);
+    EXPECT_EQ(f.opened_after_flush(100, true), 31u);
+    for (Index i = 150; i < 200; ++i) f.context.cluster.machines[i]->last_heartbeat = 100;
+    EXPECT_EQ(f.opened_after_flush(100, false), 62u);
+}
+
 }  // namespace
 }  // namespace weirmill::test
