--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -5,10 +5,8 @@
 #include <boost/asio.hpp>
 
 #include "config/capacity.h"
-#include "protocol/cloud_codec.h"
-#include "protocol/worker_codec.h"
+#include "controller/planning_inputs.h"
 #include "scheduler/capacity_breakdown.h"
-#include "scheduler/start_deadline.h"
 #include "scheduler/starvation.h"
 
 namespace weirmill {
@@ -23,27 +21,31 @@
 const std::string kOldJobs = "j/";
 constexpr double kAsk_s = 2.0;
 constexpr double kSettle_s = 0.6;
-constexpr double kGather_s = 5;      // renewed with each pass
-constexpr size_t kMaxPlaced = 4096;  // in one pass
-constexpr double kAccount_s = 5;     // between lines about where the room is
+constexpr double kAccount_s = 5;  // between lines about where the room is
 
 }  // namespace
 
 Leader::Leader(asio::io_context& io, const Settings& settings, const Properties& properties,
                KvClient& state, Metrics& metrics, std::shared_ptr<LeadershipTerm> term)
     : context_(io, settings, properties, state, metrics, std::move(term)),
-      cloud_(io, settings.cloud, 1024 * 1024),
+      stop_sender_(context_),
+      task_lifecycle_(context_, stop_sender_),
+      scheduling_loop_(context_, task_lifecycle_, [this] { return may_decide(); }),
+      heartbeat_handler_(
+          context_, task_lifecycle_, scheduling_loop_,
+          [this](const std::string& name) { return instance_manager_.is_terminated(name); }),
+      instance_manager_(context_, task_lifecycle_, stop_sender_, heartbeat_handler_,
+                        [this] { return may_decide(); }),
       mailbox_(io, kMailbox),
       // A share is left to renewals and to what other controllers ask for.
-      writes_(settings.state_write_rps * 0.9, 0.8),
-      cloud_budget_(settings.cloud_rps * 0.85, 1.0) {
+      writes_(settings.state_write_rps * 0.9, 0.8) {
     context_.post = [this](LeaderMessage message) { post(std::move(message)); };
     context_.keep_alive = [this] { return shared_from_this(); };
 }
 
 void Leader::start() {
     asio::co_spawn(context_.io, run(shared_from_this()), asio::detached);
-    asio::co_spawn(context_.io, types_loop(shared_from_this()), asio::detached);
+    instance_manager_.start_reading_types();
 }
 
 void Leader::stop() {
@@ -54,8 +56,7 @@
     for (auto& [id, list] : waiters_)
         for (auto& [op, reply] : list) reply.set(undecided());
     waiters_.clear();
-    for (auto& [m, held] : held_) held.reply.set({421, redirect_answer("")});
-    held_.clear();
+    heartbeat_handler_.redirect_held();
 }
 
 asio::awaitable<PeerReply> Leader::ask(PeerCall call) {
@@ -96,10 +97,10 @@
     out["tasks_pending"] = static_cast<double>(pending);
     out["queues_pressed"] = static_cast<double>(forecast_.overloaded());
     for (auto& g :
-         capacity_gauges(capacity_breakdown(context_.cluster, usable_now(), context_.now)))
+         capacity_gauges(capacity_breakdown(context_.cluster, usable_now(context_), context_.now)))
         out[g.name] = g.value;
     for (auto& g : starved_gauges(
-             starved_jobs(context_.cluster, usable_now(), context_.now, kStarvedAfter_s)))
+             starved_jobs(context_.cluster, usable_now(context_), context_.now, kStarvedAfter_s)))
         out[g.name] = g.value;
 }
 
@@ -135,7 +136,7 @@
     context_.now = steady_now();
     // A predecessor's rentals may not be listed yet: without waiting, they would be rented again.
     if (!context_.cluster.jobs.empty())
-        provision_not_before_ = context_.term->won + 2 * context_.settings.list_lag_s;
+        instance_manager_.defer_scale_out(context_.term->won + 2 * context_.settings.list_lag_s);
     next_round_ = context_.now + context_.properties.preemption_round_s / 2;
     ready_ = true;
     spdlog::info("leader: ready token={} jobs={} machines={}", context_.term->fencing_token,
@@ -145,14 +146,14 @@
         auto& job = *context_.cluster.jobs[j];
         job.seen_at = context_.now - std::max(0.0, wall_now() - job.submitted);
         job.ready_at = context_.now - std::max(0.0, wall_now() - job.ready);
-        check_job(j);
+        task_lifecycle_.check_job(j);
     }
     context_.cluster.propagate_demands();
     if (!inbox->events.empty())
         spdlog::info("leader: {} door records to collect", inbox->events.size());
     handle(*inbox);
     asio::co_spawn(context_.io, tick_loop(self), asio::detached);
-    asio::co_spawn(context_.io, list_loop(self), asio::detached);
+    instance_manager_.start_reading_list();
     asio::co_spawn(context_.io, pending_loop(self), asio::detached);
     while (!context_.stopped) {
         auto [ec, message] = co_await mailbox_.async_receive(asio::as_tuple(asio::use_awaitable));
@@ -160,8 +161,8 @@
         context_.now = steady_now();
         std::visit([this](auto& m) { handle(m); }, message);
         if (context_.stopped) break;
-        if (context_.scheduling_needed && context_.now >= next_schedule_) schedule();
-        flush_stops();
+        scheduling_loop_.run_if_due();
+        stop_sender_.flush_stops();
         flush();
         if (on_settled_) settle();
     }
@@ -189,12 +190,11 @@
                 try {
                     if (item.key == kRoundKey) {
                         context_.state_log.load_note(item.key, item.version);
-                        rounds_ = read::count(read::object(item.value), "number", 0);
+                        scheduling_loop_.resume_rounds(
+                            read::count(read::object(item.value), "number", 0));
                     } else if (item.key == kTypesKey) {
                         context_.state_log.load_note(item.key, item.version);
-                        recorded_types_ = boost::json::serialize(item.value);
-                        if (!context_.cluster.types_known)
-                            context_.cluster.set_types(parse_machine_types(recorded_types_));
+                        instance_manager_.load_types(boost::json::serialize(item.value));
                     } else if (item.key == kLogKey) {
                         context_.state_log.load_head(item);
                     } else if (prefix == kSegmentPrefix) {
@@ -227,25 +227,25 @@
 }
 
 void Leader::handle(TimerTick&) {
-    release_held(true);
+    heartbeat_handler_.release_held(true);
     adopt_pending();
     if (context_.now >= next_check_) {
         next_check_ = context_.now + 0.5;
-        check_machines();
-        repeat_stops();
+        instance_manager_.check_machines();
+        stop_sender_.repeat_stops();
     }
     if (context_.now >= next_round_) {
         next_round_ = context_.now + context_.properties.preemption_round_s;
-        preempt();
+        scheduling_loop_.preempt();
     }
     if (context_.now >= next_autoscale_) {
         next_autoscale_ = context_.now + 1.0;
         if (context_.properties.overload_enabled) forecast_.observe(context_.cluster, context_.now);
-        autoscale();
+        instance_manager_.autoscale();
         if (spdlog::should_log(spdlog::level::debug) && context_.now >= next_capacity_log_) {
             next_capacity_log_ = context_.now + kAccount_s;
             spdlog::debug("room: {}", capacity_text(capacity_breakdown(
-                                          context_.cluster, usable_now(), context_.now)));
+                                          context_.cluster, usable_now(context_), context_.now)));
             for (auto& [key, q] : forecast_.queues())
                 if (q.jobs > 0)
                     spdlog::debug(
@@ -261,6 +261,11 @@
     }
 }
 
+void Leader::handle(ScaleOutFinished& m) {
+    instance_manager_.handle(m);
+    next_autoscale_ = std::min(next_autoscale_, context_.now + 0.2);
+}
+
 // ---- a hand-over ----
 
 void Leader::transfer_leadership(std::function<void()> settled) {
@@ -284,55 +289,4 @@
     settled();
 }
 
-// ---- decisions ----
-
-void Leader::schedule() {
-    next_schedule_ = context_.now + context_.properties.scheduling_pause_s;
-    if (!may_decide()) return;
-    context_.scheduling_needed = false;
-    ++passes_;
-    std::vector<Index> late;
-    if (context_.properties.overload_enabled)
-        late = jobs_near_start_deadline(context_.cluster, context_.properties.start_deadline_s,
-                                        context_.now);
-    place_waiting(context_.cluster, usable_now(), context_.now, kMaxPlaced,
-                  planned_headroom(context_.cluster, autoscaler_settings(), context_.now), late);
-    // For one gang at a time, the one that waits the longest.
-    auto gang = std::find_if(late.begin(), late.end(), [&](Index j) {
-        return context_.cluster.jobs[j]->spec.kind == JobKind::Gang &&
-               context_.cluster.jobs[j]->placed == 0;
-    });
-    if (gang == late.end()) return;
-    for (auto i : machines_for_gang(context_.cluster, usable_now(), *gang, context_.now)) {
-        context_.cluster.machines[i]->reserved_for = *gang;
-        context_.cluster.machines[i]->reserved_until = context_.now + kGather_s;
-    }
-}
-
-void Leader::preempt() {
-    if (!may_decide()) return;
-    auto round = plan_preemption(context_.cluster, usable_now(), context_.now);
-    if (round.clearings.empty()) return;
-    ++rounds_;
-    context_.metrics.count("preemption_rounds_total");
-    context_.metrics.count("preemption_stops_total", round.stops.size());
-    context_.state_log.note(kRoundKey, round_record(round, context_.cluster, rounds_));
-    for (auto& c : round.clearings) {
-        for (auto* machines : {&c.machines, &c.kept})
-            for (auto i : *machines) {
-                context_.cluster.machines[i]->reserved_for = c.job;
-                context_.cluster.machines[i]->reserved_until =
-                    context_.now + 2 * context_.properties.preemption_round_s +
-                    context_.settings.lease_s;
-            }
-        spdlog::info("preemption: round={} job={} machines={} kept={} stops={}", rounds_,
-                     context_.cluster.jobs[c.job]->spec.id, c.machines.size(), c.kept.size(),
-                     round.stops.size());
-    }
-    for (auto& ref : round.stops) {
-        auto& task = context_.cluster.jobs[ref.job]->tasks[ref.task];
-        if (task.state == TaskState::Placed && !task.stopping) stop_task(ref.job, ref.task, true);
-    }
-}
-
 }  // namespace weirmill
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -7,7 +7,12 @@
 #include <variant>
 
 #include "autoscaler/autoscaler.h"
+#include "controller/heartbeat_handler.h"
+#include "controller/instance_manager.h"
 #include "controller/leader_context.h"
+#include "controller/scheduling_loop.h"
+#include "controller/stop_sender.h"
+#include "controller/task_lifecycle.h"
 #include "leadership/election.h"
 #include "metrics/metrics.h"
 #include "scheduler/overload_forecast.h"
@@ -22,15 +27,6 @@
 
 namespace weirmill {
 
-// What a stop allows the task: time to save, with some to spare, or none.
-inline double stop_grace_s(const Job& job, const Task& task) {
-    return task.graceful ? job.spec.checkpoint_duration_s * 1.25 + 1 : 0;
-}
-
-// Sends commands straight to a worker. False: it did not answer, and may carry them out or not.
-boost::asio::awaitable<bool> send_commands(boost::asio::io_context& io, std::string addr,
-                                           std::string body, double timeout_s);
-
 // One actor in several files, by what owns which state: leader_users.cpp, leader_records.cpp,
 // leader_inbox.cpp (what doors accepted), leader_workers.cpp (reports, held answers),
 // leader_tasks.cpp (endings, stops), leader_fleet.cpp.
@@ -53,8 +49,8 @@
     // Settles what is under way and starts nothing more, then calls `settled`.
     void transfer_leadership(std::function<void()> settled);
     const ClusterState& cluster() const { return context_.cluster; }
-    // Passes a call on to the controller with this name, for workers whose reports it relays.
-    std::function<boost::asio::awaitable<bool>(std::string, PeerCall)> pass_on;
+    // Stops also go by way of peers from here on.
+    void set_relay(PeerRelay relay) { stop_sender_.set_relay(std::move(relay)); }
 
     // What users and workers ask for, from this node's own door or over the peer link.
     boost::asio::awaitable<PeerReply> ask(PeerCall call);
@@ -64,13 +60,6 @@
     using Mailbox =
         boost::asio::experimental::channel<void(boost::system::error_code, LeaderMessage)>;
 
-    struct Held {  // a worker's report that waits for records before it is answered
-        ReplyPromise reply;
-        uint64_t seq = 0;
-        double until = 0;
-        uint64_t passes = 0;  // and for this scheduling pass
-    };
-
     boost::asio::awaitable<void> run(std::shared_ptr<Leader> self);
     boost::asio::awaitable<bool> load();
     boost::asio::awaitable<void> tick_loop(std::shared_ptr<Leader> self);
@@ -88,18 +77,6 @@
     boost::asio::awaitable<KvResult<KvItem>> read_ended(std::string id, double timeout_s);
     boost::asio::awaitable<std::optional<PendingRecordsChanged>> read_pending();
     boost::asio::awaitable<void> pending_loop(std::shared_ptr<Leader> self);
-    boost::asio::awaitable<void> types_loop(std::shared_ptr<Leader> self);
-    boost::asio::awaitable<void> list_loop(std::shared_ptr<Leader> self);
-    boost::asio::awaitable<void> provision(std::shared_ptr<Leader> self,
-                                           std::vector<ScaleOutRequest> rentals);
-    boost::asio::awaitable<void> terminate(std::shared_ptr<Leader> self,
-                                           std::vector<std::string> names);
-    boost::asio::awaitable<void> send_stops(std::shared_ptr<Leader> self, std::string addr,
-                                            std::string by, std::string body, bool by_any);
-    boost::asio::awaitable<std::optional<HttpAnswer>> cloud_call(const char* method,
-                                                                 std::string target,
-                                                                 std::string body,
-                                                                 double timeout_s);
 
     void post(LeaderMessage m);
     void handle(RequestReceived& m);
@@ -108,11 +85,11 @@
     void handle(TransactionFinished& m);
     void handle(TransactionOutcomeUnknown&);
     void handle(PendingRecordsChanged& m);
-    void handle(MachineTypesRead& m);
-    void handle(MachineListRead& m);
-    void handle(MachinesProvisioned& m);
-    void handle(ScaleOutFinished&);
-    void handle(MachinesTerminated& m);
+    void handle(MachineTypesRead& m) { instance_manager_.handle(m); }
+    void handle(MachineListRead& m) { instance_manager_.handle(m); }
+    void handle(MachinesProvisioned& m) { instance_manager_.handle(m); }
+    void handle(ScaleOutFinished& m);
+    void handle(MachinesTerminated& m) { instance_manager_.handle(m); }
     void handle(TimerTick&);
     void handle(TransferRequested& m);
     void settle();
@@ -132,7 +109,6 @@
     std::optional<Dependence> dependence(PeerCall& call, ReplyPromise& reply, const JobSpec& spec);
     void refuse_for_good(PeerCall& call, ReplyPromise& reply, const std::string& id,
                          PeerReply refusal = kNeverRuns);
-    void check_cancelled(const std::vector<Index>& jobs);
 
     // A door's record, and what is done with it.
     struct PendingEntry {
@@ -162,41 +138,8 @@
     void status(PeerCall& call, ReplyPromise& reply);
     void cancel(PeerCall& call, ReplyPromise& reply);
     void ask_cancel(Index job);
-    void heartbeat(PeerCall& call, ReplyPromise& reply);
-    void apply_heartbeat(Machine& m, Index index, const Heartbeat& r);
-    void apply_task_status(Machine& m, Index index, const TaskStatus& t);
-    void task_exited(Index job, uint32_t task, Index machine, const TaskStatus& t);
-    void task_failed(Index job, Index machine);
-    void lose_task(Index job, uint32_t task);
-    void end_gang(Index job, bool graceful, bool fetch_on = false);
-    void check_job(Index job);
-    void stop_task(Index job, uint32_t task, bool graceful);
-    void drain(Index machine, double interruption_notice_s);
-    void respond_to_heartbeat(Index machine, Held& held);
-    bool renew_lease(ReplyPromise& reply, const std::vector<Command>& commands);
-    void release_held(bool due_only);
-    bool unsettled(const Machine& m) const;
-    void machine_gone(Index machine, const char* why);
-    void check_machines();
-    double replacement_s(const Machine& m, bool cut_off) const;
-    void schedule();
-    void preempt();
-    void autoscale();
-    AutoscalerSettings autoscaler_settings() const;
     void flush();
     void mark_ends(const StateLogBatch& batch, bool sent);
-    void flush_stops();
-    void repeat_stops();
-    bool usable(const Machine& m) const;
-    Usable usable_now() const {
-        return [this](const Machine& m) { return usable(m); };
-    }
-    // Without a report for this long a machine is taken for silent: nothing new is placed there.
-    double silence_s() const { return 2.2 * context_.settings.heartbeat_interval_s + 1; }
-    // Unsure of the lease for so long that reports may not be answered any more.
-    bool past_grace() const {
-        return context_.now > context_.term->lease_valid_until + answering_grace(context_.settings);
-    }
     bool may_tell(const Job& job) const;
     bool kv_unavailable() const;
     JobState job_state(const Job& job) const;
@@ -208,7 +151,11 @@
     PeerReply undecided() const;  // a door may serve instead
 
     LeaderContext context_;
-    HttpClient cloud_;
+    StopSender stop_sender_;
+    TaskLifecycle task_lifecycle_;
+    SchedulingLoop scheduling_loop_;
+    HeartbeatHandler heartbeat_handler_;
+    InstanceManager instance_manager_;
     Mailbox mailbox_;
     Forecast forecast_;
     size_t asked_ = 0, asked_bytes_ = 0;  // requests in the mailbox
@@ -216,29 +163,16 @@
     std::function<void()> on_settled_;  // handing over: called once nothing is under way
     double settle_deadline_ = 0;
 
-    RateLimiter writes_, cloud_budget_;
-    double cloud_pause_until_ = 0;
+    RateLimiter writes_;
     bool flushing_ = false;
     double flush_not_before_ = 0, kv_failed_at_ = -1e9, kv_succeeded_at_ = 0;
     std::map<std::string, std::vector<std::pair<PeerOp, ReplyPromise>>> waiters_;  // by job id
-    std::map<Index, Held> held_;                                                   // by machine
-    std::map<Index, std::vector<Command>> direct_;  // stops to send, by machine
-    std::map<std::string, PendingEntry> pending_;   // by job id
+    std::map<std::string, PendingEntry> pending_;                                  // by job id
     uint64_t pending_revision_ = 0;
     std::unordered_map<std::string, FinalState> finals_;
     std::deque<std::string> finals_order_;
 
-    double next_schedule_ = 0, next_round_ = 0, next_check_ = 0, next_autoscale_ = 0,
-           next_drain_ = 0, next_capacity_log_ = 0, next_warning_ = 0, next_stops_ = 0;
-    size_t stops_cursor_ = 0;  // machines are told in turn
-    uint64_t rounds_ = 0, passes_ = 0;
-    std::string recorded_types_, recorded_shape_;
-    bool provisioning_ = false, terminating_ = false, listed_once_ = false;
-    double provision_not_before_ = 0;
-    uint64_t provision_count_ = 0;
-    double responses_blocked_at_ = -1e9;  // when this leader last could not answer reports
-    std::map<std::string, double>
-        gone_;  // machines known to be gone, which a late list may still show
+    double next_round_ = 0, next_check_ = 0, next_autoscale_ = 0, next_capacity_log_ = 0;
 };
 
 }  // namespace weirmill
