--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -5,7 +5,8 @@
 #include <boost/asio.hpp>
 
 #include "config/capacity.h"
-#include "protocol/cloud_codec.h"
+#include "controller/leader_replies.h"
+#include "controller/state_loader.h"
 #include "protocol/worker_codec.h"
 #include "scheduler/capacity_breakdown.h"
 #include "scheduler/start_deadline.h"
@@ -17,12 +18,12 @@
 
 namespace {
 
-// What comes back from outside has as much room again: none of that may be lost.
-constexpr size_t kMailbox = 2 * kMaxAsked;
-constexpr int kSegmentsAPage = 50;
-const std::string kOldJobs = "j/";
-constexpr double kAsk_s = 2.0;
-constexpr double kSettle_s = 0.6;
+// Outcomes of calls have as much room again as requests: none of them may be lost.
+constexpr size_t kMaxMessages = 2 * kMaxAsked;
+constexpr double kAnswer_s = 2.0;     // after that, users are asked to come back
+constexpr double kMaxSettle_s = 0.6;  // before a transfer of the leadership
+constexpr double kLoadRetry_s = 0.3;
+constexpr double kTick_s = 0.1;
 constexpr double kGather_s = 5;      // renewed with each pass
 constexpr size_t kMaxPlaced = 4096;  // in one pass
 constexpr double kAccount_s = 5;     // between lines about where the room is
@@ -32,15 +33,26 @@
 Leader::Leader(asio::io_context& io, const Settings& settings, const Properties& properties,
                KvClient& state, Metrics& metrics, std::shared_ptr<LeadershipTerm> term)
     : context_(io, settings, properties, state, metrics, std::move(term)),
+      final_states_(state),
+      admission_(context_, final_states_, job_callbacks(),
+                 [this](const std::string& id) { return adoption_.is_pending(id); }),
+      adoption_(context_, final_states_, admission_),
+      users_(context_, final_states_, admission_, adoption_,
+             [this] { return log_writer_.kv_unavailable(); }),
+      log_writer_(context_, users_, adoption_, admission_, job_callbacks(),
+                  [this] { release_held(false); }),
       cloud_(io, settings.cloud, 1024 * 1024),
-      mailbox_(io, kMailbox),
-      // A share is left to renewals and to what other controllers ask for.
-      writes_(settings.state_write_rps * 0.9, 0.8),
+      mailbox_(io, kMaxMessages),
       cloud_budget_(settings.cloud_rps * 0.85, 1.0) {
     context_.post = [this](LeaderMessage message) { post(std::move(message)); };
     context_.keep_alive = [this] { return shared_from_this(); };
 }
 
+JobCallbacks Leader::job_callbacks() {
+    return {[this](Index job) { check_job(job); },
+            [this](const std::vector<Index>& jobs) { check_cancelled(jobs); }};
+}
+
 void Leader::start() {
     asio::co_spawn(context_.io, run(shared_from_this()), asio::detached);
     asio::co_spawn(context_.io, types_loop(shared_from_this()), asio::detached);
@@ -51,29 +63,56 @@
     ready_ = false;
     context_.term->ended = true;
     mailbox_.close();
-    for (auto& [id, list] : waiters_)
-        for (auto& [op, reply] : list) reply.set(undecided());
-    waiters_.clear();
+    users_.stop();
     for (auto& [m, held] : held_) held.reply.set({421, redirect_answer("")});
     held_.clear();
 }
 
 asio::awaitable<PeerReply> Leader::ask(PeerCall call) {
-    if (!ready_) co_return undecided();
+    if (!ready_) co_return undecided(context_);
     size_t bytes = call.body.size();
-    if (asked_ >= kMaxAsked || asked_bytes_ + bytes > most_asked_bytes(context_.settings))
-        co_return come_back();
+    if (queued_requests_ >= kMaxAsked ||
+        queued_bytes_ + bytes > most_asked_bytes(context_.settings))
+        co_return retry_later(context_);
     ReplyPromise reply(context_.io.get_executor());
     bool is_heartbeat = call.op == PeerOp::Heartbeat;
-    ++asked_;
-    asked_bytes_ += bytes;
+    ++queued_requests_;
+    queued_bytes_ += bytes;
     post(RequestReceived{std::move(call), reply, bytes});
-    // A worker waits for as long as its own patience: with a burst of reports on a small share of a
-    // core, some are answered late.
-    double wait_s = is_heartbeat ? std::max(kAsk_s, context_.settings.worker_patience_s) : kAsk_s;
+    // A worker waits for as long as its own patience: with a burst of heartbeats on a small share
+    // of a core, some are answered late.
+    double wait_s =
+        is_heartbeat ? std::max(kAnswer_s, context_.settings.worker_patience_s) : kAnswer_s;
     auto answer = co_await reply.wait(wait_s);
     if (answer) co_return *answer;
-    co_return is_heartbeat ? PeerReply{503, "{}"} : come_back();
+    co_return is_heartbeat ? PeerReply{503, "{}"} : retry_later(context_);
+}
+
+void Leader::handle(RequestReceived& m) {
+    --queued_requests_;
+    queued_bytes_ -= m.bytes;
+    switch (m.call.op) {
+        case PeerOp::Submit:
+            return users_.submit(m.call, m.reply);
+        case PeerOp::Status:
+            return users_.status(m.call, m.reply);
+        case PeerOp::Cancel:
+            return users_.cancel(m.call, m.reply);
+        case PeerOp::Heartbeat:
+            return heartbeat(m.call, m.reply);
+        case PeerOp::Ping:
+        case PeerOp::Command:
+            break;  // answered by the node itself
+    }
+    m.reply.set({400, "{}"});
+}
+
+void Leader::handle(DependenciesRead& m) {
+    for (auto& [id, ended] : m.ended) final_states_.remember(id, ended);
+    if (m.adopts)
+        adoption_.resume(m);
+    else
+        users_.dependencies_read(m);
 }
 
 void Leader::gauges(std::map<std::string, double>& out) const {
@@ -100,16 +139,6 @@
                    out);
 }
 
-PeerReply Leader::come_back(int seconds) const {
-    return {503, R"({"error":"not now"})", seconds, context_.term->fencing_token};
-}
-
-PeerReply Leader::undecided() const {
-    auto reply = come_back();
-    reply.undecided = true;
-    return reply;
-}
-
 void Leader::post(LeaderMessage m) {
     if (context_.stopped) return;
     if (mailbox_.try_send(boost::system::error_code(), std::move(m))) {
@@ -122,15 +151,46 @@
 }
 
 asio::awaitable<void> Leader::run(std::shared_ptr<Leader> self) {
-    std::optional<PendingRecordsChanged> inbox;
+    auto pending = co_await load();
+    if (!pending || context_.stopped) co_return;
+    become_ready(*pending);
+    asio::co_spawn(context_.io, tick_loop(self), asio::detached);
+    asio::co_spawn(context_.io, list_loop(self), asio::detached);
+    adoption_.start_watch();
+    while (!context_.stopped) {
+        auto [ec, message] = co_await mailbox_.async_receive(asio::as_tuple(asio::use_awaitable));
+        if (ec) break;
+        context_.now = steady_now();
+        std::visit([this](auto& m) { handle(m); }, message);
+        if (context_.stopped) break;
+        if (context_.scheduling_needed && context_.now >= next_schedule_) schedule();
+        flush_stops();
+        log_writer_.flush();
+        if (on_settled_) settle();
+    }
+}
+
+// Until all was read, or the term is over (nothing).
+asio::awaitable<std::optional<PendingRecordsChanged>> Leader::load() {
+    StateLoader loader(context_);
+    std::optional<PendingRecordsChanged> pending;
     while (!context_.stopped) {
-        if (co_await load()) inbox = co_await read_pending();
-        if (inbox) break;
-        co_await sleep_s(0.3);
+        auto notes = co_await loader.load();
+        if (notes) {
+            rounds_ = notes->preemption_rounds;
+            recorded_types_ = notes->machine_types;
+            pending = co_await adoption_.read_all();
+        }
+        if (pending) break;
+        co_await sleep_s(kLoadRetry_s);
     }
-    if (context_.stopped) co_return;
+    co_return pending;
+}
+
+void Leader::become_ready(const PendingRecordsChanged& pending) {
     context_.now = steady_now();
-    // A predecessor's rentals may not be listed yet: without waiting, they would be rented again.
+    // Machines that a predecessor provisioned may not be listed yet: without waiting, they would be
+    // provisioned again.
     if (!context_.cluster.jobs.empty())
         provision_not_before_ = context_.term->won + 2 * context_.settings.list_lag_s;
     next_round_ = context_.now + context_.properties.preemption_round_s / 2;
@@ -145,87 +205,22 @@
         check_job(j);
     }
     context_.cluster.spread_needs();
-    if (!inbox->events.empty())
-        spdlog::info("leader: {} door records to collect", inbox->events.size());
-    handle(*inbox);
-    asio::co_spawn(context_.io, tick_loop(self), asio::detached);
-    asio::co_spawn(context_.io, list_loop(self), asio::detached);
-    asio::co_spawn(context_.io, pending_loop(self), asio::detached);
-    while (!context_.stopped) {
-        auto [ec, message] = co_await mailbox_.async_receive(asio::as_tuple(asio::use_awaitable));
-        if (ec) break;
-        context_.now = steady_now();
-        std::visit([this](auto& m) { handle(m); }, message);
-        if (context_.stopped) break;
-        if (context_.scheduling_needed && context_.now >= next_schedule_) schedule();
-        flush_stops();
-        flush();
-        if (on_settled_) settle();
-    }
-}
-
-// Single records first, the head of the log among them, then its segments, page by page.
-asio::awaitable<bool> Leader::load() {
-    context_.cluster.clear_work();
-    context_.state_log.clear();
-    double started = steady_now();
-    size_t segments = 0;
-    for (const std::string& prefix : {kRoundKey, kTypesKey, kLogKey, kSegmentPrefix, kOldJobs}) {
-        std::string after;
-        for (bool more = true; more;) {
-            auto page = co_await context_.kv.list(prefix, after, kSegmentsAPage, 3);
-            if (context_.stopped) co_return false;
-            if (!page) {
-                if (page.outcome == KvOutcome::Unknown)
-                    spdlog::info("leader: loading waits for the state service");
-                co_return false;
-            }
-            more = page.value.more && !page.value.items.empty();
-            for (auto& item : page.value.items) {
-                after = item.key;
-                try {
-                    if (item.key == kRoundKey) {
-                        context_.state_log.load_note(item.key, item.version);
-                        rounds_ = read::count(read::object(item.value), "number", 0);
-                    } else if (item.key == kTypesKey) {
-                        context_.state_log.load_note(item.key, item.version);
-                        recorded_types_ = boost::json::serialize(item.value);
-                        if (!context_.cluster.types_known)
-                            context_.cluster.set_types(parse_machine_types(recorded_types_));
-                    } else if (item.key == kLogKey) {
-                        context_.state_log.load_head(item);
-                    } else if (prefix == kSegmentPrefix) {
-                        context_.state_log.load_segment(item, steady_now());
-                        ++segments;
-                    } else if (prefix == kOldJobs) {
-                        throw BadMessage(
-                            "of a version that kept a key for each job; see docs/operations.md");
-                    }
-                } catch (const BadMessage& e) {
-                    // Leading without a record could start a task twice: another try, never a
-                    // guess.
-                    spdlog::error("leader: malformed record {}: {}", item.key, e.what());
-                    co_return false;
-                }
-            }
-        }
-    }
-    context_.state_log.loaded(steady_now());
-    spdlog::info("leader: read {} segments in {:.2f}s", segments, steady_now() - started);
-    co_return true;
+    if (!pending.events.empty())
+        spdlog::info("leader: {} door records to collect", pending.events.size());
+    adoption_.receive(pending);
 }
 
 asio::awaitable<void> Leader::tick_loop(std::shared_ptr<Leader> self) {
     (void)self;
     while (!context_.stopped) {
-        co_await sleep_s(0.1);
+        co_await sleep_s(kTick_s);
         post(TimerTick{});
     }
 }
 
 void Leader::handle(TimerTick&) {
     release_held(true);
-    adopt_pending();
+    adoption_.adopt_due();
     if (context_.now >= next_check_) {
         next_check_ = context_.now + 0.5;
         check_machines();
@@ -267,7 +262,7 @@
 
 void Leader::handle(TransferRequested& m) {
     on_settled_ = std::move(m.settled);
-    settle_deadline_ = context_.now + kSettle_s;
+    settle_deadline_ = context_.now + kMaxSettle_s;
     // What users asked for goes on to the next leader, as at any end of a tenure: it is under way
     // or asked again.
     ready_ = false;
@@ -276,7 +271,7 @@
 // Records that are under way or waiting are written first: the next leader would else do the work
 // again.
 void Leader::settle() {
-    if ((flushing_ || context_.state_log.waiting()) && context_.now < settle_deadline_) return;
+    if (log_writer_.busy() && context_.now < settle_deadline_) return;
     auto settled = std::exchange(on_settled_, nullptr);
     settled();
 }
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -7,13 +7,17 @@
 #include <variant>
 
 #include "autoscaler/autoscaler.h"
+#include "controller/final_state_cache.h"
+#include "controller/job_admission.h"
 #include "controller/leader_context.h"
+#include "controller/pending_adoption.h"
+#include "controller/state_log_writer.h"
+#include "controller/user_requests.h"
 #include "leadership/election.h"
 #include "metrics/metrics.h"
 #include "scheduler/overload_forecast.h"
 #include "scheduler/placement.h"
 #include "scheduler/preemption.h"
-#include "standby/pending_records.h"
 #include "state/state_log.h"
 #include "storage/kv_client.h"
 #include "transport/http_client.h"
@@ -60,7 +64,6 @@
     boost::asio::awaitable<PeerReply> ask(PeerCall call);
 
   private:
-    static const PeerReply kNotFound, kNeverRuns, kTooLong;
     using Mailbox =
         boost::asio::experimental::channel<void(boost::system::error_code, LeaderMessage)>;
 
@@ -72,22 +75,9 @@
     };
 
     boost::asio::awaitable<void> run(std::shared_ptr<Leader> self);
-    boost::asio::awaitable<bool> load();
+    boost::asio::awaitable<std::optional<PendingRecordsChanged>> load();
+    void become_ready(const PendingRecordsChanged& pending);
     boost::asio::awaitable<void> tick_loop(std::shared_ptr<Leader> self);
-    boost::asio::awaitable<void> commit(std::shared_ptr<Leader> self, StateLogBatch batch);
-    struct Applied {
-        bool known = false, yes = false;
-        uint64_t version = 0;
-    };
-    boost::asio::awaitable<Applied> was_applied(const CasTransaction& txn);
-    boost::asio::awaitable<void> read_final(std::shared_ptr<Leader> self, PeerCall call,
-                                            ReplyPromise reply, PeerReply refusal);
-    boost::asio::awaitable<void> read_dependencies(std::shared_ptr<Leader> self, PeerCall call,
-                                                   ReplyPromise reply, std::vector<std::string> ids,
-                                                   bool adopts);
-    boost::asio::awaitable<KvResult<KvItem>> read_ended(std::string id, double timeout_s);
-    boost::asio::awaitable<std::optional<PendingRecordsChanged>> read_pending();
-    boost::asio::awaitable<void> pending_loop(std::shared_ptr<Leader> self);
     boost::asio::awaitable<void> types_loop(std::shared_ptr<Leader> self);
     boost::asio::awaitable<void> list_loop(std::shared_ptr<Leader> self);
     boost::asio::awaitable<void> provision(std::shared_ptr<Leader> self,
@@ -103,11 +93,11 @@
 
     void post(LeaderMessage m);
     void handle(RequestReceived& m);
-    void handle(FinalStateRead& m);
+    void handle(FinalStateRead& m) { users_.final_state_read(m); }
     void handle(DependenciesRead& m);
-    void handle(TransactionFinished& m);
-    void handle(TransactionOutcomeUnknown&);
-    void handle(PendingRecordsChanged& m);
+    void handle(TransactionFinished& m) { log_writer_.finished(m); }
+    void handle(TransactionOutcomeUnknown&) { log_writer_.outcome_unknown(); }
+    void handle(PendingRecordsChanged& m) { adoption_.receive(m); }
     void handle(MachineTypesRead& m);
     void handle(MachineListRead& m);
     void handle(MachinesProvisioned& m);
@@ -117,51 +107,8 @@
     void handle(TransferRequested& m);
     void settle();
 
-    void submit(PeerCall& call, ReplyPromise& reply);
-    // What a new job waits for, as far as this leader knows.
-    struct Dependence {
-        std::vector<Index> on;
-        bool cancelled = false;           // one of them is: and so is the job
-        std::vector<std::string> unread;  // may have ended: their final states are to be read
-        bool never = false;               // a name that no job can have
-        bool unsure = false;              // whether one of them will be accepted is not known yet
-    };
-    Dependence resolve(const JobSpec& spec) const;
-    Index add_new_job(JobSpec spec, const Dependence& depends, double submitted);
-    // Nothing: the submission is answered, now or later.
-    std::optional<Dependence> dependence(PeerCall& call, ReplyPromise& reply, const JobSpec& spec);
-    void refuse_for_good(PeerCall& call, ReplyPromise& reply, const std::string& id,
-                         PeerReply refusal = kNeverRuns);
     void check_cancelled(const std::vector<Index>& jobs);
 
-    // A door's record, and what is done with it.
-    struct PendingEntry {
-        uint64_t version = 0;
-        PendingRecord record;
-        enum class Step : uint8_t {
-            Waiting,
-            Reading,
-            Telling,
-            Forgetting,
-            Broken
-        } step = Step::Waiting;
-        double not_before = 0;
-    };
-    void receive_pending(const KvItem& item);
-    // The job is told by its door record alone, as yet.
-    bool is_pending(const std::string& id) const;
-    void adopt_pending();
-    void adopt(const std::string& id, PendingEntry& in);
-    void resume_adoption(const DependenciesRead& m);
-    void adoption_recorded(const std::string& id, bool recorded);
-    void forget(const std::string& id);
-    void forgotten(const StateLogEntry& e);
-    uint64_t pending_version(const std::string& id) const;
-    std::optional<FinalState> final_state(const KvItem& item) const;
-    void drop_new_job(Index job);
-    void status(PeerCall& call, ReplyPromise& reply);
-    void cancel(PeerCall& call, ReplyPromise& reply);
-    void ask_cancel(Index job);
     void heartbeat(PeerCall& call, ReplyPromise& reply);
     void apply_heartbeat(Machine& m, Index index, const Heartbeat& r);
     void apply_task_status(Machine& m, Index index, const TaskStatus& t);
@@ -183,8 +130,6 @@
     void preempt();
     void autoscale();
     AutoscalerSettings autoscaler_settings() const;
-    void flush();
-    void mark_ends(const StateLogBatch& batch, bool sent);
     void flush_stops();
     void repeat_stops();
     bool usable(const Machine& m) const;
@@ -197,37 +142,28 @@
     bool past_grace() const {
         return context_.now > context_.term->lease_valid_until + answering_grace(context_.settings);
     }
-    bool may_tell(const Job& job) const;
-    bool kv_unavailable() const;
-    JobState job_state(const Job& job) const;
-    PeerReply job_reply(const Job& job, PeerOp op, int status) const;
-    PeerReply final_reply(const std::string& id, const FinalState& f, PeerOp op) const;
-    void remember_final(const std::string& id, FinalState f);
-    void answer_waiters(const std::string& id, const PeerReply& reply);
-    PeerReply come_back(int seconds = 1) const;
-    PeerReply undecided() const;  // a door may serve instead
+    JobCallbacks job_callbacks();
 
     LeaderContext context_;
+    FinalStateCache final_states_;
+    JobAdmission admission_;
+    PendingAdoption adoption_;
+    UserRequests users_;
+    StateLogWriter log_writer_;
     HttpClient cloud_;
     Mailbox mailbox_;
     Forecast forecast_;
-    size_t asked_ = 0, asked_bytes_ = 0;  // requests in the mailbox
+    // Requests in the mailbox, and the bytes of their bodies.
+    size_t queued_requests_ = 0;
+    size_t queued_bytes_ = 0;
     bool ready_ = false;
     std::function<void()> on_settled_;  // handing over: called once nothing is under way
     double settle_deadline_ = 0;
 
-    RateLimiter writes_, cloud_budget_;
+    RateLimiter cloud_budget_;
     double cloud_pause_until_ = 0;
-    bool flushing_ = false;
-    double flush_not_before_ = 0, kv_failed_at_ = -1e9, kv_succeeded_at_ = 0;
-    std::map<std::string, std::vector<std::pair<PeerOp, ReplyPromise>>> waiters_;  // by job id
-    std::map<Index, Held> held_;                                                   // by machine
+    std::map<Index, Held> held_;                    // by machine
     std::map<Index, std::vector<Command>> direct_;  // stops to send, by machine
-    std::map<std::string, PendingEntry> pending_;   // by job id
-    uint64_t pending_revision_ = 0;
-    std::unordered_map<std::string, FinalState> finals_;
-    std::deque<std::string> finals_order_;
-
     double next_schedule_ = 0, next_round_ = 0, next_check_ = 0, next_autoscale_ = 0,
            next_drain_ = 0, next_capacity_log_ = 0, next_warning_ = 0, next_stops_ = 0;
     size_t stops_cursor_ = 0;  // machines are told in turn
--- /dev/null
+++ b/src/controller/leader_replies.cpp
@@ -0,0 +1,15 @@
+#include "controller/leader_replies.h"
+
+namespace weirmill {
+
+PeerReply retry_later(const LeaderContext& context, int seconds) {
+    return {503, R"({"error":"not now"})", seconds, context.term->fencing_token};
+}
+
+PeerReply undecided(const LeaderContext& context) {
+    auto reply = retry_later(context);
+    reply.undecided = true;
+    return reply;
+}
+
+}  // namespace weirmill
