--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -151,7 +151,7 @@
     settings.heartbeat_interval_s = 60;  // nothing but this burst
     fakes::State state_service(io);
     fakes::Cloud cloud(io, settings);
-    settings.state = state_service.standby(0);
+    settings.state = state_service.endpoint_for(0);
     settings.cloud = cloud.at();
     Properties properties;
     Metrics metrics;
