--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -141,11 +141,9 @@
 
 void Leader::post(LeaderMessage m) {
     if (context_.stopped) return;
-    if (mailbox_.try_send(boost::system::error_code(), std::move(m))) {
-        return;
-    }
-    // Without an outcome that was lost, this leader would wait for ever: the next one starts
-    // afresh.
+    if (mailbox_.try_send(boost::system::error_code(), std::move(m))) return;
+    // Without an outcome that was lost, this leader would wait for ever: the next one reads the
+    // records anew.
     spdlog::error("leader: mailbox full, giving up the leadership");
     context_.term->ended = true;
 }
@@ -170,7 +168,6 @@
     }
 }
 
-// Until all was read, or the term is over (nothing).
 asio::awaitable<std::optional<PendingRecordsChanged>> Leader::load() {
     StateLoader loader(context_);
     std::optional<PendingRecordsChanged> pending;
@@ -234,26 +231,30 @@
         next_autoscale_ = context_.now + 1.0;
         if (context_.properties.overload_enabled) forecast_.observe(context_.cluster, context_.now);
         autoscale();
-        if (spdlog::should_log(spdlog::level::debug) && context_.now >= next_capacity_log_) {
-            next_capacity_log_ = context_.now + kAccount_s;
-            spdlog::debug("room: {}", capacity_text(capacity_breakdown(
-                                          context_.cluster, usable_now(), context_.now)));
-            for (auto& [key, q] : forecast_.queues())
-                if (q.jobs > 0)
-                    spdlog::debug(
-                        "queue: {} of {}, {} jobs wait, {} of them give up a time, {:.0f} units in "
-                        "use, "
-                        "{:.0f} left, "
-                        "drains in {:.0f}s of {:.0f}s",
-                        context_.cluster.names.classes.name(key.job_class),
-                        context_.cluster.names.teams.name(key.team), q.jobs, q.abandoning, q.in_use,
-                        q.left, q.drain_s, q.within_s);
-        }
+        log_capacity();
         context_.scheduling_needed = true;  // back-offs and quarantines end with time alone
     }
 }
 
-// ---- a hand-over ----
+// Why jobs wait, for the operators' engineers.
+void Leader::log_capacity() {
+    if (!spdlog::should_log(spdlog::level::debug) || context_.now < next_capacity_log_) return;
+    next_capacity_log_ = context_.now + kAccount_s;
+    spdlog::debug("room: {}",
+                  capacity_text(capacity_breakdown(context_.cluster, usable_now(), context_.now)));
+    for (auto& [key, q] : forecast_.queues())
+        if (q.jobs > 0)
+            spdlog::debug(
+                "queue: {} of {}, {} jobs wait, {} of them give up a time, {:.0f} units in "
+                "use, "
+                "{:.0f} left, "
+                "drains in {:.0f}s of {:.0f}s",
+                context_.cluster.names.classes.name(key.job_class),
+                context_.cluster.names.teams.name(key.team), q.jobs, q.abandoning, q.in_use, q.left,
+                q.drain_s, q.within_s);
+}
+
+// ---- transfer of the leadership ----
 
 void Leader::transfer_leadership(std::function<void()> settled) {
     if (!ready_) return settled();
@@ -263,8 +264,8 @@
 void Leader::handle(TransferRequested& m) {
     on_settled_ = std::move(m.settled);
     settle_deadline_ = context_.now + kMaxSettle_s;
-    // What users asked for goes on to the next leader, as at any end of a tenure: it is under way
-    // or asked again.
+    // Requests of users go on to the next leader, as at any end of a term: they are under way or
+    // repeated.
     ready_ = false;
 }
 
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -1,4 +1,5 @@
-// The leader: an actor that owns the tables and is spoken to by messages. It exists for one tenure.
+// The leader: an actor that owns the cluster state and is spoken to by messages. It exists for one
+// leadership term.
 #pragma once
 #include <boost/asio/experimental/channel.hpp>
 #include <map>
@@ -35,15 +36,14 @@
 boost::asio::awaitable<bool> send_commands(boost::asio::io_context& io, std::string addr,
                                            std::string body, double timeout_s);
 
-// One actor in several files, by what owns which state: leader_users.cpp, leader_records.cpp,
-// leader_inbox.cpp (what doors accepted), leader_workers.cpp (reports, held answers),
-// leader_tasks.cpp (endings, stops), leader_fleet.cpp.
+// Wires the parts of a leadership term, and takes the messages of its mailbox one after the other.
+// The parts own their state; what they share is LeaderContext. Used on one executor only.
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
     Leader(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
            KvClient& state, Metrics& metrics, std::shared_ptr<LeadershipTerm> term);
     void start();
-    // The tenure is over: nothing is answered or sent any more.
+    // The term is over: nothing is answered or sent any more.
     void stop();
 
     bool ready() const { return ready_; }
@@ -54,13 +54,14 @@
     uint64_t fencing_token() const { return context_.term->fencing_token; }
     void gauges(std::map<std::string, double>& out) const;
 
-    // Settles what is under way and starts nothing more, then calls `settled`.
+    // Completes what is under way and starts nothing more, then calls `settled`.
     void transfer_leadership(std::function<void()> settled);
     const ClusterState& cluster() const { return context_.cluster; }
     // Passes a call on to the controller with this name, for workers whose reports it relays.
     std::function<boost::asio::awaitable<bool>(std::string, PeerCall)> pass_on;
 
-    // What users and workers ask for, from this node's own door or over the peer link.
+    // Requests of users and workers, from this node's own HTTP server or over the peer link.
+    // Answered within some seconds in any case.
     boost::asio::awaitable<PeerReply> ask(PeerCall call);
 
   private:
@@ -75,6 +76,7 @@
     };
 
     boost::asio::awaitable<void> run(std::shared_ptr<Leader> self);
+    // Until all was read, or the term is over (nothing).
     boost::asio::awaitable<std::optional<PendingRecordsChanged>> load();
     void become_ready(const PendingRecordsChanged& pending);
     boost::asio::awaitable<void> tick_loop(std::shared_ptr<Leader> self);
@@ -105,6 +107,7 @@
     void handle(MachinesTerminated& m);
     void handle(TimerTick&);
     void handle(TransferRequested& m);
+    void log_capacity();
     void settle();
 
     void check_cancelled(const std::vector<Index>& jobs);
@@ -157,7 +160,8 @@
     size_t queued_requests_ = 0;
     size_t queued_bytes_ = 0;
     bool ready_ = false;
-    std::function<void()> on_settled_;  // handing over: called once nothing is under way
+    // Transfer of the leadership: called once nothing is under way, or at the deadline.
+    std::function<void()> on_settled_;
     double settle_deadline_ = 0;
 
     RateLimiter cloud_budget_;
