--- a/src/controller/instance_manager.cpp
+++ b/src/controller/instance_manager.cpp
@@ -171,11 +171,6 @@
 
 // ---- what the cloud says ----
 
-void InstanceManager::load_types(const std::string& record) {
-    recorded_types_ = record;
-    if (!context_.cluster.types_known) context_.cluster.set_types(parse_machine_types(record));
-}
-
 // Recorded, so that the next leader can decide about submissions while the cloud does not answer.
 void InstanceManager::handle(MachineTypesRead& message) {
     auto types = message.types;
--- a/src/controller/instance_manager.h
+++ b/src/controller/instance_manager.h
@@ -40,7 +40,7 @@
     // Reads the list of machines again and again, until the term is over.
     void start_reading_list();
     // The machine types that an earlier leader recorded. Throws BadMessage.
-    void load_types(const std::string& record);
+    void set_recorded_types(std::string record) { recorded_types_ = std::move(record); }
     // Nothing is provisioned before this time (steady clock, seconds).
     void defer_scale_out(double until) { provision_not_before_ = until; }
 
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -1,41 +1,36 @@
-// The leader: an actor that owns the tables and is spoken to by messages. It exists for one tenure.
+// The leader: an actor that owns the cluster state and is spoken to by messages. It exists for one
+// leadership term.
 #pragma once
 #include <boost/asio/experimental/channel.hpp>
+#include <functional>
 #include <map>
 #include <memory>
-#include <random>
-#include <variant>
+#include <optional>
+#include <string>
 
-#include "autoscaler/autoscaler.h"
+#include "controller/final_state_cache.h"
 #include "controller/heartbeat_handler.h"
 #include "controller/instance_manager.h"
+#include "controller/job_admission.h"
 #include "controller/leader_context.h"
+#include "controller/pending_adoption.h"
 #include "controller/scheduling_loop.h"
+#include "controller/state_log_writer.h"
 #include "controller/stop_sender.h"
 #include "controller/task_lifecycle.h"
-#include "leadership/election.h"
-#include "metrics/metrics.h"
+#include "controller/user_requests.h"
 #include "scheduler/overload_forecast.h"
-#include "scheduler/placement.h"
-#include "scheduler/preemption.h"
-#include "state/pending_records.h"
-#include "state/state_log.h"
-#include "storage/kv_client.h"
-#include "transport/http_client.h"
-#include "transport/one_shot.h"
-#include "transport/peer_link.h"
 
 namespace weirmill {
 
-// One actor in several files, by what owns which state: leader_users.cpp, leader_records.cpp,
-// leader_inbox.cpp (what doors accepted), leader_workers.cpp (reports, held answers),
-// leader_tasks.cpp (endings, stops), leader_fleet.cpp.
+// Wires the parts of a leadership term, and takes the messages of its mailbox one after the other.
+// The parts own their state; what they share is LeaderContext. Used on one executor only.
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
     Leader(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
            KvClient& state, Metrics& metrics, std::shared_ptr<LeadershipTerm> term);
     void start();
-    // The tenure is over: nothing is answered or sent any more.
+    // The term is over: nothing is answered or sent any more.
     void stop();
 
     bool ready() const { return ready_; }
@@ -46,45 +41,33 @@
     uint64_t fencing_token() const { return context_.term->fencing_token; }
     void gauges(std::map<std::string, double>& out) const;
 
-    // Settles what is under way and starts nothing more, then calls `settled`.
+    // Completes what is under way and starts nothing more, then calls `settled`.
     void transfer_leadership(std::function<void()> settled);
     const ClusterState& cluster() const { return context_.cluster; }
     // Stops also go by way of peers from here on.
     void set_relay(PeerRelay relay) { stop_sender_.set_relay(std::move(relay)); }
 
-    // What users and workers ask for, from this node's own door or over the peer link.
+    // Requests of users and workers, from this node's own HTTP server or over the peer link.
+    // Answered within some seconds in any case.
     boost::asio::awaitable<PeerReply> ask(PeerCall call);
 
   private:
-    static const PeerReply kNotFound, kNeverRuns, kTooLong;
     using Mailbox =
         boost::asio::experimental::channel<void(boost::system::error_code, LeaderMessage)>;
 
     boost::asio::awaitable<void> run(std::shared_ptr<Leader> self);
-    boost::asio::awaitable<bool> load();
+    // Until all was read, or the term is over (nothing).
+    boost::asio::awaitable<std::optional<PendingRecordsChanged>> load();
+    void become_ready(const PendingRecordsChanged& pending);
     boost::asio::awaitable<void> tick_loop(std::shared_ptr<Leader> self);
-    boost::asio::awaitable<void> commit(std::shared_ptr<Leader> self, StateLogBatch batch);
-    struct Applied {
-        bool known = false, yes = false;
-        uint64_t version = 0;
-    };
-    boost::asio::awaitable<Applied> was_applied(const CasTransaction& txn);
-    boost::asio::awaitable<void> read_final(std::shared_ptr<Leader> self, PeerCall call,
-                                            ReplyPromise reply, PeerReply refusal);
-    boost::asio::awaitable<void> read_dependencies(std::shared_ptr<Leader> self, PeerCall call,
-                                                   ReplyPromise reply, std::vector<std::string> ids,
-                                                   bool adopts);
-    boost::asio::awaitable<KvResult<KvItem>> read_ended(std::string id, double timeout_s);
-    boost::asio::awaitable<std::optional<PendingRecordsChanged>> read_pending();
-    boost::asio::awaitable<void> pending_loop(std::shared_ptr<Leader> self);
 
     void post(LeaderMessage m);
     void handle(RequestReceived& m);
-    void handle(FinalStateRead& m);
+    void handle(FinalStateRead& m) { users_.final_state_read(m); }
     void handle(DependenciesRead& m);
-    void handle(TransactionFinished& m);
-    void handle(TransactionOutcomeUnknown&);
-    void handle(PendingRecordsChanged& m);
+    void handle(TransactionFinished& m) { log_writer_.finished(m); }
+    void handle(TransactionOutcomeUnknown&) { log_writer_.outcome_unknown(); }
+    void handle(PendingRecordsChanged& m) { adoption_.receive(m); }
     void handle(MachineTypesRead& m) { instance_manager_.handle(m); }
     void handle(MachineListRead& m) { instance_manager_.handle(m); }
     void handle(MachinesProvisioned& m) { instance_manager_.handle(m); }
@@ -92,63 +75,10 @@
     void handle(MachinesTerminated& m) { instance_manager_.handle(m); }
     void handle(TimerTick&);
     void handle(TransferRequested& m);
+    void log_capacity();
     void settle();
 
-    void submit(PeerCall& call, ReplyPromise& reply);
-    // What a new job waits for, as far as this leader knows.
-    struct Dependence {
-        std::vector<Index> on;
-        bool cancelled = false;           // one of them is: and so is the job
-        std::vector<std::string> unread;  // may have ended: their final states are to be read
-        bool never = false;               // a name that no job can have
-        bool unsure = false;              // whether one of them will be accepted is not known yet
-    };
-    Dependence resolve(const JobSpec& spec) const;
-    Index add_new_job(JobSpec spec, const Dependence& depends, double submitted);
-    // Nothing: the submission is answered, now or later.
-    std::optional<Dependence> dependence(PeerCall& call, ReplyPromise& reply, const JobSpec& spec);
-    void refuse_for_good(PeerCall& call, ReplyPromise& reply, const std::string& id,
-                         PeerReply refusal = kNeverRuns);
-
-    // A door's record, and what is done with it.
-    struct PendingEntry {
-        uint64_t version = 0;
-        PendingRecord record;
-        enum class Step : uint8_t {
-            Waiting,
-            Reading,
-            Telling,
-            Forgetting,
-            Broken
-        } step = Step::Waiting;
-        double not_before = 0;
-    };
-    void receive_pending(const KvItem& item);
-    // The job is told by its door record alone, as yet.
-    bool is_pending(const std::string& id) const;
-    void adopt_pending();
-    void adopt(const std::string& id, PendingEntry& in);
-    void resume_adoption(const DependenciesRead& m);
-    void adoption_recorded(const std::string& id, bool recorded);
-    void forget(const std::string& id);
-    void forgotten(const StateLogEntry& e);
-    uint64_t pending_version(const std::string& id) const;
-    std::optional<FinalState> final_state(const KvItem& item) const;
-    void drop_new_job(Index job);
-    void status(PeerCall& call, ReplyPromise& reply);
-    void cancel(PeerCall& call, ReplyPromise& reply);
-    void ask_cancel(Index job);
-    void flush();
-    void mark_ends(const StateLogBatch& batch, bool sent);
-    bool may_tell(const Job& job) const;
-    bool kv_unavailable() const;
-    JobState job_state(const Job& job) const;
-    PeerReply job_reply(const Job& job, PeerOp op, int status) const;
-    PeerReply final_reply(const std::string& id, const FinalState& f, PeerOp op) const;
-    void remember_final(const std::string& id, FinalState f);
-    void answer_waiters(const std::string& id, const PeerReply& reply);
-    PeerReply come_back(int seconds = 1) const;
-    PeerReply undecided() const;  // a door may serve instead
+    JobCallbacks job_callbacks();
 
     LeaderContext context_;
     StopSender stop_sender_;
@@ -156,23 +86,26 @@
     SchedulingLoop scheduling_loop_;
     HeartbeatHandler heartbeat_handler_;
     InstanceManager instance_manager_;
+    FinalStateCache final_states_;
+    JobAdmission admission_;
+    PendingAdoption adoption_;
+    UserRequests users_;
+    StateLogWriter log_writer_;
     Mailbox mailbox_;
     Forecast forecast_;
-    size_t asked_ = 0, asked_bytes_ = 0;  // requests in the mailbox
+    // Requests in the mailbox, and the bytes of their bodies.
+    size_t queued_requests_ = 0;
+    size_t queued_bytes_ = 0;
     bool ready_ = false;
-    std::function<void()> on_settled_;  // handing over: called once nothing is under way
+    // Transfer of the leadership: called once nothing is under way, or at the deadline.
+    std::function<void()> on_settled_;
     double settle_deadline_ = 0;
 
-    RateLimiter writes_;
-    bool flushing_ = false;
-    double flush_not_before_ = 0, kv_failed_at_ = -1e9, kv_succeeded_at_ = 0;
-    std::map<std::string, std::vector<std::pair<PeerOp, ReplyPromise>>> waiters_;  // by job id
-    std::map<std::string, PendingEntry> pending_;                                  // by job id
-    uint64_t pending_revision_ = 0;
-    std::unordered_map<std::string, FinalState> finals_;
-    std::deque<std::string> finals_order_;
-
-    double next_round_ = 0, next_check_ = 0, next_autoscale_ = 0, next_capacity_log_ = 0;
+    // When the periodic work is due, on the steady clock in seconds.
+    double next_round_ = 0;
+    double next_check_ = 0;
+    double next_autoscale_ = 0;
+    double next_capacity_log_ = 0;
 };
 
 }  // namespace weirmill
