--- a/src/leadership/election.h
+++ b/src/leadership/election.h
@@ -1,5 +1,6 @@
-// One leader at a time: a lease of the state service holds the key `leader`; the key's version when
-// it was won is the token that every answer and every transaction carries.
+// Leader election: one leader at a time, by a lease of the state service that the key `leader` is
+// attached to. The key's version when it was won is the fencing token that every answer and every
+// transaction carries. Election is an actor on the io_context's one thread.
 #pragma once
 #include <fmt/format.h>
 
@@ -9,32 +10,14 @@
 #include <string>
 
 #include "config/settings.h"
-#include "membership/link_policy.h"
+#include "leadership/leadership_term.h"
+#include "leadership/leadership_transfer.h"
+#include "leadership/lease_renewal.h"
 #include "state/cluster_state.h"
 #include "storage/kv_client.h"
-#include "transport/one_shot.h"
 
 namespace weirmill {
 
-// When this node may act as leader. Times are of its steady clock.
-struct LeadershipTerm {
-    uint64_t fencing_token = 0;
-    uint64_t lease = 0;
-    double won = 0;                                // no earlier leader held the lease after this
-    double lease_valid_until = 0;                  // before this no other leader can exist
-    bool ended = false;                            // another leader may exist, for good
-    std::optional<TransferRecord> transferred_to;  // it ends as another is to lead
-};
-
-// How far a steady clock may run from another, with room for timers that fire late.
-inline constexpr double kDrift = 0.001;
-inline constexpr double kMargin_s = 0.1;
-
-// The lease counts from the start of the request that confirmed it.
-inline double lease_valid_until(double request_started, double lease_s) {
-    return request_started + lease_s * (1 - kDrift) - kMargin_s;
-}
-
 // How long a leader unsure of its lease goes on answering reports, so that work outlives an outage
 // of the state service. A cancellation told by the next leader must still end in time: grace +
 // lease_s + margins < cancel_s.
@@ -73,26 +56,29 @@
     return m.saw_fencing_token ? end : std::max(end, earlier_term_expiry(s, won));
 }
 
-// How long a controller waits before it campaigns, some randomness aside. When all are restarted
-// one after the other, one that has just been is the last to be restarted again: it goes first. Led
-// by one whose turn was still to come, a roll of three controllers took two elections where one
-// would do.
+// How long a controller that has run for `uptime_s` waits before it campaigns, seconds, some
+// randomness aside. In a rolling restart the one restarted last is the last to be restarted again:
+// it goes first. Led by one whose turn is still to come, a roll of three controllers takes two
+// elections where one would do.
 inline double campaign_delay(double uptime_s) { return 0.1 * (1 - std::exp(-uptime_s / 60)); }
 inline constexpr double kCampaignSpread_s = 0.03;
 
 class Election {
   public:
     struct Events {
+        // This controller leads from now on, for as long as the term has not `ended`.
         std::function<void(std::shared_ptr<LeadershipTerm>)> won;
+        // The term has ended; nothing may be done in its name any more.
         std::function<void()> lost;
         // How long this controller lets others go first in a campaign, seconds; negative: it waits
-        // for nobody.
+        // for nobody, as it is the successor of a transfer.
         std::function<boost::asio::awaitable<double>()> campaign_wait;
     };
     Election(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
-             KvClient& state, Events events);
+             KvClient& kv, Events events);
 
-    // Ends this controller's tenure, which has settled what it could, in favour of another.
+    // Ends this controller's term in favour of another; the leader has finished its open work.
+    // Without a term it does nothing.
     void step_down(TransferRecord to);
     // Who leads as far as this node knows; empty: nobody.
     const std::string& leader() const { return leader_; }
@@ -101,16 +87,28 @@
     uint64_t as_of() const { return std::max(revision_, fencing_token_); }
 
   private:
-    boost::asio::awaitable<void> run();
-    boost::asio::awaitable<bool> observe();
+    boost::asio::awaitable<void> election_loop();
+    // One round of the loop. Returns the pause before the next, seconds.
+    boost::asio::awaitable<double> run_round();
+    // Leads until the term has ended.
+    boost::asio::awaitable<void> lead();
+    // Waits for a change of the leader key. False: the state service did not answer.
+    boost::asio::awaitable<bool> watch_leader();
+    // Reads who leads. False: not known now.
+    boost::asio::awaitable<bool> observe_leader();
+    // Starts the term of a campaign that was won although it got no answer. False: not known now
+    // whether its lease is alive.
+    boost::asio::awaitable<bool> resume_unanswered_campaign(uint64_t fencing_token);
+    // Ends an earlier term of this controller that the leader key still shows. False: not
+    // confirmed.
     boost::asio::awaitable<bool> drop_own_leadership();
     boost::asio::awaitable<void> campaign();
-    boost::asio::awaitable<void> hold();
-    boost::asio::awaitable<void> renew(std::shared_ptr<LeadershipTerm> term, OneShot<bool> renewed);
+    // The lease for a campaign; nothing: there is none now.
+    boost::asio::awaitable<std::optional<uint64_t>> campaign_lease();
     boost::asio::awaitable<void> release_leadership(uint64_t fencing_token, TransferRecord to);
-    void learn(const std::string& leader, uint64_t fencing_token);
+    void start_term(uint64_t fencing_token, uint64_t lease, double lease_confirmed_from);
+    void set_leader(const std::string& leader, uint64_t fencing_token);
 
-    boost::asio::io_context& io_;
     const Settings& settings_;
     double lease_s_;
     double started_;  // this controller
@@ -119,9 +117,9 @@
     std::string leader_;
     uint64_t fencing_token_ = 0;
     uint64_t revision_ = 0;
-    uint64_t unsure_lease_ = 0;  // of a campaign whose outcome is unknown
+    uint64_t unanswered_lease_ = 0;  // of a campaign whose outcome is unknown; 0: none
     std::shared_ptr<LeadershipTerm> term_;
-    boost::asio::steady_timer wake_;  // of the loop that renews
+    LeaseRenewal renewal_;
 };
 
 }  // namespace weirmill
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -13,217 +13,237 @@
 
 namespace {
 
-constexpr double kTicks = 2;  // in the time between pings
+constexpr double kTicksPerPing = 2;
 constexpr double kRead_s = 0.8;
-constexpr double kHint_s = 0.15;  // a campaign does not wait longer for what the last hand-over was
-constexpr double kRecordPings = 4;   // lease of a record of links, in times between pings
-constexpr double kMinLease_s = 0.1;  // protocol, "POST /leases"
-// A record is written anew where a count moved by this share.
-constexpr uint32_t kMovedShare = 10;
+// A campaign does not wait longer to read what the last transfer was: it is a hint.
+constexpr double kHint_s = 0.15;
+constexpr double kRecordLeasePings = 4;    // lease of a link record, in intervals between pings
+constexpr double kMinRecordLease_s = 0.1;  // protocol, "POST /leases"
+constexpr int kMaxLinkRecords = 100;
+// A link record is written anew where a count changed by more than a tenth.
+constexpr uint32_t kChangedShare = 10;
 
-bool moved(uint32_t a, uint32_t b) {
-    return a > b ? (a - b) * kMovedShare > a : (b - a) * kMovedShare > b;
+bool differs(uint32_t a, uint32_t b) {
+    return a > b ? (a - b) * kChangedShare > a : (b - a) * kChangedShare > b;
 }
 
-bool moved(const LinkStatus& a, const LinkStatus& b) {
-    return a.state != b.state || a.hears != b.hears || moved(a.direct, b.direct) ||
-           moved(a.reach, b.reach);
+bool differs(const LinkStatus& a, const LinkStatus& b) {
+    return a.reaches_kv != b.reaches_kv || a.reachable_peers != b.reachable_peers ||
+           differs(a.direct_workers, b.direct_workers) ||
+           differs(a.reachable_workers, b.reachable_workers);
 }
 
 }  // namespace
 
 LinkStatus leader_links(const ClusterState& cluster, const LinkTimeouts& times, double lease_s,
                         double now) {
-    LinkStatus r;
+    LinkStatus links;
     for (auto& m : cluster.machines) {
         if (!m || m->last_heartbeat <= 0) continue;
-        r.direct += m->direct_at > 0 && now - m->direct_at < times.heard_s;
-        r.reach += now - m->last_heartbeat < times.heard_s;
-        r.known += now - m->last_heartbeat < lease_s;
+        bool direct = m->direct_at > 0 && now - m->direct_at < times.direct_heartbeat_s;
+        bool reached = now - m->last_heartbeat < times.direct_heartbeat_s;
+        bool known = now - m->last_heartbeat < lease_s;
+        links.direct_workers += direct;
+        links.reachable_workers += reached;
+        links.known_workers += known;
     }
-    return r;
+    return links;
 }
 
 Membership::Membership(asio::io_context& io, const Settings& settings, const Properties& properties,
-                       KvClient& state, Metrics& metrics, Hooks hooks)
+                       KvClient& kv, Metrics& metrics, Hooks hooks)
     : io_(io),
       settings_(settings),
       properties_(properties),
       times_(LinkTimeouts::of(settings)),
-      kv_(state),
+      kv_(kv),
       metrics_(metrics),
       hooks_(std::move(hooks)) {
-    if (enabled()) asio::co_spawn(io_, run(), asio::detached);
+    if (enabled()) asio::co_spawn(io_, membership_loop(), asio::detached);
 }
 
-std::vector<std::string> Membership::hears(double now) const {
+std::vector<std::string> Membership::reachable_peers(double now) const {
     std::vector<std::string> out;
-    for (auto& [name, p] : peers_)
-        if (fresh(p.heard_at, now)) out.push_back(name);
+    for (auto& [name, peer] : peers_)
+        if (is_fresh(peer.contact_at, now)) out.push_back(name);
     return out;
 }
 
-LinkStatus Membership::own(double now) const {
-    LinkStatus r = hooks_.workers();
-    r.adoption_recorded = enabled();
-    r.state = reaches_kv(now);
-    r.hears = hears(now);
-    if (!hooks_.leads_since()) r.reach = reach_through(r.direct, views(now));
-    return r;
+LinkStatus Membership::own_links(double now) const {
+    LinkStatus links = hooks_.workers();
+    links.reports_links = enabled();
+    links.reaches_kv = reaches_kv(now);
+    links.reachable_peers = reachable_peers(now);
+    if (!hooks_.leads_since())
+        links.reachable_workers = workers_through_peers(links.direct_workers, peer_views(now));
+    return links;
 }
 
-std::optional<LinkStatus> Membership::view(const std::string& peer, double now) const {
+std::optional<LinkStatus> Membership::peer_links(const std::string& peer, double now) const {
     auto it = peers_.find(peer);
     if (it == peers_.end()) return std::nullopt;
-    auto& p = it->second;
-    if (fresh(p.heard_at, now)) return p.links;
-    if (fresh(p.recorded_at, now)) return p.recorded;
+    if (is_fresh(it->second.contact_at, now)) return it->second.reported;
+    if (is_fresh(it->second.recorded_at, now)) return it->second.recorded;
     return std::nullopt;
 }
 
-std::vector<PeerView> Membership::views(double now) const {
+std::vector<PeerView> Membership::peer_views(double now) const {
     std::vector<PeerView> out;
-    for (auto& [name, p] : peers_)
-        if (auto links = view(name, now)) out.push_back({name, *links, fresh(p.heard_at, now)});
+    for (auto& [name, peer] : peers_)
+        if (auto links = peer_links(name, now))
+            out.push_back({name, *links, is_fresh(peer.contact_at, now)});
     return out;
 }
 
-Membership::Peer* Membership::peer(const std::string& name) {
+Membership::Peer* Membership::find_peer(const std::string& name) {
     bool named = std::any_of(settings_.peers.begin(), settings_.peers.end(),
                              [&](auto& p) { return p.name == name; });
     return named ? &peers_[name] : nullptr;
 }
 
-void Membership::heard(const std::string& name, const LinkStatus& links) {
-    auto* known = peer(name);
-    if (!known) return;
-    auto& p = *known;
+void Membership::record_contact(const std::string& name, const LinkStatus& links) {
+    auto* peer = find_peer(name);
+    if (!peer) return;
     double now = steady_now();
-    if (enabled() && !fresh(p.heard_at, now)) spdlog::info("links: {} is heard", name);
-    p.heard_at = now;
-    p.links = links;
+    if (enabled() && !is_fresh(peer->contact_at, now)) spdlog::info("links: {} is heard", name);
+    peer->contact_at = now;
+    peer->reported = links;
 }
 
-void Membership::silent(const std::string& name) {
-    if (auto* p = peer(name)) ++p->lost;
+void Membership::record_timeout(const std::string& name) {
+    if (auto* peer = find_peer(name)) ++peer->timeouts;
 }
 
-asio::awaitable<void> Membership::read_transfers(double timeout_s) {
+asio::awaitable<void> Membership::read_transfer_record(double timeout_s) {
     auto item = co_await kv_.get(kTransferKey, timeout_s);
     try {
-        if (item) last_ = parse_transfer_record(item.value.value);
-        if (item.outcome == KvOutcome::Missing) last_ = {};
+        if (item) last_transfer_ = parse_transfer_record(item.value.value);
+        if (item.outcome == KvOutcome::Missing) last_transfer_ = {};
     } catch (const BadMessage& e) {
         spdlog::error("links: malformed record {}: {}", kTransferKey, e.what());
     }
 }
 
-asio::awaitable<void> Membership::read_records() {
-    auto page = co_await kv_.list(kLinkKeys, "", 100, kRead_s);
+asio::awaitable<void> Membership::read_link_records() {
+    auto page = co_await kv_.list(kLinkKeys, "", kMaxLinkRecords, kRead_s);
     if (!page) co_return;
     double now = steady_now();
     for (auto& item : page.value.items) {
-        auto* p = peer(item.key.substr(kLinkKeys.size()));
-        if (!p) continue;
+        auto* peer = find_peer(item.key.substr(kLinkKeys.size()));
+        if (!peer) continue;
         try {
-            p->recorded = parse_link_record(item.value);
-            p->recorded_at = now;
+            peer->recorded = parse_link_record(item.value);
+            peer->recorded_at = now;
         } catch (const BadMessage& e) {
             spdlog::error("links: malformed record {}: {}", item.key, e.what());
         }
     }
 }
 
-asio::awaitable<void> Membership::publish(LinkStatus links) {
-    if (lease_ != 0) {
-        auto renewed = co_await kv_.renew(lease_, kRead_s);
-        if (renewed.outcome == KvOutcome::Missing) lease_ = 0;
-        if (renewed && !moved(links, published_)) co_return;
+asio::awaitable<bool> Membership::renew_record_lease() {
+    auto renewed = co_await kv_.renew(record_lease_, kRead_s);
+    if (renewed.outcome == KvOutcome::Missing) record_lease_ = 0;
+    co_return static_cast<bool>(renewed);
+}
+
+asio::awaitable<void> Membership::publish_links(LinkStatus links) {
+    if (record_lease_ != 0) {
+        bool renewed = co_await renew_record_lease();
+        if (renewed && !differs(links, published_)) co_return;
     }
-    if (lease_ == 0) {
-        auto lease =
-            co_await kv_.grant(std::max(kMinLease_s, kRecordPings * settings_.ping_s), kRead_s);
-        if (!lease) co_return;
-        lease_ = lease.value;
-        // The record ended with its lease. Taken for standing, one whose writing then failed stayed
-        // away.
+    if (record_lease_ == 0) {
+        double lease_s = std::max(kMinRecordLease_s, kRecordLeasePings * settings_.ping_s);
+        auto granted = co_await kv_.grant(lease_s, kRead_s);
+        if (!granted) co_return;
+        record_lease_ = granted.value;
+        // The record ended with its lease. If it were taken for still there, one whose next write
+        // fails would stay away.
         published_ = {};
     }
-    auto txn = link_record(settings_.name, links, lease_);
+    auto txn = link_record(settings_.name, links, record_lease_);
     auto result = co_await kv_.txn(std::move(txn), kRead_s);
     if (result) published_ = std::move(links);
-    if (result.outcome == KvOutcome::Invalid) lease_ = 0;  // it ended before
+    if (result.outcome == KvOutcome::Invalid) record_lease_ = 0;  // it ran out before
 }
 
-asio::awaitable<void> Membership::run() {
-    double next = 0;
+asio::awaitable<void> Membership::membership_loop() {
+    double next_publish = 0;
     for (;;) {
-        co_await sleep_s(settings_.ping_s / kTicks);
+        co_await sleep_s(settings_.ping_s / kTicksPerPing);
         double now = steady_now();
-        if (now - kv_.answered_at() > settings_.ping_s) co_await read_transfers(kRead_s);
+        // Also a probe: whether the state service answers this controller.
+        if (now - kv_.answered_at() > settings_.ping_s) co_await read_transfer_record(kRead_s);
         now = steady_now();
-        bool apart = hears(now).size() < settings_.peers.size();
-        if (apart && now >= next && reaches_kv(now)) {
-            next = now + settings_.ping_s;
-            co_await read_records();
-            auto links = own(steady_now());
-            // One that no worker needs has nothing to say that its silence does not.
-            if (!hooks_.leads_since() && links.reach > 0) co_await publish(std::move(links));
+        bool peer_missing = reachable_peers(now).size() < settings_.peers.size();
+        if (peer_missing && now >= next_publish && reaches_kv(now)) {
+            next_publish = now + settings_.ping_s;
+            co_await read_link_records();
+            auto links = own_links(steady_now());
+            // One that no worker needs has nothing to report that its silence does not say.
+            if (!hooks_.leads_since() && links.reachable_workers > 0)
+                co_await publish_links(std::move(links));
         }
-        co_await consider(steady_now());
+        co_await consider_transfer(steady_now());
     }
 }
 
-asio::awaitable<void> Membership::consider(double now) {
+bool Membership::candidate_is_stable(double now) {
     auto since = hooks_.leads_since();
-    if (!since || now - *since < times_.cycle_s) {
-        better_.clear();
-        co_return;
-    }
-    auto mine = own(now);
-    auto others = views(now);
-    auto better = preferred_leader(mine, others);
-    if (!better) {
-        better_.clear();
-        co_return;
+    std::optional<std::string> preferred;
+    // Before each worker has had time to come, the leader's own counts are too low.
+    if (since && now - *since >= times_.controller_cycle_s)
+        preferred = preferred_leader(own_links(now), peer_views(now));
+    if (!preferred) {
+        candidate_.clear();
+        return false;
     }
-    if (better_ != *better) {
-        better_ = *better;
-        better_since_ = now;
+    if (candidate_ != *preferred) {
+        candidate_ = *preferred;
+        candidate_since_ = now;
     }
-    if (now - better_since_ < times_.firm_s) co_return;
-    co_await read_transfers(kRead_s);
+    return now - candidate_since_ >= times_.preference_s;
+}
+
+asio::awaitable<void> Membership::consider_transfer(double now) {
+    auto since = hooks_.leads_since();
+    if (!candidate_is_stable(now)) co_return;
+    auto own = own_links(now);
+    co_await read_transfer_record(kRead_s);
     if (!reaches_kv(steady_now())) co_return;
     double wall = wall_now();
-    if (!may_transfer(last_, times_, settings_.clock_off_ms / 1000, wall)) co_return;
-    if (hooks_.leads_since() != since || better_.empty()) co_return;
-    auto theirs = *view(better_, now);
+    if (!may_transfer(last_transfer_, times_.transfer_pause_s, settings_.clock_off_ms / 1000, wall))
+        co_return;
+    if (hooks_.leads_since() != since || candidate_.empty()) co_return;
+    auto theirs = *peer_links(candidate_, now);
     spdlog::info(
         "links: hands over to {}: workers direct={} reach={} of {}, there direct={} reach={}",
-        better_, mine.direct, mine.reach, mine.known, theirs.direct, theirs.reach);
+        candidate_, own.direct_workers, own.reachable_workers, own.known_workers,
+        theirs.direct_workers, theirs.reachable_workers);
     metrics_.count("hand_overs_total");
-    hooks_.transfer_leadership(next_transfer(last_, times_, settings_.name, better_, wall));
-    better_.clear();
+    hooks_.transfer_leadership(
+        next_transfer(last_transfer_, times_.transfer_pause_s, settings_.name, candidate_, wall));
+    candidate_.clear();
 }
 
 asio::awaitable<double> Membership::campaign_wait() {
     if (!enabled()) co_return 0;
-    co_await read_transfers(kHint_s);
+    co_await read_transfer_record(kHint_s);
     double now = steady_now();
-    co_return weirmill::campaign_wait(settings_.name, own(now), views(now), last_,
-                                      settings_.clock_off_ms / 1000, wall_now());
+    co_return weirmill::campaign_wait(settings_.name, own_links(now), peer_views(now),
+                                      last_transfer_, settings_.clock_off_ms / 1000, wall_now());
 }
 
 void Membership::gauges(std::map<std::string, double>& out) const {
     double now = steady_now();
-    auto mine = own(now);
-    out["link_state"] = mine.state;
-    out["workers_direct"] = mine.direct;
-    out["workers_reached"] = mine.reach;
-    out["workers_known"] = mine.known;
-    for (auto& [name, p] : peers_) {
-        out[fmt::format("peer_heard{{peer=\"{}\"}}", name)] = fresh(p.heard_at, now);
-        out[fmt::format("peer_answers_lost{{peer=\"{}\"}}", name)] = static_cast<double>(p.lost);
+    auto own = own_links(now);
+    out["link_state"] = own.reaches_kv;
+    out["workers_direct"] = own.direct_workers;
+    out["workers_reached"] = own.reachable_workers;
+    out["workers_known"] = own.known_workers;
+    for (auto& [name, peer] : peers_) {
+        out[fmt::format("peer_heard{{peer=\"{}\"}}", name)] = is_fresh(peer.contact_at, now);
+        out[fmt::format("peer_answers_lost{{peer=\"{}\"}}", name)] =
+            static_cast<double>(peer.timeouts);
     }
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,12 +1,14 @@
-// What this controller knows of links. An actor that owns the peers' views and the time of their
-// last word, says this controller's own to them, over pings or, where one is out of reach, under a
-// leased key, and asks a leader to hand over where another would serve the workers better.
+// Membership: what this controller knows of the links between controllers, state service and
+// workers. An actor that owns the peers' views and when they last answered. It tells the peers this
+// controller's own links, with pings or, where one is out of reach, by a record under a lease, and
+// has a leader transfer its leadership where another would serve the workers better.
 // docs/design-membership.md has the argument why none of it can break a rule; docs/operations.md,
-// "Links", what operators see.
+// "Links", what operators see. All of it runs on the io_context's one thread.
 #pragma once
 #include <functional>
 #include <map>
 
+#include "leadership/leadership_transfer.h"
 #include "membership/link_policy.h"
 #include "metrics/metrics.h"
 #include "state/cluster_state.h"
@@ -14,49 +16,58 @@
 
 namespace weirmill {
 
-// A leader's own links, from what its workers sent and by which way it came.
-LinkStatus leader_links(const ClusterState& cluster, const LinkTimeouts& times, double lease_s,
-                        double now);
+// A leader's worker counts, from when its workers last reported and by which way.
+[[nodiscard]] LinkStatus leader_links(const ClusterState& cluster, const LinkTimeouts& times,
+                                      double lease_s, double now);
 
 class Membership {
   public:
     struct Hooks {
-        // Workers as this controller sees them: `direct`, `known` and, of a leader, `reach`.
+        // The worker counts of this controller: direct, known and, at a leader, reachable ones.
         std::function<LinkStatus()> workers;
-        // Since when this controller leads and is sure of it; nothing: it does not.
+        // Since when this controller leads with a valid lease; nothing: it does not.
         std::function<std::optional<double>()> leads_since;
         std::function<void(TransferRecord)> transfer_leadership;
     };
     Membership(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
-               KvClient& state, Metrics& metrics, Hooks hooks);
+               KvClient& kv, Metrics& metrics, Hooks hooks);
 
     bool enabled() const { return properties_.membership_enabled; }
     const LinkTimeouts& times() const { return times_; }
-    // This controller's word of its links.
-    LinkStatus own(double now) const;
-    std::vector<PeerView> views(double now) const;
-    std::optional<LinkStatus> view(const std::string& peer, double now) const;
-    void heard(const std::string& peer, const LinkStatus& links);
-    void silent(const std::string& peer);
-    bool reaches_kv(double now) const { return fresh(kv_.answered_at(), now); }
-    // How long this controller lets others go first in a campaign, seconds.
+    // What this controller reports of its links.
+    [[nodiscard]] LinkStatus own_links(double now) const;
+    // The peers of which something is known now.
+    [[nodiscard]] std::vector<PeerView> peer_views(double now) const;
+    [[nodiscard]] std::optional<LinkStatus> peer_links(const std::string& peer, double now) const;
+    // The peer answered, or called, and reported these links.
+    void record_contact(const std::string& peer, const LinkStatus& links);
+    // A call to the peer got no answer.
+    void record_timeout(const std::string& peer);
+    bool reaches_kv(double now) const { return is_fresh(kv_.answered_at(), now); }
+    // How long this controller lets others go first in a campaign, seconds; see campaign_wait of
+    // link_policy.h.
     boost::asio::awaitable<double> campaign_wait();
     void gauges(std::map<std::string, double>& out) const;
 
   private:
-    bool fresh(double at, double now) const { return now - at < times_.fresh_s; }
-    std::vector<std::string> hears(double now) const;  // peers, by their own word
     struct Peer {
-        LinkStatus links, recorded;  // by its own word, and as the state service has it
-        double heard_at = -1e9, recorded_at = -1e9;
-        uint64_t lost = 0;  // answers that did not come
+        LinkStatus reported;  // by the peer itself
+        LinkStatus recorded;  // as the state service has it
+        double contact_at = -1e9, recorded_at = -1e9;
+        uint64_t timeouts = 0;  // calls without an answer
     };
-    Peer* peer(const std::string& name);  // null: none of the settings' names
-    boost::asio::awaitable<void> run();
-    boost::asio::awaitable<void> read_transfers(double timeout_s);
-    boost::asio::awaitable<void> read_records();
-    boost::asio::awaitable<void> publish(LinkStatus links);
-    boost::asio::awaitable<void> consider(double now);
+    bool is_fresh(double at, double now) const { return now - at < times_.view_expiry_s; }
+    std::vector<std::string> reachable_peers(double now) const;
+    Peer* find_peer(const std::string& name);  // null: none of the settings' names
+    boost::asio::awaitable<void> membership_loop();
+    boost::asio::awaitable<void> read_transfer_record(double timeout_s);
+    boost::asio::awaitable<void> read_link_records();
+    boost::asio::awaitable<void> publish_links(LinkStatus links);
+    // False: not renewed now. A lease that has run out is forgotten.
+    boost::asio::awaitable<bool> renew_record_lease();
+    boost::asio::awaitable<void> consider_transfer(double now);
+    // Sets `candidate_` to the leader preferred now; whether it has been that for long enough.
+    bool candidate_is_stable(double now);
 
     boost::asio::io_context& io_;
     const Settings& settings_;
@@ -66,11 +77,11 @@
     Metrics& metrics_;
     Hooks hooks_;
     std::map<std::string, Peer> peers_;
-    TransferRecord last_;  // hand-over, as recorded
-    uint64_t lease_ = 0;   // of this controller's record; 0: none
-    LinkStatus published_;
-    std::string better_;  // who would lead better, and since when
-    double better_since_ = 0;
+    TransferRecord last_transfer_;  // as recorded
+    uint64_t record_lease_ = 0;     // of this controller's link record; 0: none
+    LinkStatus published_;          // the link record as last written
+    std::string candidate_;         // the preferred leader; empty: none
+    double candidate_since_ = 0;
 };
 
 }  // namespace weirmill
--- a/src/protocol/links.h
+++ b/src/protocol/links.h
@@ -1,4 +1,5 @@
-// What one controller says of its links, to its peers with each ping and under a key of its own.
+// What one controller reports of its links: to its peers with each ping, and under a key of its
+// own.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -7,13 +8,13 @@
 namespace weirmill {
 
 struct LinkStatus {
-    bool adoption_recorded = false;  // false: by a version that says nothing of links
-    bool state = false;              // the state service answered it lately
-    uint32_t direct =
-        0;  // workers that come to it; for a follower only those that could not do with the leader
-    uint32_t reach = 0;              // the same, or through a peer that it hears
-    uint32_t known = 0;              // a leader: workers that should report
-    std::vector<std::string> hears;  // peers that answered it lately
+    bool reports_links = false;  // false: the controller is of a version that reports no links
+    bool reaches_kv = false;     // the state service answered it lately
+    // Workers that come to it by themselves; at a follower only those that can't use the leader.
+    uint32_t direct_workers = 0;
+    uint32_t reachable_workers = 0;            // the same, or through a peer that answers it
+    uint32_t known_workers = 0;                // at a leader: workers that should report
+    std::vector<std::string> reachable_peers;  // that answered it lately
     bool operator==(const LinkStatus&) const = default;
 };
 
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -35,12 +35,13 @@
 }
 
 void write_links(peer::Links::Builder out, const LinkStatus& links) {
-    out.setState(links.state);
-    out.setDirect(links.direct);
-    out.setReach(links.reach);
-    out.setKnown(links.known);
-    auto hears = out.initHears(static_cast<unsigned>(links.hears.size()));
-    for (unsigned i = 0; i < links.hears.size(); ++i) hears.set(i, links.hears[i]);
+    out.setState(links.reaches_kv);
+    out.setDirect(links.direct_workers);
+    out.setReach(links.reachable_workers);
+    out.setKnown(links.known_workers);
+    auto hears = out.initHears(static_cast<unsigned>(links.reachable_peers.size()));
+    for (unsigned i = 0; i < links.reachable_peers.size(); ++i)
+        hears.set(i, links.reachable_peers[i]);
 }
 
 // A version that knows nothing of links leaves them out.
@@ -49,12 +50,12 @@
     LinkStatus links;
     if (!in.hasLinks()) return links;
     auto l = in.getLinks();
-    links.adoption_recorded = true;
-    links.state = l.getState();
-    links.direct = l.getDirect();
-    links.reach = l.getReach();
-    links.known = l.getKnown();
-    for (auto name : l.getHears()) links.hears.emplace_back(name.cStr());
+    links.reports_links = true;
+    links.reaches_kv = l.getState();
+    links.direct_workers = l.getDirect();
+    links.reachable_workers = l.getReach();
+    links.known_workers = l.getKnown();
+    for (auto name : l.getHears()) links.reachable_peers.emplace_back(name.cStr());
     return links;
 }
 
@@ -174,7 +175,7 @@
                     r.setRetryAfterS(static_cast<uint16_t>(reply.retry_after_s));
                     r.setToken(reply.fencing_token);
                     r.setUndecided(reply.undecided);
-                    if (reply.links.adoption_recorded) write_links(r.initLinks(), reply.links);
+                    if (reply.links.reports_links) write_links(r.initLinks(), reply.links);
                     to->send(frame_text(message));
                 }(handler_, wire->shared_from_this(), frame.getSeq(), std::move(call)),
                 asio::detached);
@@ -259,7 +260,7 @@
     c.setBody(data_of(call.body));
     c.setVia(call.via);
     if (!call.sender.empty()) c.setSender(call.sender);
-    if (call.links.adoption_recorded) write_links(c.initLinks(), call.links);
+    if (call.links.reports_links) write_links(c.initLinks(), call.links);
     OneShot<PeerReply> answer(io_.get_executor());
     link->waiting.emplace(seq, answer);
     double sent_at = steady_now();
--- a/tests/membership_model_test.cpp
+++ b/tests/membership_model_test.cpp
@@ -3,7 +3,7 @@
 // late, over whatever relays. The yield's conditions are those of the real transaction. Each
 // condition is then taken away on its own, and the model must find what that one guards against.
 // Clocks stand for themselves: a controller that is sure of its lease holds one that has not run
-// out (election.h, lease_valid_until).
+// out (leadership_term.h, lease_valid_until).
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -13,7 +13,7 @@
 #include <set>
 #include <string>
 
-#include "membership/link_records.h"
+#include "leadership/leadership_transfer.h"
 #include "state/state_log.h"
 
 namespace weirmill {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -99,18 +99,19 @@
     auto times = LinkTimeouts::of(test::small_settings());
     TransferRecord last;
     double wall = 1e9;
-    EXPECT_TRUE(may_transfer(last, times, 0.1, wall));
-    double hold = times.hold_s;
+    EXPECT_TRUE(may_transfer(last, times.transfer_pause_s, 0.1, wall));
+    double hold = times.transfer_pause_s;
     for (uint32_t n = 1; n <= 8; ++n) {
-        last = next_transfer(last, times, "a", "b", wall);
+        last = next_transfer(last, times.transfer_pause_s, "a", "b", wall);
         EXPECT_EQ(last.count, n);
-        EXPECT_FALSE(may_transfer(last, times, 0.1, wall + hold));  // clocks differ
-        EXPECT_TRUE(may_transfer(last, times, 0.1, wall + hold + 0.3)) << n;
+        EXPECT_FALSE(
+            may_transfer(last, times.transfer_pause_s, 0.1, wall + hold));  // clocks differ
+        EXPECT_TRUE(may_transfer(last, times.transfer_pause_s, 0.1, wall + hold + 0.3)) << n;
         wall += hold + 0.3;
         if (n < 6) hold *= 2;
     }
     // Long after, the links have come to rest.
-    EXPECT_EQ(next_transfer(last, times, "a", "b", wall + 9 * hold).count, 1u);
+    EXPECT_EQ(next_transfer(last, times.transfer_pause_s, "a", "b", wall + 9 * hold).count, 1u);
 }
 
 TEST(Links, WhoWasYieldedToCampaignsFirstAndTheDeafLast) {
@@ -175,7 +176,7 @@
     for (auto& row : rows) {
         WorkerRoster roster(settings);
         for (auto& v : row.visits)
-            EXPECT_EQ(roster.relays("vm-1", v.seen, v.leader, 100 + v.at), v.relays)
+            EXPECT_EQ(roster.should_relay("vm-1", v.seen, v.leader, 100 + v.at), v.relays)
                 << row.what << " at " << v.at;
         auto& last = row.visits.back();
         EXPECT_EQ(roster.stranded(last.leader, 10, 100 + last.at), row.stranded) << row.what;
@@ -183,9 +184,9 @@
     }
     // Given up, it is still counted: that is what shows that the leader serves it not.
     WorkerRoster roster(settings);
-    EXPECT_TRUE(roster.relays("vm-1", 7, 7, 100));
+    EXPECT_TRUE(roster.should_relay("vm-1", 7, 7, 100));
     EXPECT_EQ(roster.relayed(100), 1u);
-    roster.gave_up("vm-1");
+    roster.end_relay("vm-1");
     EXPECT_EQ(roster.relayed(100), 0u);
     EXPECT_EQ(roster.stranded(7, 10, 101), 1u);
 }
@@ -196,15 +197,16 @@
     for (int i = 0; i < 6; ++i) w.machine("vm-" + std::to_string(i));
     auto at = [&](int i) -> Machine& { return *w.cluster.machines[i]; };
     for (int i = 0; i < 6; ++i) at(i).last_heartbeat = at(i).direct_at = w.now;
-    at(1).direct_at = w.now - times.heard_s - 1;                         // relayed since
-    at(2).direct_at = 0;                                                 // relayed always
-    at(3).direct_at = at(3).last_heartbeat = w.now - times.heard_s - 1;  // silent, its lease stands
+    at(1).direct_at = w.now - times.direct_heartbeat_s - 1;  // relayed since
+    at(2).direct_at = 0;                                     // relayed always
+    at(3).direct_at = at(3).last_heartbeat =
+        w.now - times.direct_heartbeat_s - 1;  // silent, its lease stands
     at(4).direct_at = at(4).last_heartbeat = w.now - w.settings.lease_s - 1;  // over
     at(5).direct_at = at(5).last_heartbeat = 0;                               // never heard
     auto r = leader_links(w.cluster, times, w.settings.lease_s, w.now);
-    EXPECT_EQ(r.direct, 1u);
-    EXPECT_EQ(r.reach, 3u);
-    EXPECT_EQ(r.known, 4u);
+    EXPECT_EQ(r.direct_workers, 1u);
+    EXPECT_EQ(r.reachable_workers, 3u);
+    EXPECT_EQ(r.known_workers, 4u);
 }
 
 TEST(Links, RecordsAreReadAsWrittenAndBrokenOnesRefused) {
@@ -219,10 +221,10 @@
     EXPECT_EQ(parse_transfer_record(read::parse(step_down.changes[1].value)), h);
     for (const char* text :
          {"[]", R"({"direct":-1})", R"({"direct":"x"})", R"({"hears":{}})", R"({"hears":[1]})"})
-        EXPECT_THROW(parse_link_record(read::parse(text)), BadMessage) << text;
+        EXPECT_THROW((void)parse_link_record(read::parse(text)), BadMessage) << text;
     for (const char* text :
          {"1", R"({"from":"a"})", R"({"from":"a","to":"","at":1})", R"({"from":"a","to":"b"})"})
-        EXPECT_THROW(parse_transfer_record(read::parse(text)), BadMessage) << text;
+        EXPECT_THROW((void)parse_transfer_record(read::parse(text)), BadMessage) << text;
 }
 
 // ---- every combination of links ----
@@ -268,7 +270,7 @@
                 if (p == c || !peer[c][p]) continue;
                 LinkStatus r = links(state[p], 0, 0);
                 for (int q = 0; q < kNodes; ++q)
-                    if (q != p && peer[p][q]) r.hears.push_back(kNames[q]);
+                    if (q != p && peer[p][q]) r.reachable_peers.push_back(kNames[q]);
                 views.push_back({kNames[p], r, true});
             }
             if (relay_to_leader(kNames[leader], views)) best = 3;
@@ -291,10 +293,11 @@
         std::vector<PeerView> heard;
         for (int k = 0; k < kNodes; ++k) {
             if (k == i || !cut.peer[i][k]) continue;
-            r.hears.push_back(kNames[k]);
+            r.reachable_peers.push_back(kNames[k]);
             heard.push_back({kNames[k], links(cut.state[k], direct(k), 0), true});
         }
-        r.reach = leader == i ? (cut.hops(i) ? kFleet : 0) : reach_through(r.direct, heard);
+        r.reachable_workers = leader == i ? (cut.hops(i) ? kFleet : 0)
+                                          : workers_through_peers(r.direct_workers, heard);
         return r;
     }
     std::vector<PeerView> views(int i) const {
@@ -304,8 +307,9 @@
             auto said = own(k);
             if (cut.peer[i][k])
                 out.push_back({kNames[k], said, true});
-            else if (cut.state[i] && cut.state[k] && k != leader && said.reach > 0)
-                out.push_back({kNames[k], said, false});  // as Membership::run leaves it there
+            else if (cut.state[i] && cut.state[k] && k != leader && said.reachable_workers > 0)
+                out.push_back(
+                    {kNames[k], said, false});  // as Membership::membership_loop leaves it there
         }
         return out;
     }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -165,9 +165,9 @@
 TEST(Upgrade, EitherVersionReadsTheOthersFramesBetweenControllers) {
     const auto call = from_hex(test::kOldCall), reply = from_hex(test::kOldReply);
     LinkStatus links;
-    links.adoption_recorded = links.state = true;
-    links.direct = 7;
-    links.hears = {"node-1", "node-2"};
+    links.reports_links = links.reaches_kv = true;
+    links.direct_workers = 7;
+    links.reachable_peers = {"node-1", "node-2"};
     asio::io_context io;
     PeerCall heard;
     PeerServer server(io, {"127.0.0.1", 0}, [&](PeerCall c) -> asio::awaitable<PeerReply> {
@@ -209,7 +209,7 @@
     EXPECT_EQ(heard.op, PeerOp::Status);
     EXPECT_EQ(heard.subject, "req-000412");
     EXPECT_EQ(heard.body, "x");
-    EXPECT_FALSE(heard.links.adoption_recorded);
+    EXPECT_FALSE(heard.links.reports_links);
     // A call of ours, as an old callee reads it, and that one's answer.
     tcp::acceptor acceptor(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     PeerClient client(io, {"127.0.0.1", acceptor.local_endpoint().port()});
@@ -237,7 +237,7 @@
     EXPECT_EQ(got->status, 200);
     EXPECT_EQ(got->fencing_token, 41u);
     EXPECT_EQ(got->retry_after_s, 3);
-    EXPECT_FALSE(got->links.adoption_recorded);
+    EXPECT_FALSE(got->links.reports_links);
     // What is said of links arrives as it was said.
     PeerClient placed_this_term(io, {"127.0.0.1", server.port()});
     got.reset();
