--- a/src/controller/request_router.cpp
+++ b/src/controller/request_router.cpp
@@ -68,7 +68,8 @@
         if (leader_ && leader_->ready())
             return leader_links(leader_->cluster(), membership_->times(), settings_.lease_s, now);
         LinkStatus r;
-        r.direct = roster_.stranded(leader_fencing_token(), membership_->times().cycle_s, now);
+        r.direct_workers =
+            roster_.stranded(leader_fencing_token(), membership_->times().controller_cycle_s, now);
         return r;
     };
     hooks.leads_since = [this]() -> std::optional<double> {
@@ -103,13 +104,13 @@
     PeerReply reply{503, leader_name(), 1, leader_fencing_token()};
     if (leader_ && leader_->lease_valid(steady_now()))
         reply = {200, settings_.name, 0, leader_->fencing_token()};
-    if (membership_->enabled()) reply.links = membership_->own(steady_now());
+    if (membership_->enabled()) reply.links = membership_->own_links(steady_now());
     return reply;
 }
 
 asio::awaitable<PeerReply> RequestRouter::from_peer(PeerCall call) {
     if (call.op == PeerOp::Ping) {
-        if (!call.sender.empty()) membership_->heard(call.sender, call.links);
+        if (!call.sender.empty()) membership_->record_contact(call.sender, call.links);
         co_return who_leads();
     }
     if (call.op == PeerOp::Command) co_return co_await pass_command(std::move(call));
@@ -134,8 +135,8 @@
     if (!call.via) {
         auto from = call.sender;
         call.via = true;
-        for (auto& p : membership_->views(steady_now())) {
-            if (!p.heard || p.name == from) continue;
+        for (auto& p : membership_->peer_views(steady_now())) {
+            if (!p.reachable || p.name == from) continue;
             PeerCall again = call;
             auto reply = co_await by_peer(p.name, std::move(again));
             if (reply.status == 200) co_return reply;
@@ -146,7 +147,7 @@
 
 std::optional<std::string> RequestRouter::relay_for(const PeerCall& call) const {
     if (!membership_->enabled() || call.via) return std::nullopt;
-    auto views = membership_->views(steady_now());
+    auto views = membership_->peer_views(steady_now());
     if (auto way = relay_to_leader(leader_name(), views)) return way;
     return membership_->reaches_kv(steady_now()) ? std::nullopt : relay_to_kv(views);
 }
@@ -157,16 +158,16 @@
     call.sender = settings_.name;
     auto reply = co_await link->call(std::move(call), kForward_s);
     if (!reply) {
-        membership_->silent(name);
+        membership_->record_timeout(name);
         co_return PeerReply{503, R"({"error":"no way to the leader"})", 1, 0, true};
     }
     co_return *reply;
 }
 
 bool RequestRouter::leader_uplink_lost() const {
-    auto links = membership_->view(leader_name(), steady_now());
-    return links && links->adoption_recorded && links->known > 0 &&
-           2 * links->direct < links->known;
+    auto links = membership_->peer_links(leader_name(), steady_now());
+    return links && links->reports_links && links->known_workers > 0 &&
+           2 * links->direct_workers < links->known_workers;
 }
 
 asio::awaitable<PeerReply> RequestRouter::to_leader(PeerCall call) {
@@ -195,7 +196,7 @@
     }
     heard_leader_ = steady_now();
     silent_fencing_token_ = 0;
-    if (submits && reply->status < 300) forward_timeout_.took(heard_leader_ - asked);
+    if (submits && reply->status < 300) forward_timeout_.record_answer(heard_leader_ - asked);
     co_return *reply;
 }
 
@@ -229,7 +230,7 @@
 }
 
 asio::awaitable<PeerReply> RequestRouter::serve(PeerCall call) {
-    if (!standby_->open()) co_return co_await to_leader(std::move(call));
+    if (!standby_->available()) co_return co_await to_leader(std::move(call));
     PeerCall again = call;
     if (auto leader = leader_) {
         auto reply = co_await leader->ask(std::move(call));
@@ -254,14 +255,14 @@
 asio::awaitable<bool> RequestRouter::ask_peer(std::string name) {
     PeerCall ping;
     ping.sender = settings_.name;
-    if (membership_->enabled()) ping.links = membership_->own(steady_now());
+    if (membership_->enabled()) ping.links = membership_->own_links(steady_now());
     auto reply = co_await link_to(name)->call(std::move(ping), 1.0);
     if (!reply) {
         if (name == leader_name()) silent_fencing_token_ = leader_fencing_token();
-        membership_->silent(name);
+        membership_->record_timeout(name);
         co_return false;
     }
-    membership_->heard(name, reply->links);
+    membership_->record_contact(name, reply->links);
     if (reply->fencing_token > std::max(told_fencing_token_, election_->as_of()) &&
         !reply->body.empty()) {
         spdlog::info("node: {} says that {} leads with token={}", name, reply->body,
@@ -308,10 +309,10 @@
     // nobody: it used to keep its users for as long as that lasted.
     if (membership_->enabled() && leader_ && !leader_->lease_valid(steady_now())) {
         double now = steady_now();
-        bool alone = membership_->views(now).empty() && !settings_.peers.empty();
+        bool alone = membership_->peer_views(now).empty() && !settings_.peers.empty();
         if (alone && now - kv_.answered_at() > kDeaf_s) return false;
     }
-    if (leader_ || standby_->open()) return true;
+    if (leader_ || standby_->available()) return true;
     return steady_now() - heard_leader_ < kDeaf_s;
 }
 
@@ -393,7 +394,8 @@
         co_return HttpReply{400, "{}"};
     }
     double now = steady_now();
-    bool relay = roster_.relays(head.machine, head.fencing_token, leader_fencing_token(), now);
+    bool relay =
+        roster_.should_relay(head.machine, head.fencing_token, leader_fencing_token(), now);
     if (!leader_link()) co_return HttpReply{421, redirect_answer("")};
     relay = relay || leader_uplink_lost();
     if (relay) {
@@ -403,7 +405,7 @@
         // out here.
         if (reply.status == 200 && reply.fencing_token >= head.fencing_token)
             co_return HttpReply{200, std::move(reply.body)};
-        roster_.gave_up(head.machine);
+        roster_.end_relay(head.machine);
         co_return HttpReply{421, redirect_answer("")};
     }
     co_return HttpReply{421, redirect_answer(leader_name())};
--- a/src/controller/request_router.h
+++ b/src/controller/request_router.h
@@ -8,6 +8,7 @@
 #include "leadership/election.h"
 #include "membership/membership.h"
 #include "membership/worker_roster.h"
+#include "standby/forward_timeout.h"
 #include "standby/standby_service.h"
 #include "transport/http_server.h"
 #include "transport/peer_link.h"
--- a/src/standby/standby_decisions.cpp
+++ b/src/standby/standby_decisions.cpp
@@ -6,43 +6,58 @@
 
 namespace weirmill {
 
-JobStanding standing(const JobReads& seen) {
+namespace {
+
+JobStanding ended_standing(const FinalState& ended) {
+    JobStanding s;
+    s.place = JobPlace::Ended;
+    s.state = ended.state;
+    s.done = ended.done;
+    return s;
+}
+
+JobStanding live_standing(const StateLogView::Job& live, bool cancelled) {
+    JobStanding s;
+    s.place = JobPlace::Log;
+    s.done = live.done;
+    s.running = live.placed;
+    s.state = live.placed > 0 ? JobState::Running : JobState::Queued;
+    if (cancelled) s.state = JobState::Cancelled;
+    return s;
+}
+
+JobStanding pending_standing(const PendingRecord& pending) {
     JobStanding s;
-    if (seen.ended) {
-        s.at = JobStanding::At::Ended;
-        s.state = seen.ended->state;
-        s.done = seen.ended->done;
-    } else if (seen.live) {
-        s.at = JobStanding::At::Log;
-        s.done = seen.live->done;
-        s.running = seen.live->placed;
-        s.state = seen.live->placed > 0 ? JobState::Running : JobState::Queued;
-        if (seen.live_cancelled) s.state = JobState::Cancelled;
-    } else if (seen.standby && seen.standby->accepted()) {
-        s.at = JobStanding::At::StandbyService;
-        if (seen.standby->cancelled) s.state = JobState::Cancelled;
-    } else if (seen.standby) {
-        s.at = JobStanding::At::Unclear;
-    }
+    s.place = pending.accepted() ? JobPlace::Pending : JobPlace::Unclear;
+    if (pending.accepted() && pending.cancelled) s.state = JobState::Cancelled;
     return s;
 }
 
+}  // namespace
+
+JobStanding job_standing(const JobReads& reads) {
+    if (reads.ended) return ended_standing(*reads.ended);
+    if (reads.live) return live_standing(*reads.live, reads.live_cancelled);
+    if (reads.pending) return pending_standing(*reads.pending);
+    return {};
+}
+
 PeerReply standby_reply(const std::string& id, const JobStanding& s, PeerOp op) {
-    if (s.at == JobStanding::At::Unclear) return {503, R"({"error":"not now"})", 1, 0};
-    if (s.at == JobStanding::At::Nowhere) return {404, "{}"};
+    const PeerReply not_now{503, R"({"error":"not now"})", 1, 0};
+    if (s.place == JobPlace::Unclear) return not_now;
+    if (s.place == JobPlace::Nowhere) return {404, "{}"};
     if (op == PeerOp::Status) return {200, job_status(id, s.state, s.done, s.running)};
-    bool open = s.state == JobState::Queued || s.state == JobState::Running;
-    if (op == PeerOp::Cancel && open) return {503, R"({"error":"not now"})", 1, 0};
+    if (op == PeerOp::Cancel && s.open()) return not_now;
     return {200, job_answer(id, s.state)};
 }
 
-bool all_controllers_adopt(const Settings& settings, const KvPage& marks) {
-    auto marked = [&](const std::string& name) {
-        return std::any_of(marks.items.begin(), marks.items.end(),
+bool all_controllers_adopt(const Settings& settings, const KvPage& adopters) {
+    auto adopts = [&](const std::string& name) {
+        return std::any_of(adopters.items.begin(), adopters.items.end(),
                            [&](auto& item) { return item.key == adopter_key(name); });
     };
-    return marked(settings.name) && std::all_of(settings.peers.begin(), settings.peers.end(),
-                                                [&](auto& p) { return marked(p.name); });
+    return adopts(settings.name) && std::all_of(settings.peers.begin(), settings.peers.end(),
+                                                [&](auto& p) { return adopts(p.name); });
 }
 
 }  // namespace weirmill
--- a/src/standby/standby_decisions.h
+++ b/src/standby/standby_decisions.h
@@ -1,6 +1,6 @@
-// Decisions of a door: pure functions of what was read, in the order in which records move.
+// Decisions of the standby service: pure functions of what was read, in the order in which records
+// move (pending record, log, final state).
 #pragma once
-#include <cmath>
 #include <optional>
 #include <string>
 
@@ -11,57 +11,42 @@
 
 namespace weirmill {
 
-// What was read of a job: its door record first, then the log, then its final state. Records move
-// in this order, so a job that was accepted before the first read is found by one of them; what is
-// further along counts.
+// What was read of a job: its pending record first, then the log, then its final state. Records
+// move in this order, so a job that was accepted before the first read is found by one of them; the
+// one that is further along counts.
 struct JobReads {
-    std::optional<PendingRecord> standby;
-    const StateLogView::Job* live = nullptr;
+    std::optional<PendingRecord> pending;
+    const StateLogView::Job* live = nullptr;  // in the log
     bool live_cancelled = false;
     std::optional<FinalState> ended;  // not read where the log holds the job
 };
 
-struct JobStanding {
-    enum class At : uint8_t {
-        Nowhere,         // it was never accepted
-        Unclear,         // a door's request for a job that is nowhere else: another read must tell
-        StandbyService,  // accepted by a door, and not collected yet
-        Log,             // alive
-        Ended,
-    } at = At::Nowhere;
-    JobState state = JobState::Queued;
-    uint32_t done = 0, running = 0;
+// Where a job is recorded.
+enum class JobPlace : uint8_t {
+    Nowhere,  // it was never accepted
+    Unclear,  // a cancellation request for a job that is nowhere else: another read must tell
+    Pending,  // accepted by a standby controller, not adopted by a leader yet
+    Log,      // alive
+    Ended,
 };
 
-JobStanding standing(const JobReads& seen);
+struct JobStanding {
+    JobPlace place = JobPlace::Nowhere;
+    JobState state = JobState::Queued;
+    uint32_t done = 0, running = 0;  // tasks
 
-// What a user is told who asks `op` of the job; a cancellation that does not hold yet is not told
-// as one. 503: not now.
-PeerReply standby_reply(const std::string& id, const JobStanding& s, PeerOp op);
+    // It has not ended, and is not cancelled either.
+    bool open() const { return state == JobState::Queued || state == JobState::Running; }
+};
 
-// Doors open only where every controller collects what they take: each of them has left its mark.
-bool all_controllers_adopt(const Settings& settings, const KvPage& marks);
+[[nodiscard]] JobStanding job_standing(const JobReads& reads);
 
-// How long a door waits for the leader's answer before it acts itself: some deviations above the
-// usual time, as a retransmission timer has it. The bounds are in seconds.
-class ForwardTimeout {
-  public:
-    void took(double s) {
-        if (mean_ == 0) {
-            mean_ = s;
-            deviation_ = s / 2;
-            return;
-        }
-        deviation_ += (std::abs(s - mean_) - deviation_) / 4;
-        mean_ += (s - mean_) / 8;
-    }
-    double seconds() const {
-        return mean_ == 0 ? kFirst : std::min(kMax, std::max(kMin, mean_ + 4 * deviation_));
-    }
+// The answer to a user's `op` (Submit, Status or Cancel) for the job. A cancellation that does not
+// hold yet is not reported as one. 503: not now.
+[[nodiscard]] PeerReply standby_reply(const std::string& id, const JobStanding& s, PeerOp op);
 
-  private:
-    static constexpr double kFirst = 0.3, kMin = 0.08, kMax = 0.6;
-    double mean_ = 0, deviation_ = 0;
-};
+// Whether every controller of the settings adopts pending records, as its adopter record says: only
+// then may any controller write one.
+[[nodiscard]] bool all_controllers_adopt(const Settings& settings, const KvPage& adopters);
 
 }  // namespace weirmill
--- a/src/standby/standby_service.h
+++ b/src/standby/standby_service.h
@@ -1,75 +1,86 @@
-// The door: serves users through the state service while no leader answers this controller. An
-// actor of its own; it owns its copy of the log, and the rate at which it reads and writes.
-// docs/design-doors.md has the argument why that is safe beside any leader, and docs/operations.md,
-// "When nobody leads", what operators see.
+// Standby request path: serves users through the state service while no leader answers this
+// controller. An actor that owns its copy of the log and the rates at which it reads and writes; on
+// the io_context's one thread. docs/design-doors.md has the argument why that is safe beside any
+// leader, and docs/operations.md, "When nobody leads", what operators see.
 #pragma once
-#include <deque>
 #include <functional>
 
 #include "metrics/metrics.h"
+#include "standby/kv_answers.h"
 #include "standby/standby_decisions.h"
+#include "standby/state_log_follower.h"
 #include "state/cluster_state.h"
 #include "storage/kv_client.h"
-#include "transport/one_shot.h"
 
 namespace weirmill {
 
 class StandbyService {
   public:
-    // `resting`: whether this node leads, and so needs no copy of the log.
+    // `leads`: whether this node leads, and so needs no copy of the log.
     StandbyService(boost::asio::io_context& io, const Settings& settings,
-                   const Properties& properties, KvClient& state, Metrics& metrics,
-                   std::function<bool()> resting);
+                   const Properties& properties, KvClient& kv, Metrics& metrics,
+                   std::function<bool()> leads);
 
-    // It can serve: every controller collects, the copy of the log is whole, and the state service
-    // answered lately.
-    bool open() const;
-    // Submit, Status and Cancel. 503 with when to come back whenever the state service does not
+    // It can serve: every controller adopts pending records, the copy of the log is complete, and
+    // the state service answered lately.
+    bool available() const;
+    // Submit, Status and Cancel. 503 with the time to come back whenever the state service does not
     // tell enough.
     boost::asio::awaitable<PeerReply> serve(PeerCall call);
 
   private:
     struct JobLookup {
         JobStanding standing;
-        std::optional<PendingRecord> record;
-        uint64_t version = 0;  // of the record; 0: none
+        std::optional<PendingRecord> pending;
+        uint64_t pending_version = 0;  // 0: there is no record
     };
-    boost::asio::awaitable<void> mark_loop();
-    boost::asio::awaitable<void> warm_loop();
-    boost::asio::awaitable<void> pass_loop();
-    boost::asio::awaitable<bool> pass();
-    // The view shows all that was recorded before this was asked. `at_once`: without waiting for
-    // others who ask.
-    boost::asio::awaitable<bool> fresh(bool at_once);
-    boost::asio::awaitable<std::optional<JobLookup>> look(std::string id, bool record_too);
+    // In what order a job's records are read.
+    enum class LookupOrder : uint8_t {
+        LogFirst,      // the pending record only where the log does not hold the job
+        PendingFirst,  // the pending record always
+    };
+    // What a submission's dependencies lead to.
+    struct DependencyCheck {
+        std::optional<PeerReply> refusal;  // nothing: none
+        bool cancelled = false;            // the job is accepted, and cancelled with one of them
+    };
+    boost::asio::awaitable<void> adopter_loop();
+    boost::asio::awaitable<bool> write_adopter_record();
+    boost::asio::awaitable<void> read_adopter_records();
+    boost::asio::awaitable<void> read_machine_types();
+    boost::asio::awaitable<void> refresh_loop();
+
+    // Nothing: not known now.
+    boost::asio::awaitable<std::optional<JobLookup>> look_up(std::string id, LookupOrder order);
+    boost::asio::awaitable<std::optional<JobLookup>> look_up_records(std::string id);
+    // Sets the pending record of `out`. False: not known now.
+    boost::asio::awaitable<bool> read_pending(std::string id, JobLookup* out);
+    JobLookup look_up_in_view(const std::string& id) const;
+
+    boost::asio::awaitable<PeerReply> status(std::string id);
     boost::asio::awaitable<PeerReply> submit(std::string body);
+    boost::asio::awaitable<PeerReply> submit_valid(JobSpec spec);
+    boost::asio::awaitable<DependencyCheck> check_dependencies(std::string id,
+                                                               std::vector<std::string> on);
+    boost::asio::awaitable<PeerReply> accept(std::string id, PendingRecord record);
+    boost::asio::awaitable<PeerReply> existing_or_retry(std::string id);
     boost::asio::awaitable<PeerReply> refuse(std::string id, PeerReply refusal);
     boost::asio::awaitable<PeerReply> cancel(std::string id);
-    boost::asio::awaitable<PeerReply> until_cancelled(std::string id);
-    JobLookup in_log(const std::string& id) const;
-    bool may_write(double now);
-    template <class T>
-    bool heard(const KvResult<T>& result);
+    boost::asio::awaitable<bool> record_cancellation(std::string id, JobLookup found);
+    boost::asio::awaitable<PeerReply> await_cancellation(std::string id);
+    // Whether the rate allows one more write, which is then counted.
+    bool take_write();
 
-    boost::asio::io_context& io_;
     const Settings& settings_;
     const Properties& properties_;
     KvClient& kv_;
     Metrics& metrics_;
-    std::function<bool()> resting_;
+    std::function<bool()> leads_;
     ClusterState cluster_;  // names, teams, machine types and limits only
-    StateLogView view_;
-    bool whole_ = false;      // the view
-    bool all_adopt_ = false;  // every controller collects
-    double heard_at_ = -1e9;
+    bool all_controllers_adopt_ = false;
     RateLimiter reads_, writes_;
-    // Passes over the log are shared: who asks waits for the first that begins after that.
-    bool passing_ = false;
-    uint64_t passes_ = 0;
-    double began_at_ = -1e9;  // the last of them
-    bool hurry_ = false;
-    boost::asio::steady_timer apart_;
-    std::deque<std::pair<uint64_t, OneShot<bool>>> waiting_;
+    KvAnswers answers_;
+    StateLogFollower log_;
 };
 
 }  // namespace weirmill
--- a/src/standby/state_log_view.cpp
+++ b/src/standby/state_log_view.cpp
@@ -9,31 +9,35 @@
 namespace json = boost::json;
 
 namespace {
-constexpr size_t kMaxEnded = 4096;
+constexpr size_t kMaxEnded = 4096;  // ends of jobs that are kept
 }
 
 void StateLogView::clear() {
-    auto moment = this->moment();
+    auto ends = ends_read();
     *this = StateLogView();
-    first_ended_ = moment + 1;  // what ends until it is read anew can't be told
+    first_ended_ = ends + 1;  // what ends until it is read anew is not known
 }
 
-std::string StateLogView::after() const { return open_ > 0 ? segment_key(open_ - 1) : ""; }
+std::string StateLogView::resume_after() const { return open_ > 0 ? segment_key(open_ - 1) : ""; }
 
-bool StateLogView::take(const KvPage& page, bool begins) {
-    if (begins && open_ > 0 && (page.items.empty() || page.items[0].key != segment_key(open_)))
+bool StateLogView::enter_segment(uint64_t number, size_t entries) {
+    if (open_ == 0 || number == open_ + 1) {
+        open_ = number;
+        open_read_ = 0;
+        return true;
+    }
+    return number == open_ && entries >= open_read_;
+}
+
+bool StateLogView::apply_page(const KvPage& page, bool first_page) {
+    if (first_page && open_ > 0 && (page.items.empty() || page.items[0].key != segment_key(open_)))
         return false;
     for (auto& item : page.items) {
         uint64_t number = segment_number(item.key);
         if (number == 0) read::bad("key");
         if (!item.value.is_array()) read::bad("segment");
         auto& entries = item.value.get_array();
-        if (open_ == 0 || number == open_ + 1) {
-            open_read_ = 0;
-        } else if (number != open_ || entries.size() < open_read_) {
-            return false;
-        }
-        open_ = number;
+        if (!enter_segment(number, entries.size())) return false;
         for (; open_read_ < entries.size(); ++open_read_) {
             auto& e = entries[open_read_];
             if (!e.is_array() || e.get_array().size() < 2 || !e.get_array()[0].is_string())
@@ -55,9 +59,9 @@
     while (!left.empty()) {
         auto* job = find(*left.back());
         left.pop_back();
-        if (!job)
-            continue;  // ended as done: a cancelled one leaves the log after its dependants' own
-                       // entries
+        // It ended as done: the end of a cancelled one is logged after the entries of those that
+        // depend on it.
+        if (!job) continue;
         if (job->cancelled) return true;
         for (auto& d : job->awaits)
             if (seen.insert(d).second) left.push_back(&d);
@@ -67,8 +71,8 @@
 
 bool StateLogView::may_have_ended(const std::string& id, uint64_t since) const {
     if (since < first_ended_) return true;
-    return std::find(ended_.begin() + static_cast<long>(since - first_ended_), ended_.end(), id) !=
-           ended_.end();
+    auto first = ended_.begin() + static_cast<std::ptrdiff_t>(since - first_ended_);
+    return std::find(first, ended_.end(), id) != ended_.end();
 }
 
 void StateLogView::end(const std::string& id) {
--- a/tests/standby_model_test.cpp
+++ b/tests/standby_model_test.cpp
@@ -72,7 +72,7 @@
 };
 static_assert(std::is_trivially_copyable_v<State>);
 
-// Steps of a door: read_* are those of Door::look, in this order.
+// Steps of a standby controller: read_* are those of StandbyService::look_up, in this order.
 enum : uint8_t { kIdle, kSending, kAcceptedNow, kReadDoor, kReadLog, kReadFinal };
 
 class Model {
@@ -372,7 +372,7 @@
             PendingRecord record;
             if (d.standby != kRequest) record.job = boost::json::object{};
             record.cancelled = d.standby != kAccepted;
-            seen.standby = record;
+            seen.pending = record;
         }
         if (alive) {
             seen.live = &job;
@@ -380,14 +380,14 @@
         }
         if (ended)
             seen.ended = FinalState{ended == kDone ? JobState::Done : JobState::Cancelled, 0};
-        auto where = standing(seen);
+        auto where = job_standing(seen);
         bool open = where.state == JobState::Queued || where.state == JobState::Running;
         bool cancels = d.cancelling != 0;
         auto reply = standby_reply(kJob, where, cancels ? PeerOp::Cancel : PeerOp::Status);
-        bool may_cancel = open && (where.at == JobStanding::At::StandbyService ||
-                                   where.at == JobStanding::At::Log);
+        bool may_cancel =
+            open && (where.place == JobPlace::Pending || where.place == JobPlace::Log);
         if (d.cancelling == 1 && may_cancel && (d.standby == kAccepted || d.standby == kNothing)) {
-            // Door::cancel
+            // StandbyService::cancel
             PendingRecord record;
             if (d.standby == kAccepted) record.job = boost::json::object{};
             d.txn = of(cancel_transaction(kJob, d.pending_version, record), kDoorCancel,
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -4,6 +4,7 @@
 #include <random>
 
 #include "fixtures.h"
+#include "standby/forward_timeout.h"
 #include "standby/standby_decisions.h"
 #include "store.h"
 
@@ -30,14 +31,14 @@
     return page;
 }
 
-// As Door::pass, with small pages.
+// As StateLogFollower::read_log, with small pages.
 void follow(StateLogView& view, const Store& store) {
     for (int tries = 0; tries < 2; ++tries) {
-        std::string after = view.after();
-        bool begins = true, in_order = true;
-        for (bool more = true; more && in_order; begins = false) {
+        std::string after = view.resume_after();
+        bool first_page = true, in_order = true;
+        for (bool more = true; more && in_order; first_page = false) {
             auto page = page_of(store, after, 3);
-            in_order = view.take(page, begins);
+            in_order = view.apply_page(page, first_page);
             more = page.more;
             if (more) after = page.items.back().key;
         }
@@ -121,11 +122,10 @@
     StateLogView::Job waiting, running;
     running.placed = 2;
     running.done = 1;
-    using At = JobStanding::At;
     struct Row {
         const char* what;
         JobReads seen;
-        At at;
+        JobPlace place;
         JobState state;
         int submit, status, cancel;  // what its user is told
     };
@@ -135,29 +135,29 @@
     };
     FinalState done{JobState::Done, 3}, aborted{JobState::Cancelled, 0};
     const Row rows[] = {
-        {"never accepted", seen({}), At::Nowhere, JobState::Queued, 404, 404, 404},
-        {"at a door", seen(taken), At::StandbyService, JobState::Queued, 200, 200, 503},
-        {"cancelled at a door", seen(cancelled), At::StandbyService, JobState::Cancelled, 200, 200,
+        {"never accepted", seen({}), JobPlace::Nowhere, JobState::Queued, 404, 404, 404},
+        {"at a door", seen(taken), JobPlace::Pending, JobState::Queued, 200, 200, 503},
+        {"cancelled at a door", seen(cancelled), JobPlace::Pending, JobState::Cancelled, 200, 200,
          200},
-        {"a request for a job that was not found", seen(request), At::Unclear, JobState::Queued,
-         503, 503, 503},
-        {"alive", seen({}, &waiting), At::Log, JobState::Queued, 200, 200, 503},
-        {"running", seen({}, &running), At::Log, JobState::Running, 200, 200, 503},
-        {"alive, its door record is left over", seen(taken, &running), At::Log, JobState::Running,
-         200, 200, 503},
-        {"alive, a door asked for its end", seen(cancelled, &running), At::Log, JobState::Running,
-         200, 200, 503},
-        {"alive, the leader cancelled it", seen(request, &running, true), At::Log,
+        {"a request for a job that was not found", seen(request), JobPlace::Unclear,
+         JobState::Queued, 503, 503, 503},
+        {"alive", seen({}, &waiting), JobPlace::Log, JobState::Queued, 200, 200, 503},
+        {"running", seen({}, &running), JobPlace::Log, JobState::Running, 200, 200, 503},
+        {"alive, its door record is left over", seen(taken, &running), JobPlace::Log,
+         JobState::Running, 200, 200, 503},
+        {"alive, a door asked for its end", seen(cancelled, &running), JobPlace::Log,
+         JobState::Running, 200, 200, 503},
+        {"alive, the leader cancelled it", seen(request, &running, true), JobPlace::Log,
          JobState::Cancelled, 200, 200, 200},
-        {"done", seen({}, nullptr, false, done), At::Ended, JobState::Done, 200, 200, 200},
-        {"done before a door's cancellation", seen(cancelled, nullptr, false, done), At::Ended,
-         JobState::Done, 200, 200, 200},
+        {"done", seen({}, nullptr, false, done), JobPlace::Ended, JobState::Done, 200, 200, 200},
+        {"done before a door's cancellation", seen(cancelled, nullptr, false, done),
+         JobPlace::Ended, JobState::Done, 200, 200, 200},
         {"ended as cancelled, its record is left over", seen(taken, nullptr, false, aborted),
-         At::Ended, JobState::Cancelled, 200, 200, 200},
+         JobPlace::Ended, JobState::Cancelled, 200, 200, 200},
     };
     for (auto& row : rows) {
-        auto s = standing(row.seen);
-        EXPECT_EQ(s.at, row.at) << row.what;
+        auto s = job_standing(row.seen);
+        EXPECT_EQ(s.place, row.place) << row.what;
         EXPECT_EQ(s.state, row.state) << row.what;
         EXPECT_EQ(standby_reply("req-1", s, PeerOp::Submit).status, row.submit) << row.what;
         EXPECT_EQ(standby_reply("req-1", s, PeerOp::Status).status, row.status) << row.what;
@@ -196,7 +196,7 @@
     };
     for (auto& row : rows) {
         ForwardTimeout p;
-        for (double s : row.took) p.took(s);
+        for (double s : row.took) p.record_answer(s);
         EXPECT_GE(p.seconds(), row.low) << row.what;
         EXPECT_LE(p.seconds(), row.high) << row.what;
     }
@@ -238,14 +238,14 @@
                 for (auto& id : ended)
                     EXPECT_TRUE(often.may_have_ended(id, moment)) << id << " seed " << seed;
                 ended.clear();
-                moment = often.moment();
+                moment = often.ends_read();
             }
             if (below(400) != 0) continue;
             test::flush(state_log, w.cluster, store, kSmall, w.now);
             follow(often, store);
             follow(seldom, store);
             ended.clear();
-            moment = often.moment();
+            moment = often.ends_read();
             ++compared;
             for (auto* view : {&often, &seldom}) {
                 EXPECT_EQ(view->jobs(), w.cluster.job_index.size()) << "seed " << seed;
@@ -273,7 +273,7 @@
     struct Row {
         const char* what;
         KvPage first, second;
-        bool begins, kept;
+        bool first_page, kept;
     };
     const Row rows[] = {
         {"the open one again", page({3, 4}), page({4}), true, true},
@@ -286,12 +286,12 @@
     };
     for (auto& row : rows) {
         StateLogView view;
-        ASSERT_TRUE(view.take(row.first, true));
-        EXPECT_EQ(view.take(row.second, row.begins), row.kept) << row.what;
+        ASSERT_TRUE(view.apply_page(row.first, true));
+        EXPECT_EQ(view.apply_page(row.second, row.first_page), row.kept) << row.what;
     }
     // What ended while it was read anew can't be told.
     StateLogView view;
-    auto moment = view.moment();
+    auto moment = view.ends_read();
     EXPECT_FALSE(view.may_have_ended("req-1", moment));
     view.clear();
     EXPECT_TRUE(view.may_have_ended("req-1", moment));
@@ -310,7 +310,7 @@
          json::array{job("req-1", {}), job("req-2", {"req-1"}), job("req-3", {"req-9", "req-2"}),
                      job("req-4", {}), json::array{"c", "req-1"}},
          1, 0});
-    ASSERT_TRUE(view.take(page, true));
+    ASSERT_TRUE(view.apply_page(page, true));
     EXPECT_TRUE(view.cancelled("req-1"));
     EXPECT_TRUE(view.cancelled("req-2"));
     EXPECT_TRUE(view.cancelled("req-3"));
@@ -321,7 +321,7 @@
         StateLogView fresh = view;
         KvPage next;
         next.items.push_back({segment_key(2), json::parse(bad), 2, 0});
-        EXPECT_THROW(fresh.take(next, false), BadMessage) << bad;
+        EXPECT_THROW((void)fresh.apply_page(next, false), BadMessage) << bad;
     }
 }
 
--- a/tests/state_log_test.cpp
+++ b/tests/state_log_test.cpp
@@ -227,7 +227,7 @@
                 StateLog loaded(fresh.cluster, 42, limits);
                 store.load(loaded, fresh.now);
                 StateLogView view;
-                ASSERT_TRUE(view.take(store.log(), true));
+                ASSERT_TRUE(view.apply_page(store.log(), true));
                 for (auto& [id, j] : cancelled) {
                     auto* job = fresh.cluster.find_job(id);
                     ASSERT_TRUE(job && job->cancel_recorded)
