--- a/src/controller/request_router.h
+++ b/src/controller/request_router.h
@@ -1,10 +1,14 @@
-// The node's doors: users, workers and health checks over HTTP, the other controllers over the peer
-// link. The leader answers; the others forward users to it and send workers on.
+// A controller node: users, workers and health checks over HTTP, the other controllers over the
+// peer link. The leader answers; the others forward users to it and redirect workers. An actor on
+// the io_context's one thread; its parts stand in request_router.cpp (wiring),
+// request_router_http.cpp, request_router_forwarding.cpp, request_router_peers.cpp and
+// request_router_heartbeats.cpp.
 #pragma once
 #include <map>
 #include <memory>
 
 #include "controller/leader.h"
+#include "controller/leader_knowledge.h"
 #include "leadership/election.h"
 #include "membership/membership.h"
 #include "membership/worker_roster.h"
@@ -20,45 +24,40 @@
     RequestRouter(boost::asio::io_context& io, const Settings& settings,
                   const Properties& properties);
     uint16_t api_port() const { return http_->port(); }
-    uint16_t peer_port() const { return peers_in_->port(); }
+    uint16_t peer_port() const { return peer_server_->port(); }
 
   private:
+    struct RoutedReply {
+        const char* kind;  // of the request, as the metrics name it
+        HttpReply reply;
+    };
     boost::asio::awaitable<HttpReply> handle(HttpRequest request);
-    boost::asio::awaitable<HttpReply> route(HttpRequest request, const char*& kind);
+    boost::asio::awaitable<RoutedReply> route(HttpRequest request);
     HttpReply metrics_page() const;
     boost::asio::awaitable<HttpReply> handle_heartbeat(HttpRequest request);
     boost::asio::awaitable<PeerReply> from_peer(PeerCall call);
-    boost::asio::awaitable<PeerReply> to_leader(PeerCall call);
-    boost::asio::awaitable<PeerReply> by_peer(std::string name, PeerCall call);
+    boost::asio::awaitable<PeerReply> call_leader(PeerCall call);
+    boost::asio::awaitable<PeerReply> call_peer(std::string name, PeerCall call);
+    // Whether the peer with this name accepted the call.
+    boost::asio::awaitable<bool> pass_to_peer(std::string name, PeerCall call);
     // The peer through which this call may reach the leader, where this controller can't.
     std::optional<std::string> relay_for(const PeerCall& call) const;
     boost::asio::awaitable<PeerReply> pass_command(PeerCall call);
-    bool leader_silent() const {
-        return silent_fencing_token_ != 0 && silent_fencing_token_ == leader_fencing_token();
-    }
     void set_up_membership();
-    // Far too few workers come to the leader themselves: one that comes here is not sent there.
+    // Far too few workers come to the leader themselves: one that comes here is not redirected.
     bool leader_uplink_lost() const;
     boost::asio::awaitable<void> forward(PeerCall call, OneShot<PeerReply> out);
-    boost::asio::awaitable<std::optional<PeerReply>> while_heard(OneShot<PeerReply> forwarded,
-                                                                 double started, double most_s);
-    // What users ask for: from the leader, or from this node's own door where no leader answers.
+    boost::asio::awaitable<std::optional<PeerReply>> await_leader_reply(
+        OneShot<PeerReply> forwarded, double started, double most_s);
+    // What users ask for: from the leader, or from this node's standby service where no leader
+    // answers.
     boost::asio::awaitable<PeerReply> serve(PeerCall call);
     boost::asio::awaitable<void> ping_loop();
-    boost::asio::awaitable<bool> ask_peer(std::string name);  // whether it says that it leads
-    PeerReply who_leads() const;
+    boost::asio::awaitable<bool> ping_peer(std::string name);  // whether it says that it leads
+    PeerReply ping_reply() const;
     bool healthy() const;
-    PeerClient* link_to(const std::string& name);
-    PeerClient* leader_link();
-    // Who leads as far as this node knows, from the state service or, should that be refused to
-    // this node alone, from the other controllers; the newer word counts.
-    bool told_newer() const { return told_fencing_token_ > election_->as_of(); }
-    const std::string& leader_name() const {
-        return told_newer() ? told_leader_ : election_->leader();
-    }
-    uint64_t leader_fencing_token() const {
-        return told_newer() ? told_fencing_token_ : election_->fencing_token();
-    }
+    PeerClient* peer_client(const std::string& name);
+    PeerClient* leader_client();
 
     boost::asio::io_context& io_;
     const Settings& settings_;
@@ -67,18 +66,14 @@
     std::unique_ptr<Election> election_;
     std::shared_ptr<Leader> leader_;
     std::shared_ptr<LeadershipTerm> term_;  // while this node leads
-    std::string told_leader_;               // what the other controllers said
-    uint64_t told_fencing_token_ = 0;
-    std::map<std::string, std::unique_ptr<PeerClient>> links_;
+    std::map<std::string, std::unique_ptr<PeerClient>> peer_clients_;
     std::unique_ptr<StandbyService> standby_;
-    std::unique_ptr<PeerServer> peers_in_;
+    std::unique_ptr<PeerServer> peer_server_;
     std::unique_ptr<HttpServer> http_;
     std::unique_ptr<Membership> membership_;
     WorkerRoster roster_;
     Metrics metrics_;
-    double heard_leader_ = 0;  // when the leader last answered this node
-    uint64_t silent_fencing_token_ =
-        0;  // the leader with this token was asked, and did not answer, since
+    std::unique_ptr<LeaderKnowledge> leader_knowledge_;
     ForwardTimeout forward_timeout_;
 };
 
