--- a/src/autoscaler/suitability.h
+++ b/src/autoscaler/suitability.h
@@ -1,5 +1,6 @@
 // Whether jobs may use a machine or machine type, its present room aside.
 #pragma once
+#include "scheduler/eligibility.h"
 #include "state/cluster_state.h"
 
 namespace weirmill {
@@ -9,10 +10,6 @@
     return cluster.type_fits(spec, type) && !cluster.reserves_gpus(spec, type);
 }
 
-inline bool machine_suits(const ClusterState& cluster, const JobSpec& spec, const Machine& m) {
-    return cluster.machine_allowed(spec, m) && !cluster.reserves_gpus(spec, m.type);
-}
-
 // The job may run in the zone, and on spot instances if it is one.
 inline bool market_suits(const JobSpec& spec, bool spot, Index zone) {
     return (!spot || spec.spot) && (spec.zone == kNone || spec.zone == zone);
--- a/src/liveness/worker_lease.cpp
+++ b/src/liveness/worker_lease.cpp
@@ -14,12 +14,14 @@
 
 // A lease on the worker's clock, as long as it may take on this one, with late timers of all
 // requests and answers in between.
-double longest_lease(const Settings& s) { return s.lease_s * (1 + 2 * kDrift) + 4 * kMargin_s; }
+double longest_lease(const Settings& s) {
+    return s.lease_s * (1 + 2 * kMaxClockDrift) + 4 * kTimerMargin_s;
+}
 
 }  // namespace
 
 double answering_grace(const Settings& s) {
-    double left = s.cancel_s - s.lease_s * (1 + kDrift) -
+    double left = s.cancel_s - s.lease_s * (1 + kMaxClockDrift) -
                   kGraceHeartbeats * s.heartbeat_interval_s - kGraceMargin_s;
     return std::max(0.0, left * kGraceShare);
 }
--- a/src/liveness/worker_lease.h
+++ b/src/liveness/worker_lease.h
@@ -11,8 +11,8 @@
 namespace weirmill {
 
 // How far a steady clock may run from another, as a share, and room for timers that fire late.
-inline constexpr double kDrift = 0.001;
-inline constexpr double kMargin_s = 0.1;
+inline constexpr double kMaxClockDrift = 0.001;
+inline constexpr double kTimerMargin_s = 0.1;
 
 // How long a leader whose own lease is not confirmed goes on answering heartbeats, so that work
 // outlives an outage of the key-value store. A cancellation that the next leader accepts must still
--- a/tests/cancel_model_test.cpp
+++ b/tests/cancel_model_test.cpp
@@ -79,7 +79,7 @@
     Model(const Settings& s, Times times, Guard without)
         : settings_(s), times_(times), without_(without) {
         lease_ = static_cast<int>(std::lround(times.lease_s / times.step_s));
-        worker_ = static_cast<int>(std::floor(s.lease_s * (1 + kDrift) / times.step_s));
+        worker_ = static_cast<int>(std::floor(s.lease_s * (1 + kMaxClockDrift) / times.step_s));
         cancel_ = static_cast<int>(std::floor(s.cancel_s / times.step_s));
     }
     // Whether some schedule breaks the rule.
--- a/tests/state_log_test.cpp
+++ b/tests/state_log_test.cpp
@@ -228,7 +228,7 @@
                 StateLog loaded(fresh.cluster, 42, limits);
                 store.load(loaded, fresh.now);
                 StateLogView view;
-                ASSERT_TRUE(view.take(store.log(), true));
+                ASSERT_TRUE(view.apply_page(store.log(), true));
                 for (auto& [id, j] : cancelled) {
                     auto* job = fresh.cluster.find_job(id);
                     ASSERT_TRUE(job && job->cancel_recorded)
@@ -345,12 +345,13 @@
         s.cancel_s = row.cancel_s;
         double grace = answering_grace(s);
         EXPECT_GE(grace, 0);
-        EXPECT_TRUE(grace == 0 || grace + s.lease_s * (1 + kDrift) + kMargin_s < s.cancel_s)
+        EXPECT_TRUE(grace == 0 ||
+                    grace + s.lease_s * (1 + kMaxClockDrift) + kTimerMargin_s < s.cancel_s)
             << row.cancel_s;
         // What an earlier leader answered last, at won + grace, has run out by the time that a task
         // is taken for gone.
-        EXPECT_GT(earlier_term_expiry(s, 1000), 1000 + grace + s.lease_s * (1 + kDrift));
-        EXPECT_GT(answered_lease_expiry(s, 1000), 1000 + s.lease_s * (1 + kDrift));
+        EXPECT_GT(earlier_term_expiry(s, 1000), 1000 + grace + s.lease_s * (1 + kMaxClockDrift));
+        EXPECT_GT(answered_lease_expiry(s, 1000), 1000 + s.lease_s * (1 + kMaxClockDrift));
         // A slow clock of ours against a true one of the key-value store: the lease is valid
         // for too short a time, never for too long.
         EXPECT_LT(lease_valid_until(1000, 4), 1000 + 4 * (1 - 0.0005));
