--- a/src/config/capacity.h
+++ b/src/config/capacity.h
@@ -37,12 +37,13 @@
 // Limits of users, workers and stops are never below this, however few sockets there are.
 inline constexpr int kMinSockets = 16;
 
-// Sockets over which stop commands are sent to workers at a time: an eighth of all.
-inline int stop_sockets(const Settings& s) { return std::max(kMinSockets, s.max_sockets / 8); }
+// Sockets over which stop commands are sent to workers at a time: a sixteenth of all for first
+// stops, and as many for repeated ones.
+inline int stop_sockets(const Settings& s) { return std::max(kMinSockets, s.max_sockets / 16); }
 
 // Connections that users and workers may hold.
 inline int max_connections(const Settings& s) {
-    return std::max(kMinSockets, s.max_sockets - kServiceSockets - stop_sockets(s));
+    return std::max(kMinSockets, s.max_sockets - kServiceSockets - 2 * stop_sockets(s));
 }
 
 }  // namespace weirmill
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -241,6 +241,7 @@
     std::vector<asio::ip::tcp::socket> accepted;  // and never answered
 
     explicit StopFixture(bool listens) {
+        settings.max_sockets = 1000;  // 62 sockets for each kind of stops
         context.keep_alive = [] { return std::shared_ptr<void>(); };
         auto addr = "127.0.0.1:" + std::to_string(worker.local_endpoint().port());
         if (listens)
