--- a/src/controller/job_admission.cpp
+++ b/src/controller/job_admission.cpp
@@ -16,6 +16,19 @@
 constexpr double kReadDependencies_s = 1.2;
 constexpr double kReadTimeout_s = 0.6;
 
+// False: the rest is not read, as the job was never accepted, or the read failed (`all` is false).
+bool take_final_state(const std::string& id, const KvResult<KvItem>& result,
+                      DependenciesRead& read) {
+    if (result.outcome == KvOutcome::Missing) {
+        read.missing = id;
+        return false;
+    }
+    auto state = result ? decode_final_state(result.value) : std::nullopt;
+    read.all = state.has_value();
+    if (state) read.ended.emplace_back(id, *state);
+    return read.all;
+}
+
 }  // namespace
 
 JobAdmission::JobAdmission(LeaderContext& context, FinalStateCache& final_states, JobCallbacks jobs,
@@ -108,24 +121,11 @@
             read.all = false;
             break;
         }
-        bool ended = co_await read_one(id, read);
-        if (!ended) break;
+        auto result = co_await final_states_.read(id, kReadTimeout_s);
+        if (!take_final_state(id, result, read)) break;
     }
     context_.post(std::move(read));
     (void)keep_alive;
 }
 
-// False: the rest is not read, as the job was never accepted, or the read failed (`all` is false).
-asio::awaitable<bool> JobAdmission::read_one(const std::string& id, DependenciesRead& read) {
-    auto result = co_await final_states_.read(id, kReadTimeout_s);
-    if (result.outcome == KvOutcome::Missing) {
-        read.missing = id;
-        co_return false;
-    }
-    auto state = result ? decode_final_state(result.value) : std::nullopt;
-    read.all = state.has_value();
-    if (state) read.ended.emplace_back(id, *state);
-    co_return read.all;
-}
-
 }  // namespace weirmill
--- a/src/controller/job_admission.h
+++ b/src/controller/job_admission.h
@@ -52,7 +52,6 @@
     void resolve_one(const std::string& id, DependencyResolution& out) const;
     boost::asio::awaitable<void> read_in_turn(std::shared_ptr<void> keep_alive,
                                               DependenciesRead read, std::vector<std::string> ids);
-    boost::asio::awaitable<bool> read_one(const std::string& id, DependenciesRead& read);
 
     LeaderContext& context_;
     FinalStateCache& final_states_;
--- a/src/controller/pending_adoption.cpp
+++ b/src/controller/pending_adoption.cpp
@@ -87,7 +87,8 @@
     if (changes.whole) {
         std::set<std::string> keys;
         for (auto& event : changes.events) keys.insert(event.item.key);
-        std::erase_if(entries_, [&](auto& entry) { return !keys.count(pending_key(entry.first)); });
+        std::erase_if(entries_,
+                      [&](auto& entry) { return !keys.contains(pending_key(entry.first)); });
     }
     for (auto& event : changes.events) {
         auto& item = event.item;
--- a/src/controller/pending_adoption.h
+++ b/src/controller/pending_adoption.h
@@ -33,7 +33,7 @@
     void resume(const DependenciesRead& read);
 
     // There is a record for the job, in whatever state.
-    [[nodiscard]] bool has_record(const std::string& id) const { return entries_.count(id) > 0; }
+    [[nodiscard]] bool has_record(const std::string& id) const { return entries_.contains(id); }
     // The job is known from its pending record alone, as yet.
     [[nodiscard]] bool is_pending(const std::string& id) const;
     // Of the record that the job's transaction replaces; 0: there is none.
--- a/src/controller/state_loader.cpp
+++ b/src/controller/state_loader.cpp
@@ -26,17 +26,17 @@
     context_.state_log.clear();
     double started = steady_now();
     segments_ = 0;
-    LoadedNotes notes;
+    notes_ = {};
     for (const std::string& prefix : {kRoundKey, kTypesKey, kLogKey, kSegmentPrefix, kJobPrefix}) {
-        bool loaded = co_await load_prefix(prefix, notes);
+        bool loaded = co_await load_prefix(prefix);
         if (!loaded) co_return std::nullopt;
     }
     context_.state_log.loaded(steady_now());
     spdlog::info("leader: read {} segments in {:.2f}s", segments_, steady_now() - started);
-    co_return notes;
+    co_return notes_;
 }
 
-asio::awaitable<bool> StateLoader::load_prefix(const std::string& prefix, LoadedNotes& notes) {
+asio::awaitable<bool> StateLoader::load_prefix(std::string prefix) {
     std::string after;
     for (bool more = true; more;) {
         auto page = co_await context_.kv.list(prefix, after, kItemsPerPage, kListTimeout_s);
@@ -50,7 +50,7 @@
         for (auto& item : page.value.items) {
             after = item.key;
             try {
-                load_item(prefix, item, notes);
+                load_item(prefix, item);
             } catch (const BadMessage& e) {
                 // Leading without a record could start a task twice: another try, never a guess.
                 spdlog::error("leader: malformed record {}: {}", item.key, e.what());
@@ -62,15 +62,15 @@
 }
 
 // Throws BadMessage.
-void StateLoader::load_item(const std::string& prefix, const KvItem& item, LoadedNotes& notes) {
+void StateLoader::load_item(const std::string& prefix, const KvItem& item) {
     if (item.key == kRoundKey) {
         context_.state_log.load_note(item.key, item.version);
-        notes.preemption_rounds = read::count(read::object(item.value), "number", 0);
+        notes_.preemption_rounds = read::count(read::object(item.value), "number", 0);
     } else if (item.key == kTypesKey) {
         context_.state_log.load_note(item.key, item.version);
-        notes.machine_types = boost::json::serialize(item.value);
+        notes_.machine_types = boost::json::serialize(item.value);
         if (!context_.cluster.types_known)
-            context_.cluster.set_types(parse_machine_types(notes.machine_types));
+            context_.cluster.set_types(parse_machine_types(notes_.machine_types));
     } else if (item.key == kLogKey) {
         context_.state_log.load_head(item);
     } else if (prefix == kSegmentPrefix) {
--- a/src/controller/state_loader.h
+++ b/src/controller/state_loader.h
@@ -24,11 +24,13 @@
     boost::asio::awaitable<std::optional<LoadedNotes>> load();
 
   private:
-    boost::asio::awaitable<bool> load_prefix(const std::string& prefix, LoadedNotes& notes);
-    void load_item(const std::string& prefix, const KvItem& item, LoadedNotes& notes);
+    boost::asio::awaitable<bool> load_prefix(std::string prefix);
+    void load_item(const std::string& prefix, const KvItem& item);
 
     LeaderContext& context_;
-    size_t segments_ = 0;  // read by this load
+    // Of this load.
+    LoadedNotes notes_;
+    size_t segments_ = 0;
 };
 
 }  // namespace weirmill
--- a/src/controller/state_log_writer.cpp
+++ b/src/controller/state_log_writer.cpp
@@ -34,7 +34,49 @@
 
 // The condition on the leadership is among those that failed.
 bool names_leader(const std::vector<std::string>& failed) {
-    return std::find(failed.begin(), failed.end(), kLeaderKey) != failed.end();
+    return std::ranges::find(failed, kLeaderKey) != failed.end();
+}
+
+// Where an earlier copy had no answer, this result of a later one does not say whether the
+// transaction was applied: its own keys may be what it conflicts with.
+bool leaves_open(const KvResult<uint64_t>& result) {
+    switch (result.outcome) {
+        case KvOutcome::Unknown:
+        case KvOutcome::Refused:
+        case KvOutcome::Invalid:
+            return true;
+        case KvOutcome::Conflict:
+            return !names_leader(result.failed);
+        default:
+            return false;
+    }
+}
+
+// The change whose key says whether the transaction was applied: a write, if there is one.
+const auto& deciding_change(const CasTransaction& txn) {
+    auto write =
+        std::ranges::find_if(txn.changes, [](auto& change) { return !change.value.empty(); });
+    return write == txn.changes.end() ? txn.changes.front() : *write;
+}
+
+// What the deciding key of a transaction without an answer says.
+struct KeyState {
+    bool known = false;    // it could be read
+    bool applied = false;  // the transaction was
+    uint64_t version = 0;  // of the key, where it is there
+};
+
+// The key decides, as nobody else may write it, or delete it.
+KeyState was_applied(const CasTransaction& txn, const KvResult<KvItem>& item) {
+    auto& change = deciding_change(txn);
+    bool deletes = change.value.empty();
+    if (!item) return {item.outcome == KvOutcome::Missing, deletes, 0};
+    if (deletes) return {true, false, 0};
+    uint64_t expected = 0;
+    for (auto& condition : txn.conditions)
+        if (condition.key == change.key) expected = condition.version;
+    bool applied = item.value.version != expected && item.value.value == read::parse(change.value);
+    return {true, applied, item.value.version};
 }
 
 }  // namespace
@@ -90,7 +132,14 @@
         if (unanswered && !copy_unanswered) context_.post(TransactionOutcomeUnknown{});
         copy_unanswered = copy_unanswered || unanswered;
         auto reconciled = Reconciliation::Decided;
-        if (copy_unanswered) reconciled = co_await reconcile(batch.txn, !unanswered, result);
+        if (copy_unanswered && leaves_open(result)) {
+            // The keys are read after each copy without an answer, not only after a refused one:
+            // where no copy is answered, the first may have been applied long ago, and standby
+            // controllers report it to users.
+            auto item = co_await context_.kv.get(deciding_change(batch.txn).key, kCallTimeout_s);
+            if (context_.stopped) co_return;
+            reconciled = reconcile(batch.txn, item, result);
+        }
         if (reconciled == Reconciliation::Abandoned) co_return;
         if (reconciled == Reconciliation::Decided) {
             context_.post(TransactionFinished{std::move(batch), std::move(result)});
@@ -101,49 +150,27 @@
     }
 }
 
-// Replaces `result`, that of the last copy, by the outcome of all copies so far. `answered`: the
-// last copy was, other than that it was refused for now.
-asio::awaitable<StateLogWriter::Reconciliation> StateLogWriter::reconcile(
-    const CasTransaction& txn, bool answered, KvResult<uint64_t>& result) {
-    bool malformed = result.outcome == KvOutcome::Invalid;
-    bool conflict = result.outcome == KvOutcome::Conflict && !names_leader(result.failed);
-    if (answered && !malformed && !conflict) co_return Reconciliation::Decided;
-    // The keys are read after each copy without an answer, not only after a refused one: where no
-    // copy is answered, the first may have been applied long ago, and standby controllers report
-    // it to users.
-    auto keys = co_await was_applied(txn);
-    if (context_.stopped) co_return Reconciliation::Abandoned;
-    if (!keys.known || (!answered && !keys.applied)) co_return Reconciliation::Repeat;
+// Replaces `result`, that of the last copy, by the outcome of all copies so far. `item`: as the
+// deciding key was read after that.
+StateLogWriter::Reconciliation StateLogWriter::reconcile(const CasTransaction& txn,
+                                                         const KvResult<KvItem>& item,
+                                                         KvResult<uint64_t>& result) {
+    auto keys = was_applied(txn, item);
+    bool answered = result.outcome != KvOutcome::Unknown && result.outcome != KvOutcome::Refused;
+    if (!keys.known || (!answered && !keys.applied)) return Reconciliation::Repeat;
     if (keys.applied) {
         result.outcome = KvOutcome::Ok;
         result.value = keys.version;
         result.failed.clear();
-        co_return Reconciliation::Decided;
+        return Reconciliation::Decided;
     }
-    if (!malformed) co_return Reconciliation::Decided;
+    if (result.outcome != KvOutcome::Invalid) return Reconciliation::Decided;
     // The limits fell between two copies: this one was not executed, but the earlier one may still
     // be. Taken for not executed, its entries would be recorded again by another transaction, and
     // it would put older ones behind them. A later leader's fencing token makes it void.
     spdlog::error("state: no answer, then refused as malformed: starting over");
     context_.term->ended = true;
-    co_return Reconciliation::Abandoned;
-}
-
-// Whether a transaction without an answer was applied. Its keys say so: nobody else may write them,
-// or delete them.
-asio::awaitable<StateLogWriter::KeyState> StateLogWriter::was_applied(const CasTransaction& txn) {
-    auto write = std::find_if(txn.changes.begin(), txn.changes.end(),
-                              [](auto& change) { return !change.value.empty(); });
-    bool deletes = write == txn.changes.end();
-    auto& change = deletes ? txn.changes.front() : *write;
-    auto item = co_await context_.kv.get(change.key, kCallTimeout_s);
-    if (!item) co_return KeyState{item.outcome == KvOutcome::Missing, deletes, 0};
-    if (deletes) co_return KeyState{true, false, 0};
-    uint64_t expected = 0;
-    for (auto& condition : txn.conditions)
-        if (condition.key == change.key) expected = condition.version;
-    bool applied = item.value.version != expected && item.value.value == read::parse(change.value);
-    co_return KeyState{true, applied, item.value.version};
+    return Reconciliation::Abandoned;
 }
 
 // ---- outcomes ----
--- a/src/controller/state_log_writer.h
+++ b/src/controller/state_log_writer.h
@@ -39,12 +39,6 @@
     [[nodiscard]] bool kv_unavailable() const;
 
   private:
-    // What the keys of a transaction without an answer say.
-    struct KeyState {
-        bool known = false;    // they could be read
-        bool applied = false;  // the transaction was
-        uint64_t version = 0;  // of the key read, where it was
-    };
     enum class Reconciliation : uint8_t {
         Decided,   // the result stands
         Repeat,    // the outcome is still unknown
@@ -57,9 +51,8 @@
     };
 
     boost::asio::awaitable<void> commit(std::shared_ptr<void> keep_alive, StateLogBatch batch);
-    boost::asio::awaitable<Reconciliation> reconcile(const CasTransaction& txn, bool answered,
-                                                     KvResult<uint64_t>& result);
-    boost::asio::awaitable<KeyState> was_applied(const CasTransaction& txn);
+    Reconciliation reconcile(const CasTransaction& txn, const KvResult<KvItem>& item,
+                             KvResult<uint64_t>& result);
     void mark_ends(const StateLogBatch& batch, bool sent);
 
     void committed(const TransactionFinished& transaction);
--- a/src/controller/user_requests.cpp
+++ b/src/controller/user_requests.cpp
@@ -109,7 +109,8 @@
         reply.set(undecided(context_));
         return true;
     }
-    if (context_.state_log.submissions() > kMaxBacklog_s * context_.settings.state_write_rps) {
+    if (static_cast<double>(context_.state_log.submissions()) >
+        kMaxBacklog_s * context_.settings.state_write_rps) {
         reply.set(retry_later(context_));
         return true;
     }
--- a/src/controller/user_requests.h
+++ b/src/controller/user_requests.h
@@ -22,7 +22,7 @@
   public:
     // A request that waits until its outcome is recorded.
     struct Waiter {
-        PeerOp op;
+        PeerOp op = PeerOp::Submit;
         ReplyPromise reply;
     };
 
