--- a/bench/meetings.py
+++ b/bench/meetings.py
@@ -574,7 +574,7 @@
             leader = node
         if leader_then is None and at >= cut_at - 0.5:
             leader_then = leader
-        told_here = re.match(r"(?:job: (\S+) cancellation recorded|door: (\S+) told as cancelled)", text)
+        told_here = re.match(r"(?:job: (\S+) cancellation recorded|standby: (\S+) reported as cancelled)", text)
         if told_here and led and node != cut and at < down_at:
             told.setdefault(told_here[1] or told_here[2], at)
         if (m := re.match(r"job: (\S+) cancelled, none", text)) and m[1] in told:
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -149,7 +149,8 @@
 void HeartbeatHandler::note_interruption(Machine& machine, double notice_s) {
     if (notice_s < 0) return;
     if (machine.interruption_at < 0)
-        spdlog::info("machine: {} is taken back in {:.1f}s", machine.name, notice_s);
+        spdlog::info("machine: {} has an interruption notice, {:.1f}s left", machine.name,
+                     notice_s);
     machine.interruption_at = context_.now + notice_s;
 }
 
@@ -171,7 +172,7 @@
     }
     if (!observe_heartbeat(machine.downlink, seen, context_.settings, context_.now)) return;
     context_.metrics.count("machines_deaf_total");
-    spdlog::info("machine: {} does not hear its answers", machine.name);
+    spdlog::info("machine: {} downlink lost", machine.name);
 }
 
 void HeartbeatHandler::apply_task_status(Machine& machine, Index index, const TaskStatus& status) {
--- a/src/controller/instance_manager.cpp
+++ b/src/controller/instance_manager.cpp
@@ -90,7 +90,7 @@
     abandon_unreachable(machine, fleet);
     abandon_unheard(machine, fleet);
     if (expired && !machine.up && !machine.tasks.empty())
-        machine_gone(index, "not heard of since the change of leader");
+        machine_gone(index, "no heartbeat since the failover");
     if (is_lost(machine)) {
         spdlog::info("machine: {} no longer known", machine.name);
         context_.cluster.remove_machine(index);
@@ -118,7 +118,7 @@
     if (!should_replace_unreachable(machine.downlink, replacement_s(machine, false),
                                     fleet.downlink_lost, fleet.up, context_.settings, context_.now))
         return;
-    spdlog::info("machine: {} did not hear its answers for too long, returned", machine.name);
+    spdlog::info("machine: {} downlink lost for too long, terminated", machine.name);
     machine.abandoned = true;
 }
 
@@ -133,7 +133,7 @@
     double since = std::max({machine.last_heartbeat, responses_blocked_at_, context_.term->won});
     if (context_.now - since <= context_.settings.lease_s + replacement_s(machine, zone_silent))
         return;
-    spdlog::info("machine: {} not heard of for too long, returned", machine.name);
+    spdlog::info("machine: {} no heartbeat for too long, terminated", machine.name);
     machine.abandoned = true;
 }
 
@@ -155,7 +155,7 @@
     bool unlisted = listed_once_ && (machine.listed ? machine.missing : overdue);
     if (!silent || !unlisted || machine.abandoned) return;
     if (!machine.up && machine.tasks.empty()) return;
-    spdlog::info("machine: {} is silent and not listed, returned", machine.name);
+    spdlog::info("machine: {} is silent and not listed, terminated", machine.name);
     machine.abandoned = true;
 }
 
@@ -227,8 +227,8 @@
     auto& request = message.request;
     auto& type = context_.cluster.names.types.name(request.type);
     auto& zone = context_.cluster.names.zones.name(request.zone);
-    spdlog::info("cloud: rented {}/{} of {} in {} spot={}", message.names.size(), request.count,
-                 type, zone, request.spot);
+    spdlog::info("cloud: provisioned {}/{} of {} in {} spot={}", message.names.size(),
+                 request.count, type, zone, request.spot);
     context_.metrics.count("machines_rented_total", message.names.size());
     for (auto& name : message.names) {
         if (is_terminated(name)) continue;
@@ -251,7 +251,7 @@
         if (message.done) terminated_[name] = context_.now;
         if (index == kNone) continue;
         if (message.done) {
-            machine_gone(index, "returned");
+            machine_gone(index, "terminated");
             context_.cluster.remove_machine(index);
             continue;
         }
@@ -287,7 +287,7 @@
     auto index = plan_drain(context_.cluster, usable_now(context_), context_.now);
     if (index == kNone) return;
     auto& machine = *context_.cluster.machines[index];
-    spdlog::info("machine: {} closed, {} tasks move", machine.name, machine.tasks.size());
+    spdlog::info("machine: {} draining, {} tasks move", machine.name, machine.tasks.size());
     machine.draining = true;
     auto tasks = machine.tasks;  // a stop may change the machine's own
     for (auto& ref : tasks) task_lifecycle_.stop_task(ref.job, ref.task, true);
@@ -390,12 +390,12 @@
             try {
                 co_return parse_rented(answer->body);
             } catch (const BadMessage& e) {
-                spdlog::error("cloud: malformed answer to a rental: {}", e.what());
+                spdlog::error("cloud: malformed response to a scale-out request: {}", e.what());
             }
         } else if (answer && answer->status == 503 && says_no_capacity(answer->body)) {
             co_return none;
         } else if (answer && answer->status == 400) {
-            spdlog::error("cloud: rental refused as malformed: {}", body);
+            spdlog::error("cloud: scale-out request refused as malformed: {}", body);
             co_return none;
         }
         // No answer or trouble: the same request again, as the cloud executes one id once.
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -211,7 +211,7 @@
     }
     context_.cluster.propagate_demands();
     if (!pending.events.empty())
-        spdlog::info("leader: {} door records to collect", pending.events.size());
+        spdlog::info("leader: {} pending records to adopt", pending.events.size());
     adoption_.receive(pending);
 }
 
@@ -248,8 +248,8 @@
 void Leader::log_capacity() {
     if (!spdlog::should_log(spdlog::level::debug) || context_.now < next_capacity_log_) return;
     next_capacity_log_ = context_.now + kCapacityLogPause_s;
-    spdlog::debug("room: {}", capacity_text(capacity_breakdown(
-                                  context_.cluster, usable_now(context_), context_.now)));
+    spdlog::debug("capacity: {}", capacity_text(capacity_breakdown(
+                                      context_.cluster, usable_now(context_), context_.now)));
     for (auto& [key, q] : forecast_.queues())
         if (q.jobs > 0)
             spdlog::debug(
--- a/src/protocol/peer.capnp
+++ b/src/protocol/peer.capnp
@@ -30,7 +30,7 @@
   links @5 :Links;   # with a ping
 }
 
-# What a controller says of its links (membership/decide.h).
+# What a controller says of its links (membership/link_policy.h).
 struct Links {
   state @0 :Bool;
   direct @1 :UInt32;
@@ -44,6 +44,6 @@
   body @1 :Data;
   retryAfterS @2 :UInt16;
   token @3 :UInt64;
-  undecided @4 :Bool;  # the callee does not lead, or not yet, or is unsure of it: another door may serve
+  undecided @4 :Bool;  # the callee does not lead, or not yet, or is unsure of it: a standby controller may serve
   links @5 :Links;     # to a ping
 }
--- a/src/standby/standby_service.cpp
+++ b/src/standby/standby_service.cpp
@@ -92,7 +92,7 @@
     if (!adopters) co_return;
     bool adopt = all_controllers_adopt(settings_, adopters.value);
     if (adopt != all_controllers_adopt_)
-        spdlog::info("door: {}",
+        spdlog::info("standby: {}",
                      adopt ? "every controller collects" : "closed, not every controller collects");
     all_controllers_adopt_ = adopt;
 }
@@ -103,7 +103,7 @@
     try {
         cluster_.set_types(parse_machine_types(json::serialize(types.value.value)));
     } catch (const BadMessage& e) {
-        spdlog::error("door: malformed record {}: {}", kTypesKey, e.what());
+        spdlog::error("standby: malformed record {}: {}", kTypesKey, e.what());
     }
 }
 
@@ -145,7 +145,7 @@
     try {
         out->pending = parse_pending_record(item.value.value);
     } catch (const BadMessage& e) {
-        spdlog::error("door: malformed record {}: {}", pending_key(id), e.what());
+        spdlog::error("standby: malformed record {}: {}", pending_key(id), e.what());
         co_return false;
     }
     out->pending_version = item.value.version;
@@ -171,7 +171,7 @@
     try {
         if (ended) reads.ended = parse_final(ended.value.value);
     } catch (const BadMessage& e) {
-        spdlog::error("door: malformed record {}: {}", final_key(id), e.what());
+        spdlog::error("standby: malformed record {}: {}", final_key(id), e.what());
         co_return std::nullopt;
     }
     out.standing = job_standing(reads);
@@ -305,7 +305,7 @@
         co_return standby_reply(id, live.standing, PeerOp::Submit);
     if (log_.view().may_have_ended(id, ends_read)) co_return retry_later();
     metrics_.count("door_jobs_accepted_total");
-    spdlog::debug("door: {} accepted", id);
+    spdlog::debug("standby: {} accepted", id);
     auto state = record.cancelled ? JobState::Cancelled : JobState::Queued;
     co_return PeerReply{201, job_answer(id, state)};
 }
@@ -346,7 +346,7 @@
         if (!found) break;
         auto reply = standby_reply(id, found->standing, PeerOp::Cancel);
         if (reply.status == 200) {
-            spdlog::debug("door: {} told as cancelled, or as ended", id);
+            spdlog::debug("standby: {} reported as cancelled or ended", id);
             co_return reply;
         }
         co_await sleep_s(kCancellationPoll_s);
--- a/src/standby/standby_service.h
+++ b/src/standby/standby_service.h
@@ -1,6 +1,6 @@
 // Standby request path: serves users through the state service while no leader answers this
 // controller. An actor that owns its copy of the log and the rates at which it reads and writes; on
-// the io_context's one thread. docs/design-doors.md has the argument why that is safe beside any
+// the io_context's one thread. docs/design-standby.md has the argument why that is safe beside any
 // leader, and docs/operations.md, "When nobody leads", what operators see.
 #pragma once
 #include <functional>
--- a/src/standby/state_log_follower.cpp
+++ b/src/standby/state_log_follower.cpp
@@ -87,7 +87,7 @@
         try {
             if (!view_.apply_page(page.value, first_page)) co_return ReadResult::Gap;
         } catch (const BadMessage& e) {
-            spdlog::error("door: malformed record after {}: {}", after, e.what());
+            spdlog::error("standby: malformed record after {}: {}", after, e.what());
             start_over();
             co_return ReadResult::Failed;
         }
--- a/src/state/pending_records.h
+++ b/src/state/pending_records.h
@@ -4,7 +4,7 @@
 // Keys: `d/<id>` a submission or a cancellation that a standby accepted and that no leader has
 // adopted yet; `v/<name>` states that a controller's version adopts pending records. The
 // transactions here are the only ones that a controller writes without being the leader;
-// docs/design-doors.md has the argument for each of their conditions, and
+// docs/design-standby.md has the argument for each of their conditions, and
 // tests/standby_model_test.cpp removes them one by one. Pure functions.
 #pragma once
 #include <boost/json.hpp>
--- a/tests/service.h
+++ b/tests/service.h
@@ -43,7 +43,7 @@
         double patience_s = 4;  // of workers, for an answer
         std::set<int> old{};    // controllers whose version says nothing of links
     };
-    // What a controller calls, or is called over; see standin/cable.h.
+    // What a controller calls, or is called over; see fakes/faulty_link.h.
     std::map<std::pair<int, int>, std::unique_ptr<fakes::FaultyLink>> peer_links;  // from, to
     std::vector<std::unique_ptr<fakes::FaultyLink>> kv_links, worker_cables;
     explicit Service(int count) : Service(count, With{}) {}
--- a/tests/standby_model_test.cpp
+++ b/tests/standby_model_test.cpp
@@ -1,8 +1,8 @@
 // A model check of the doors' records: every interleaving of two doors, two leaders and one job,
 // with answers that are lost and transactions that are executed again at any later time. The doors'
-// transactions are the real ones (doors/records.h); those of the leaders are held to the ledger's
-// by DoorRecords.TheLeadersTransactionsAreThoseOfTheModel. Each condition is then taken away on its
-// own, and the model must find what that one guards against.
+// transactions are the real ones (state/pending_records.h); those of the leaders are held to the
+// ledger's by DoorRecords.TheLeadersTransactionsAreThoseOfTheModel. Each condition is then taken
+// away on its own, and the model must find what that one guards against.
 #include <gtest/gtest.h>
 
 #include <algorithm>
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -49,7 +49,7 @@
 }
 
 TEST(DoorRecords, TheLeadersTransactionsAreThoseOfTheModel) {
-    // tests/door_model_test.cpp takes these conditions for granted.
+    // tests/standby_model_test.cpp takes these conditions for granted.
     struct Row {
         uint64_t standby;
         std::map<std::string, uint64_t> conditions;
