--- a/src/controller/instance_manager.h
+++ b/src/controller/instance_manager.h
@@ -39,7 +39,7 @@
     void start_reading_types();
     // Reads the list of machines again and again, until the term is over.
     void start_reading_list();
-    // The machine types that an earlier leader recorded. Throws BadMessage.
+    // The machine types that an earlier leader recorded.
     void set_recorded_types(std::string record) { recorded_types_ = std::move(record); }
     // Nothing is provisioned before this time (steady clock, seconds).
     void defer_scale_out(double until) { provision_not_before_ = until; }
