--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -83,8 +83,8 @@
     set_leader("", 0);
     // The term ends before the state service is told, and is never resumed.
     auto term = std::exchange(term_, nullptr);
-    if (term->transferred_to)
-        co_await release_leadership(term->fencing_token, *term->transferred_to);
+    if (auto transfer = term->transferred_to)
+        co_await release_leadership(term->fencing_token, *transfer);
 }
 
 asio::awaitable<bool> Election::watch_leader() {
--- a/src/membership/link_policy.cpp
+++ b/src/membership/link_policy.cpp
@@ -74,7 +74,7 @@
     for (auto& peer : others) {
         auto& reaches = peer.links.reachable_peers;
         if (peer.reachable && peer.name != leader &&
-            std::find(reaches.begin(), reaches.end(), leader) != reaches.end())
+            std::ranges::find(reaches, leader) != reaches.end())
             return peer.name;
     }
     return std::nullopt;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -2,6 +2,7 @@
 
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
 #include <boost/asio.hpp>
 
 #include "membership/link_records.h"
@@ -96,8 +97,7 @@
 }
 
 Membership::Peer* Membership::find_peer(const std::string& name) {
-    bool named = std::any_of(settings_.peers.begin(), settings_.peers.end(),
-                             [&](auto& p) { return p.name == name; });
+    bool named = std::ranges::any_of(settings_.peers, [&](auto& p) { return p.name == name; });
     return named ? &peers_[name] : nullptr;
 }
 
@@ -214,11 +214,12 @@
     if (!may_transfer(last_transfer_, times_.transfer_pause_s, settings_.clock_off_ms / 1000, wall))
         co_return;
     if (hooks_.leads_since() != since || candidate_.empty()) co_return;
-    auto theirs = *peer_links(candidate_, now);
+    auto theirs = peer_links(candidate_, now);
+    if (!theirs) co_return;
     spdlog::info(
         "links: hands over to {}: workers direct={} reach={} of {}, there direct={} reach={}",
         candidate_, own.direct_workers, own.reachable_workers, own.known_workers,
-        theirs.direct_workers, theirs.reachable_workers);
+        theirs->direct_workers, theirs->reachable_workers);
     metrics_.count("hand_overs_total");
     hooks_.transfer_leadership(
         next_transfer(last_transfer_, times_.transfer_pause_s, settings_.name, candidate_, wall));
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -40,9 +40,9 @@
     [[nodiscard]] std::vector<PeerView> peer_views(double now) const;
     [[nodiscard]] std::optional<LinkStatus> peer_links(const std::string& peer, double now) const;
     // The peer answered, or called, and reported these links.
-    void record_contact(const std::string& peer, const LinkStatus& links);
+    void record_contact(const std::string& name, const LinkStatus& links);
     // A call to the peer got no answer.
-    void record_timeout(const std::string& peer);
+    void record_timeout(const std::string& name);
     bool reaches_kv(double now) const { return is_fresh(kv_.answered_at(), now); }
     // How long this controller lets others go first in a campaign, seconds; see campaign_wait of
     // link_policy.h.
--- a/src/standby/standby_decisions.cpp
+++ b/src/standby/standby_decisions.cpp
@@ -43,7 +43,7 @@
 }
 
 PeerReply standby_reply(const std::string& id, const JobStanding& s, PeerOp op) {
-    const PeerReply not_now{503, R"({"error":"not now"})", 1, 0};
+    PeerReply not_now{503, R"({"error":"not now"})", 1, 0};
     if (s.place == JobPlace::Unclear) return not_now;
     if (s.place == JobPlace::Nowhere) return {404, "{}"};
     if (op == PeerOp::Status) return {200, job_status(id, s.state, s.done, s.running)};
@@ -53,11 +53,11 @@
 
 bool all_controllers_adopt(const Settings& settings, const KvPage& adopters) {
     auto adopts = [&](const std::string& name) {
-        return std::any_of(adopters.items.begin(), adopters.items.end(),
-                           [&](auto& item) { return item.key == adopter_key(name); });
+        return std::ranges::any_of(adopters.items,
+                                   [&](auto& item) { return item.key == adopter_key(name); });
     };
-    return adopts(settings.name) && std::all_of(settings.peers.begin(), settings.peers.end(),
-                                                [&](auto& p) { return adopts(p.name); });
+    return adopts(settings.name) &&
+           std::ranges::all_of(settings.peers, [&](auto& p) { return adopts(p.name); });
 }
 
 }  // namespace weirmill
--- a/src/standby/standby_service.cpp
+++ b/src/standby/standby_service.cpp
@@ -36,7 +36,7 @@
 constexpr double kReadsPerRequest = 4;
 constexpr size_t kMaxDependencyReads = 8;  // of dependencies that are not alive, per submission
 // Of a value's limit: the log's entry is longer than the pending record.
-constexpr size_t kRecordHeadroom_bytes = 200;
+constexpr size_t kRecordHeadroomBytes = 200;
 constexpr int kFullRetry_s = 10;  // for a submission while the cluster holds its limit of tasks
 
 PeerReply retry_later(int seconds = 1) { return {503, R"({"error":"not now"})", seconds, 0}; }
@@ -241,8 +241,8 @@
     if (check.refusal) co_return *check.refusal;
     record.cancelled = check.cancelled;
     // The leader writes a longer one to the log in pieces; here there is one value for it.
-    if (pending_record(record).size() + kRecordHeadroom_bytes > settings_.value_kb * 1024)
-        co_return retry_later();
+    auto bytes = static_cast<double>(pending_record(record).size() + kRecordHeadroomBytes);
+    if (bytes > settings_.value_kb * 1024) co_return retry_later();
     if (log_.view().tasks() + spec.tasks > cluster_.max_tasks) co_return retry_later(kFullRetry_s);
     if (!take_write()) co_return retry_later();
     co_return co_await accept(std::move(spec.id), std::move(record));
--- a/src/standby/state_log_follower.h
+++ b/src/standby/state_log_follower.h
@@ -35,7 +35,7 @@
         Failed,  // no answer, or a malformed record
     };
     struct Waiter {
-        uint64_t read;  // the first that begins after it asked
+        uint64_t read = 0;  // the first that begins after it asked
         OneShot<bool> done;
     };
     boost::asio::awaitable<void> read_loop();
--- a/src/storage/kv_client.cpp
+++ b/src/storage/kv_client.cpp
@@ -42,13 +42,13 @@
       watches_(io, s.state, kMaxWatchBytes) {}
 
 template <class F>
-asio::awaitable<KvResult<std::invoke_result_t<F, std::string_view>>> KvClient::send(HttpClient& via,
+asio::awaitable<KvResult<std::invoke_result_t<F, std::string_view>>> KvClient::send(HttpClient* via,
                                                                                     Request request,
                                                                                     F parse) {
     KvResult<std::invoke_result_t<F, std::string_view>> result;
     result.operation = request.operation;
-    auto answer = co_await via.request(request.method, request.target, std::move(request.body),
-                                       request.timeout_s);
+    auto answer = co_await via->request(request.method, request.target, std::move(request.body),
+                                        request.timeout_s);
     if (!answer) co_return result;
     auto outcome = outcome_of(static_cast<unsigned>(answer->status));
     try {
@@ -68,40 +68,41 @@
     co_return result;
 }
 
-asio::awaitable<KvResult<KvItem>> KvClient::get(std::string key, double timeout_s) {
-    return send(calls_, {KvOperation::Get, "GET", kv_key_target(key), "", timeout_s},
+asio::awaitable<KvResult<KvItem>> KvClient::get(const std::string& key, double timeout_s) {
+    return send(&calls_, {KvOperation::Get, "GET", kv_key_target(key), "", timeout_s},
                 parse_kv_item);
 }
 
-asio::awaitable<KvResult<KvPage>> KvClient::list(std::string prefix, std::string after, int limit,
+asio::awaitable<KvResult<KvPage>> KvClient::list(const std::string& prefix,
+                                                 const std::string& after, int limit,
                                                  double timeout_s) {
-    return send(calls_,
+    return send(&calls_,
                 {KvOperation::List, "GET", kv_list_target(prefix, after, limit), "", timeout_s},
                 parse_kv_page);
 }
 
-asio::awaitable<KvResult<uint64_t>> KvClient::txn(CasTransaction t, double timeout_s) {
-    return send(calls_, {KvOperation::Transaction, "POST", paths::kTxn, txn_json(t), timeout_s},
+asio::awaitable<KvResult<uint64_t>> KvClient::txn(const CasTransaction& txn, double timeout_s) {
+    return send(&calls_, {KvOperation::Transaction, "POST", paths::kTxn, txn_json(txn), timeout_s},
                 parse_revision);
 }
 
 asio::awaitable<KvResult<uint64_t>> KvClient::grant(double ttl_s, double timeout_s) {
     auto body = lease_json(static_cast<int64_t>(ttl_s * 1000));
-    return send(leases_,
+    return send(&leases_,
                 {KvOperation::GrantLease, "POST", paths::kLeases, std::move(body), timeout_s},
                 parse_lease);
 }
 
 asio::awaitable<KvResult<bool>> KvClient::renew(uint64_t lease, double timeout_s) {
     auto target = fmt::format("{}/{}{}", paths::kLeases, lease, paths::kRenew);
-    return send(leases_, {KvOperation::RenewLease, "POST", std::move(target), "", timeout_s},
+    return send(&leases_, {KvOperation::RenewLease, "POST", std::move(target), "", timeout_s},
                 [](std::string_view) { return true; });
 }
 
-asio::awaitable<KvResult<KvWatch>> KvClient::watch(std::string prefix, uint64_t after,
+asio::awaitable<KvResult<KvWatch>> KvClient::watch(const std::string& prefix, uint64_t after,
                                                    double wait_s) {
     auto target = kv_watch_target(prefix, after, static_cast<int>(wait_s * 1000));
-    return send(watches_,
+    return send(&watches_,
                 {KvOperation::Watch, "GET", std::move(target), "", wait_s + kWatchSpare_s},
                 parse_watch);
 }
--- a/src/storage/kv_client.h
+++ b/src/storage/kv_client.h
@@ -47,20 +47,21 @@
     KvClient(boost::asio::io_context& io, const Settings& settings);
 
     // Timeouts in seconds; past them the outcome is Unknown.
-    boost::asio::awaitable<KvResult<KvItem>> get(std::string key, double timeout_s);
+    boost::asio::awaitable<KvResult<KvItem>> get(const std::string& key, double timeout_s);
     // Items whose keys begin with `prefix`, in order, after the key `after` (empty: from the
     // first).
-    boost::asio::awaitable<KvResult<KvPage>> list(std::string prefix, std::string after, int limit,
+    boost::asio::awaitable<KvResult<KvPage>> list(const std::string& prefix,
+                                                  const std::string& after, int limit,
                                                   double timeout_s);
     // The value is the revision at which it was applied.
-    boost::asio::awaitable<KvResult<uint64_t>> txn(CasTransaction txn, double timeout_s);
+    boost::asio::awaitable<KvResult<uint64_t>> txn(const CasTransaction& txn, double timeout_s);
     // The value is the new lease.
     boost::asio::awaitable<KvResult<uint64_t>> grant(double ttl_s, double timeout_s);
     // Missing: the lease has ended.
     boost::asio::awaitable<KvResult<bool>> renew(uint64_t lease, double timeout_s);
     // Answers once a key that begins with `prefix` has changed after the revision `after`, or
     // `wait_s` have passed.
-    boost::asio::awaitable<KvResult<KvWatch>> watch(std::string prefix, uint64_t after,
+    boost::asio::awaitable<KvResult<KvWatch>> watch(const std::string& prefix, uint64_t after,
                                                     double wait_s);
 
     // When the key-value store last answered this controller, refusals aside; steady clock,
@@ -77,7 +78,7 @@
     };
     template <class F>
     boost::asio::awaitable<KvResult<std::invoke_result_t<F, std::string_view>>> send(
-        HttpClient& via, Request request, F parse);
+        HttpClient* via, Request request, F parse);
 
     // Apart, so that neither a long watch nor many calls delay the renewal of a lease.
     HttpClient calls_, leases_, watches_;
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -151,7 +151,7 @@
     }
 }
 
-TEST(StateCodec, WritesTransactionsAndReadsAnswers) {
+TEST(KvCodec, WritesTransactionsAndReadsAnswers) {
     CasTransaction txn{{{"a/b", 0}}, {{"a/b", "{\"x\":1}", 7}, {"c/d", "", 0}}};
     EXPECT_EQ(json::parse(txn_json(txn)), json::parse(R"({"when":[{"path":"a/b","stamp":0}],
         "then":[{"write":"a/b","value":{"x":1},"permit":7},{"drop":"c/d"}]})"));
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -198,7 +198,7 @@
     EXPECT_EQ(machine.images, (std::vector<Index>{specs[0].image, specs[2].image}));
 }
 
-TEST(Gangs, TasksThatWouldWaitTooLongForAFetchAreLaunchedAfterIt) {
+TEST(GangLaunch, TasksThatWouldWaitTooLongForAFetchAreLaunchedAfterIt) {
     // An image that takes longer to fetch than tasks wait for each other: those that had it gave
     // up, the fetch was given up with them, and the gang began anew for ever.
     struct Row {
@@ -261,7 +261,7 @@
     EXPECT_EQ(w.cluster.jobs[first]->placed, 2u);
 }
 
-TEST(Sizing, MachinesStayEmptyForGangsThatComeBeforeOthersAreCleared) {
+TEST(Autoscaler, MachinesStayEmptyForGangsThatComeBeforeOthersAreCleared) {
     struct Row {
         const char* why;
         JobKind kind;
@@ -509,7 +509,7 @@
     }
 }
 
-TEST(Sizing, RentsNothingInAZoneThatFellSilent) {
+TEST(Autoscaler, RentsNothingInAZoneThatFellSilent) {
     // During a cut of a zone, machines used to be rented there, and paid for, that nobody could
     // reach.
     World w;
@@ -526,7 +526,7 @@
     for (auto& r : rentals) EXPECT_EQ(w.cluster.names.zones.name(r.zone), "b");
 }
 
-TEST(Sizing, AnIdleMachineIsKeptForGangsOnly) {
+TEST(Autoscaler, AnIdleMachineIsKeptForGangsOnly) {
     // Every waiting job once kept every machine that suited it, though the job was held back by
     // other things.
     struct Row {
@@ -666,7 +666,7 @@
     EXPECT_EQ(waiting_jobs(w.cluster, w.now), (std::vector<Index>{owed, high, due, late}));
 }
 
-TEST(Sizing, RentsForWhatNeitherFitsNorIsComing) {
+TEST(Autoscaler, RentsForWhatNeitherFitsNorIsComing) {
     World w;
     auto std_type = w.cluster.names.types.find("std");
     auto zone_a = w.cluster.names.zones.find("a"), zone_b = w.cluster.names.zones.find("b");
@@ -687,7 +687,7 @@
               (std::vector<ScaleOutRequest>{{std_type, zone_b, true, 2}}));
 }
 
-TEST(Sizing, AJobBoundToOneZoneIsNotKeptInAZoneThatIsFull) {
+TEST(Autoscaler, AJobBoundToOneZoneIsNotKeptInAZoneThatIsFull) {
     // With one machine in zone a and no more to be had there, jobs queued for it while zone b was
     // empty.
     World w;
@@ -707,7 +707,7 @@
               (std::vector<ScaleOutRequest>{{std_type, zone_b, false, 1}}));
 }
 
-TEST(Sizing, AMachineJustRentedIsNotRentedAgain) {
+TEST(Autoscaler, AMachineJustRentedIsNotRentedAgain) {
     // One that is coming up was taken to be later than a new one, and rented again at each pass.
     World w;
     auto s = w.spec("req-1", JobKind::Array, 1, 8);
@@ -721,7 +721,7 @@
         EXPECT_TRUE(plan_scale_out(w.cluster, any_machine, {}, w.now + later).empty()) << later;
 }
 
-TEST(Sizing, WaitsForRoomThatComesSoonerThanANewMachine) {
+TEST(Autoscaler, WaitsForRoomThatComesSoonerThanANewMachine) {
     struct Row {
         const char* why;
         double price;  // of the dearest type: 1, or ten times as much
@@ -768,7 +768,7 @@
     }
 }
 
-TEST(Sizing, KeepsRoomForJobsThatShouldStartSoonerThanANewMachine) {
+TEST(Autoscaler, KeepsRoomForJobsThatShouldStartSoonerThanANewMachine) {
     World w;
     auto s = w.spec("req-1", JobKind::Gang, 2, 7);
     w.cluster.classes.resize(s.job_class + 1);
@@ -789,7 +789,7 @@
     EXPECT_EQ(plan_scale_in(w.cluster, {0.3, 1}, w.now).size(), 2u);
 }
 
-TEST(Sizing, ReturnsIdleGivenUpAndFailedMachines) {
+TEST(Autoscaler, ReturnsIdleGivenUpAndFailedMachines) {
     World w;
     auto idle = w.machine("idle"), busy = w.machine("busy"), abandoned = w.machine("doomed"),
          fresh = w.machine("fresh");
@@ -835,7 +835,7 @@
     }
 }
 
-TEST(Sizing, ThePlanIsTheSameWhetherMachinesAreKeptInOrderOrLookedAtAnew) {
+TEST(Autoscaler, ThePlanIsTheSameWhetherMachinesAreKeptInOrderOrLookedAtAnew) {
     // Lists kept between jobs must follow every change that a job's plan makes: random clusters,
     // with few kinds of tasks and with many.
     size_t rentals = 0;
--- a/tests/downlink_test.cpp
+++ b/tests/downlink_test.cpp
@@ -181,7 +181,7 @@
     return nullptr;
 }
 
-TEST(HearingService, WorkGoesElsewhereFromAMachineThatHearsNothingAndItIsGivenBack) {
+TEST(DownlinkService, WorkGoesElsewhereFromAMachineThatHearsNothingAndItIsGivenBack) {
     // It was heard, and so it kept its tasks, got new ones at each of its sessions and was never
     // given back.
     Service s(1);
@@ -203,7 +203,7 @@
     EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
 }
 
-TEST(HearingService, AMachineThatHearsAgainIsUsedAgain) {
+TEST(DownlinkService, AMachineThatHearsAgainIsUsedAgain) {
     Service s(1);
     EXPECT_EQ(s.submit("req-1", "array", 1, {0.2}), 201);
     EXPECT_TRUE(s.done("req-1"));
@@ -216,7 +216,7 @@
     EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
 }
 
-TEST(HearingService, CopiesOfReportsChangeNothing) {
+TEST(DownlinkService, CopiesOfReportsChangeNothing) {
     // Of each report five old ones come again, to any controller, while jobs run, the leader ends
     // and machines go silent: each task starts once on a sound machine, and no lease is kept from
     // running out.
@@ -239,7 +239,7 @@
     EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
 }
 
-TEST(HearingService, AMachineThatIsBackAtOnceLosesItsTasksAndIsUsedAgain) {
+TEST(DownlinkService, AMachineThatIsBackAtOnceLosesItsTasksAndIsUsedAgain) {
     // Its counts begin anew: taken for copies, its reports were answered without an end, and what
     // had been there was believed to run.
     Service s(1);
--- a/tests/fault_scenarios_service_test.cpp
+++ b/tests/fault_scenarios_service_test.cpp
@@ -16,7 +16,7 @@
 // The state service refuses the leader alone, another controller confirms a cancellation, and then
 // the state service is down for all for longer than cancel_s, while the workers keep reporting to
 // the old leader.
-TEST(Meetings, ACancellationThatTheOldLeaderCannotKnowOfEndsItsTasksInTimeThroughAnOutage) {
+TEST(FaultScenarios, ACancellationThatTheOldLeaderCannotKnowOfEndsItsTasksInTimeThroughAnOutage) {
     struct Row {
         const char* what;
         bool commands;  // the next leader's stops reach the workers
@@ -53,7 +53,7 @@
 // No transaction of anybody is answered, each is carried out late: the record of a cancellation
 // stands, doors read it and tell users, and the leader has no answer for it. The tasks used to run
 // on for as long as that lasted.
-TEST(Meetings, TasksOfACancelledJobEndAlthoughItsLeaderNeverLearnsThatItIsRecorded) {
+TEST(FaultScenarios, TasksOfACancelledJobEndAlthoughItsLeaderNeverLearnsThatItIsRecorded) {
     FaultScenario s(2);
     s.start("req-2", 3);
     s.state->delay_txns = 1 << 20;
@@ -72,7 +72,7 @@
 // The same, and jobs are taken, started and ended: what was carried out is read. A leader that
 // waited for an answered copy did nothing for as long as none was, and polls of a job that was
 // being cancelled all failed.
-TEST(Meetings, WithoutAnyAnsweredTransactionWorkGoesOnAndEveryJobStaysKnown) {
+TEST(FaultScenarios, WithoutAnyAnsweredTransactionWorkGoesOnAndEveryJobStaysKnown) {
     FaultScenario s(2);
     s.start("req-2", 2);
     s.state->delay_txns = 1 << 20;
@@ -98,7 +98,7 @@
 // The record of a job's end stands, its leader has no answer for it, and controllers refuse each
 // other: a follower's door reads the end and tells it. The leader used to call the same job running
 // afterwards.
-TEST(Meetings, NobodyCallsAJobRunningOfWhichADoorHasToldTheEnd) {
+TEST(FaultScenarios, NobodyCallsAJobRunningOfWhichADoorHasToldTheEnd) {
     for (bool cancelled : {false, true}) {
         FaultScenario s(2, apart());
         s.start("req-2", 2, cancelled ? 1000 : 1.5);
@@ -125,7 +125,7 @@
 // Renewals are carried out at once and answered after more than a quarter of the lease: the leader
 // stays sure of it. It used to give each up after a quarter, and led no more, while nobody else
 // could.
-TEST(Meetings, AStateServiceThatAnswersRenewalsSlowlyKeepsItsLeader) {
+TEST(FaultScenarios, AStateServiceThatAnswersRenewalsSlowlyKeepsItsLeader) {
     Service::With with;
     with.lease_s = 6;
     FaultScenario s(2, with);
@@ -146,7 +146,7 @@
 
 // A leader ends while a machine with long tasks is silent, or does not hear the next leader's
 // answers: nothing of it starts elsewhere before its lease is over, and all of it runs in the end.
-TEST(Meetings, LongTasksOnMachinesOutOfReachOutliveAChangeOfLeaderOrStartAnew) {
+TEST(FaultScenarios, LongTasksOnMachinesOutOfReachOutliveAChangeOfLeaderOrStartAnew) {
     for (bool downlink_lost : {false, true}) {
         FaultScenario s(2);
         s.start("req-2", 4, 6);
@@ -170,7 +170,7 @@
 
 // Tasks of one job end far apart, with a change of leader after each: each is counted once, and the
 // job is done when the last is, not before and not never.
-TEST(Meetings, TasksThatEndFarApartAcrossChangesOfLeaderAreCountedOnce) {
+TEST(FaultScenarios, TasksThatEndFarApartAcrossChangesOfLeaderAreCountedOnce) {
     FaultScenario s(3, apart());
     fakes::Job job;
     job.run_s = 0.3;
@@ -193,7 +193,7 @@
 
 // A stop is held up on its way to the machine, whose worker goes on reporting; by the time that it
 // arrives the job has ended and another job's task, or a later attempt, is there.
-TEST(Meetings, AStopThatIsHeldUpStopsNothingThatCameLater) {
+TEST(FaultScenarios, AStopThatIsHeldUpStopsNothingThatCameLater) {
     FaultScenario s(2, apart());
     s.start("req-2", 3);
     for (auto& [name, w] : s.cloud->workers) w->hold_commands = true;
@@ -214,7 +214,7 @@
 // The state service answers slowly, refuses the leader, then all, while users cancel and ask:
 // whatever node answers, no answer is older than one given, and "aborted" is told of recorded
 // cancellations alone.
-TEST(Meetings, NoAnswerGoesBackWhileTheStateServiceIsSlowThenRefusesOneThenAll) {
+TEST(FaultScenarios, NoAnswerGoesBackWhileTheStateServiceIsSlowThenRefusesOneThenAll) {
     FaultScenario s(3, apart());
     s.start("req-2", 2);
     s.start("req-3", 2);
@@ -270,7 +270,7 @@
 // Users ask at all nodes within milliseconds, again and again: right after a job was accepted, at
 // the end of its task and after a confirmed cancellation, which comes at that end, too. What they
 // were told is judged by the history.
-TEST(Meetings, WhoeverAsksAtAnyNodeAroundAnEndIsToldNothingOlder) {
+TEST(FaultScenarios, WhoeverAsksAtAnyNodeAroundAnEndIsToldNothingOlder) {
     struct Row {
         const char* what;
         bool peers;                                        // controllers hear each other
@@ -391,7 +391,7 @@
 
 // Controllers hand over and back, all end, and one is back at once: tasks run on, and each starts
 // once.
-TEST(Meetings, AllEndInTheMiddleOfAnElectionAndOneIsBackAtOnce) {
+TEST(FaultScenarios, AllEndInTheMiddleOfAnElectionAndOneIsBackAtOnce) {
     Service::With with;
     with.links = true;  // for a lease of the workers that outlasts all this
     FaultScenario s(2, with);
--- a/tests/membership_model_test.cpp
+++ b/tests/membership_model_test.cpp
@@ -253,7 +253,7 @@
     std::string wrong_;
 };
 
-TEST(HandOverModel, NoInterleavingBreaksARuleAndEachConditionIsNeeded) {
+TEST(TransferModel, NoInterleavingBreaksARuleAndEachConditionIsNeeded) {
     Model whole(kAll);
     EXPECT_EQ(whole.run(), "");
     EXPECT_GT(whole.states(), 100000u);
--- a/tests/more_fault_scenarios_service_test.cpp
+++ b/tests/more_fault_scenarios_service_test.cpp
@@ -32,7 +32,7 @@
 // A zone with workers and the leader is cut off for longer than a worker's lease: inside they hear
 // each other, outside another controller leads, cancels, and starts nothing of the zone's work
 // before it is proven gone.
-TEST(FurtherMeetings, AZoneWithItsControllerCutOffForLongerThanALease) {
+TEST(MoreFaultScenarios, AZoneWithItsControllerCutOffForLongerThanALease) {
     FaultScenario s(3, apart());
     s.start("req-2", 4);
     s.start("req-3", 4, 12);
@@ -59,7 +59,7 @@
 
 // All controllers stand still, or end, for longer than a worker's lease: all work starts anew, each
 // task once more, and what users were told holds.
-TEST(FurtherMeetings, AllControllersAreAwayForLongerThanALease) {
+TEST(MoreFaultScenarios, AllControllersAreAwayForLongerThanALease) {
     for (bool end : {false, true}) {
         SCOPED_TRACE(end);
         FaultScenario s(3, apart());
@@ -81,7 +81,7 @@
 
 // Leaders change ten times, once inside an outage; at each change a job is submitted and another
 // cancelled.
-TEST(FurtherMeetings, LeadersChangeTenTimesAlsoInsideAnOutage) {
+TEST(MoreFaultScenarios, LeadersChangeTenTimesAlsoInsideAnOutage) {
     Service::With with = apart();
     with.lease_s = 0.8;
     FaultScenario s(3, with);
@@ -111,7 +111,7 @@
 
 // Old reports come to every controller once more: as a new leader begins, before any newer one
 // does, or once it has acted. What has ended is not brought back, what runs is not taken for lost.
-TEST(FurtherMeetings, OldReportsReachEveryControllerAsANewLeaderBeginsOrHasActed) {
+TEST(MoreFaultScenarios, OldReportsReachEveryControllerAsANewLeaderBeginsOrHasActed) {
     for (bool acted : {false, true}) {
         SCOPED_TRACE(acted);
         Service::With with = apart();
@@ -148,7 +148,7 @@
 // A team is at its limit as the leader changes; machines with its tasks are silent, hang or reach
 // no controller, and those jobs are cancelled. What may still be there counts toward the limit;
 // what waits begins once it is gone.
-TEST(FurtherMeetings, ATeamAtItsLimitCountsWhatMayStillBeOnMachinesOutOfReach) {
+TEST(MoreFaultScenarios, ATeamAtItsLimitCountsWhatMayStillBeOnMachinesOutOfReach) {
     struct Row {
         const char* what;
         void (*away)(fakes::Worker&, bool);
@@ -187,7 +187,7 @@
 
 // New machines are up at once and get work while writes lag, and the leader ends: before its
 // placements are recorded, or with their record on its way.
-TEST(FurtherMeetings, MachinesThatAreUpAtOnceGetWorkWhileWritesLagAndTheLeaderEnds) {
+TEST(MoreFaultScenarios, MachinesThatAreUpAtOnceGetWorkWhileWritesLagAndTheLeaderEnds) {
     for (int lag : {1, 4}) {
         SCOPED_TRACE(lag);
         Service::With with;
@@ -216,7 +216,7 @@
 // Users call jobs off at the very moment at which the state service refuses the leader alone; soon
 // after, it is out for all for longer than cancel_s. Whoever was told "aborted" finds it so, and
 // its tasks end in time.
-TEST(FurtherMeetings, CancellationsAtTheMomentAtWhichTheLeaderAloneIsRefusedBeforeALongOutage) {
+TEST(MoreFaultScenarios, CancellationsAtTheMomentAtWhichTheLeaderAloneIsRefusedBeforeALongOutage) {
     for (double before : {-0.05, 0.0, 0.02}) {
         bool ends = before > 0;  // the leader, which alone was asked, in the outage
         SCOPED_TRACE(before);
@@ -262,7 +262,7 @@
 }
 
 // Jobs are cancelled at all nodes in the moment in which one controller's work goes to another.
-TEST(FurtherMeetings, CancellationsWhileOneControllersWorkChangesHands) {
+TEST(MoreFaultScenarios, CancellationsWhileOneControllersWorkChangesHands) {
     struct Row {
         const char* what;
         std::function<void(FaultScenario&)> change;
@@ -302,7 +302,7 @@
 
 // The machine of a cancelled job hangs and goes on, within its lease or after it, and meanwhile the
 // leader may change.
-TEST(FurtherMeetings, ACancelledTaskWhoseMachineHangsAndGoesOnIsGoneInTimeAndNeverBegins) {
+TEST(MoreFaultScenarios, ACancelledTaskWhoseMachineHangsAndGoesOnIsGoneInTimeAndNeverBegins) {
     struct Row {
         double leases;  // that it hangs
         bool change;    // of the leader
@@ -329,7 +329,7 @@
 // Workers can't open connections to any controller, while commands reach them: they are not taken
 // for deaf, cancelled tasks are stopped by command long before their lease ends, and others start
 // elsewhere only after it.
-TEST(FurtherMeetings, MachinesThatReachNoControllerButHearCommands) {
+TEST(MoreFaultScenarios, MachinesThatReachNoControllerButHearCommands) {
     Service::With with;
     with.links = true;  // for a lease of 6 s
     FaultScenario s(2, with);
@@ -357,7 +357,7 @@
 }
 
 // Jobs bound to one zone, a gang and an array, lose their machines: they go on in that zone alone.
-TEST(FurtherMeetings, JobsBoundToOneZoneLoseTheirMachines) {
+TEST(MoreFaultScenarios, JobsBoundToOneZoneLoseTheirMachines) {
     FaultScenario s(2);
     for (const char* kind : {"array", "ensemble"}) {
         std::string id = kind[0] == 'a' ? "req-2" : "req-3";
@@ -373,7 +373,7 @@
 
 // More work than a team's limit has room for, urgent and not: the limit holds, all of it runs in
 // the end, and the urgent part is not the last.
-TEST(FurtherMeetings, MoreWorkThanRoomUrgentAndNot) {
+TEST(MoreFaultScenarios, MoreWorkThanRoomUrgentAndNot) {
     FaultScenario s(3);
     s.cloud->limits["red"] = 32;
     for (int j = 0; j < 4; ++j)
@@ -392,7 +392,7 @@
 // While no transaction is answered at all, each carried out late, the leader ends: another is
 // elected all the same. A campaign that was carried out late used to find its lease over, for as
 // long as that lasted.
-TEST(FurtherMeetings, ACampaignThatIsCarriedOutLateFindsItsLeaseAlive) {
+TEST(MoreFaultScenarios, ACampaignThatIsCarriedOutLateFindsItsLeaseAlive) {
     Service::With with = apart();
     with.lease_s = 0.7;  // half as long as a transaction takes here
     FaultScenario s(2, with);
--- a/tests/standby_model_test.cpp
+++ b/tests/standby_model_test.cpp
@@ -596,7 +596,7 @@
     {"one cancels it, the other is asked of it", {{{0, 1, 0}, {0, 0, 1}}}},
 };
 
-TEST(DoorModel, NoInterleavingTellsAnythingOlderOrLosesAJob) {
+TEST(StandbyModel, NoInterleavingTellsAnythingOlderOrLosesAJob) {
     for (auto& row : kAsked) {
         Model model = row.model();
         EXPECT_EQ(model.run(), "") << row.what;
@@ -605,7 +605,7 @@
     }
 }
 
-TEST(DoorModel, EachConditionIsNeeded) {
+TEST(StandbyModel, EachConditionIsNeeded) {
     const std::pair<const char*, Model::Condition> conditions[] = {
         {"a door's acceptance without the door record", {{kAccept}, kDoor}},
         {"a door's acceptance without the final state", {{kAccept}, kFinal}},
--- a/tests/standby_service_test.cpp
+++ b/tests/standby_service_test.cpp
@@ -69,7 +69,7 @@
     }
 };
 
-TEST(Doors, AJobTakenWhileNobodyLeadsOutlivesTheFollowerThatTookIt) {
+TEST(StandbyService, AJobTakenWhileNobodyLeadsOutlivesTheFollowerThatTookIt) {
     Doors s(3);
     s.opened();
     auto old = s.leading();
@@ -86,7 +86,7 @@
     s.expect_no_rule_broken();
 }
 
-TEST(Doors, ControllersThatRefuseEachOtherServeTheirUsersAllTheSame) {
+TEST(StandbyService, ControllersThatRefuseEachOtherServeTheirUsersAllTheSame) {
     Doors s(3, {false, true, 0, 40, 12});
     s.opened();
     auto f = s.followers();
@@ -133,7 +133,7 @@
     s.expect_no_rule_broken();
 }
 
-TEST(Doors, ACancellationAtADoorHoldsWhereverTheJobIs) {
+TEST(StandbyService, ACancellationAtADoorHoldsWhereverTheJobIs) {
     Doors s(2, {false, true, 0, 40, 12});
     s.opened();
     auto node = s.followers()[0];
@@ -168,7 +168,7 @@
     s.expect_no_rule_broken();
 }
 
-TEST(Doors, ARetryAtAThirdNodeWhileTheFirstRecordIsUnknown) {
+TEST(StandbyService, ARetryAtAThirdNodeWhileTheFirstRecordIsUnknown) {
     Doors s(3);
     s.opened();
     auto old = s.leading();
@@ -189,7 +189,7 @@
     s.expect_no_rule_broken();
 }
 
-TEST(Doors, ANodeThatTheStateServiceRefusesAloneTellsItsUsersToComeBack) {
+TEST(StandbyService, ANodeThatTheStateServiceRefusesAloneTellsItsUsersToComeBack) {
     Doors s(3, {false, true, 0, 40, 12});
     s.opened();
     auto f = s.followers();
@@ -203,7 +203,7 @@
     s.expect_no_rule_broken();
 }
 
-TEST(Doors, StayClosedWhileAControllerMayBeOfAVersionThatDoesNotCollect) {
+TEST(StandbyService, StayClosedWhileAControllerMayBeOfAVersionThatDoesNotCollect) {
     // Such a leader would call an accepted job unknown.
     Doors s(2, {false, true, 1, 40, 12});
     auto node = static_cast<size_t>(s.followers()[0]);
@@ -219,7 +219,7 @@
     s.expect_no_rule_broken();
 }
 
-TEST(Doors, AJobThatHasEndedIsKnownHoweverLongItsRecordIsLeftOver) {
+TEST(StandbyService, AJobThatHasEndedIsKnownHoweverLongItsRecordIsLeftOver) {
     // Its polls were answered 503 for as long as the record could not be deleted.
     Doors s(1);
     s.crash(0);
@@ -239,7 +239,7 @@
     s.expect_no_rule_broken();
 }
 
-TEST(Doors, AnInboxOfTwoThousandIsCollectedByTheLeaderThatStarts) {
+TEST(StandbyService, AnInboxOfTwoThousandIsCollectedByTheLeaderThatStarts) {
     Doors s(1, {false, false, 0, 4000, 200});
     s.crash(0);
     constexpr int kJobs = 2000;
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -48,7 +48,7 @@
     FAIL() << "not read in two tries";
 }
 
-TEST(DoorRecords, TheLeadersTransactionsAreThoseOfTheModel) {
+TEST(PendingRecords, TheLeadersTransactionsAreThoseOfTheModel) {
     // tests/standby_model_test.cpp takes these conditions for granted.
     struct Row {
         uint64_t standby;
@@ -83,7 +83,7 @@
     }
 }
 
-TEST(DoorRecords, ManyJobsFromDoorsStayWithinTheLimitsOfATransaction) {
+TEST(PendingRecords, ManyJobsFromDoorsStayWithinTheLimitsOfATransaction) {
     World w;
     StateLog state_log(w.cluster, 41, kSmall);
     Store store;
@@ -102,7 +102,7 @@
     EXPECT_EQ(fresh.cluster.job_index.size(), 300u);
 }
 
-TEST(DoorRecords, AreReadAsTheyWereWrittenAndRefusedWhenTheyMakeNoSense) {
+TEST(PendingRecords, AreReadAsTheyWereWrittenAndRefusedWhenTheyMakeNoSense) {
     World w;
     PendingRecord r{submission_json(w.spec("req-1", JobKind::Gang, 3, 2), w.cluster.names), 1234.5,
                     true};
@@ -116,7 +116,7 @@
         EXPECT_THROW(parse_pending_record(json::parse(bad)), BadMessage) << bad;
 }
 
-TEST(DoorDecision, WhatIsFurtherAlongCounts) {
+TEST(StandbyDecision, WhatIsFurtherAlongCounts) {
     PendingRecord taken{json::object{}, 1, false}, cancelled{json::object{}, 1, true},
         request{nullptr, 0, true};
     StateLogView::Job waiting, running;
@@ -165,7 +165,7 @@
     }
 }
 
-TEST(DoorDecision, DoorsOpenOnceEveryControllerHasLeftItsMark) {
+TEST(StandbyDecision, DoorsOpenOnceEveryControllerHasLeftItsMark) {
     auto s = test::small_settings();
     s.peers = {{"node-1", "a", {}}, {"node-2", "b", {}}};
     struct Row {
@@ -181,7 +181,7 @@
     }
 }
 
-TEST(DoorDecision, PatienceFollowsTheLeadersAnswersWithinBounds) {
+TEST(StandbyDecision, PatienceFollowsTheLeadersAnswersWithinBounds) {
     struct Row {
         const char* what;
         std::vector<double> took;
--- a/tests/start_deadline_test.cpp
+++ b/tests/start_deadline_test.cpp
@@ -11,7 +11,7 @@
 using test::any_machine;
 using test::World;
 
-TEST(Begin, WhoIsLateToBegin) {
+TEST(StartDeadline, WhoIsLateToBegin) {
     World w;
     auto m = w.machine("m0");
     auto old = w.job(w.spec("req-1", JobKind::Array, 3, 1));
@@ -30,7 +30,7 @@
     EXPECT_TRUE(jobs_near_start_deadline(w.cluster, 0, w.now).empty());
 }
 
-TEST(Begin, ALateJobGoesBeforeItsEqualsAndNoFurther) {
+TEST(StartDeadline, ALateJobGoesBeforeItsEqualsAndNoFurther) {
     struct Row {
         const char* why;
         Priority late;
@@ -55,7 +55,7 @@
     }
 }
 
-TEST(Begin, MachinesAreGatheredForAGangThatSmallerOnesPassBy) {
+TEST(StartDeadline, MachinesAreGatheredForAGangThatSmallerOnesPassBy) {
     // Each machine that came free went to a gang of one, and the wide one never saw three together.
     World w;
     std::vector<Index> on;
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -9,7 +9,7 @@
 
 using test::World;
 
-TEST(StarvedJob, IsAJobThatWaitsWhileItsRoomStandsFreeAndWhatHoldsThat) {
+TEST(Starvation, IsAJobThatWaitsWhileItsRoomStandsFreeAndWhatHoldsThat) {
     struct Row {
         const char* what;
         std::function<void(World&, Job&)> change;
