--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -100,7 +100,7 @@
     CasTransaction txn;
     txn.conditions.push_back({kLeaderKey, fencing_token_});
     txn.changes.push_back({kLeaderKey, "", 0});
-    auto dropped = co_await kv_.txn(std::move(txn), kCall_s);
+    auto dropped = co_await kv_.txn(txn, kCall_s);
     if (!dropped) co_return false;
     spdlog::info("election: ends token={} of an earlier process", fencing_token_);
     set_leader("", 0);
@@ -166,7 +166,7 @@
     txn.conditions.push_back({kLeaderKey, 0});
     txn.changes.push_back(
         {kLeaderKey, json::serialize(json::object{{"name", settings_.name}}), *lease});
-    auto won = co_await kv_.txn(std::move(txn), std::min(kCall_s, lease_s_ / 2));
+    auto won = co_await kv_.txn(txn, std::min(kCall_s, lease_s_ / 2));
     if (won) {
         start_term(won.value, *lease, started);
         unanswered_lease_ = 0;
@@ -186,7 +186,7 @@
 // Without an answer nothing is lost: the lease is not renewed any more.
 asio::awaitable<void> Election::release_leadership(uint64_t fencing_token, TransferRecord to) {
     auto txn = transfer_transaction(kLeaderKey, fencing_token, to);
-    auto result = co_await kv_.txn(std::move(txn), kCall_s);
+    auto result = co_await kv_.txn(txn, kCall_s);
     spdlog::info("election: yields token={} to {} for the {}. time{}", fencing_token, to.to,
                  to.count, result ? "" : ", not confirmed");
 }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -161,7 +161,7 @@
         published_ = {};
     }
     auto txn = link_record(settings_.name, links, record_lease_);
-    auto result = co_await kv_.txn(std::move(txn), kRead_s);
+    auto result = co_await kv_.txn(txn, kRead_s);
     if (result) published_ = std::move(links);
     if (result.outcome == KvOutcome::Invalid) record_lease_ = 0;  // it ran out before
 }
--- a/src/standby/standby_service.cpp
+++ b/src/standby/standby_service.cpp
@@ -83,7 +83,7 @@
 
 asio::awaitable<bool> StandbyService::write_adopter_record() {
     auto txn = adopter_transaction(settings_.name);
-    auto result = co_await kv_.txn(std::move(txn), kWrite_s);
+    auto result = co_await kv_.txn(txn, kWrite_s);
     co_return result || result.outcome == KvOutcome::Conflict;
 }
 
@@ -289,7 +289,7 @@
 asio::awaitable<PeerReply> StandbyService::accept(std::string id, PendingRecord record) {
     auto ends_read = log_.view().ends_read();
     auto txn = accept_transaction(id, record);
-    auto result = co_await kv_.txn(std::move(txn), kWrite_s);
+    auto result = co_await kv_.txn(txn, kWrite_s);
     if (result.outcome == KvOutcome::Conflict || result.outcome == KvOutcome::Unknown) {
         answers_.record(result);
         // Without an answer it may have been accepted all the same, now or by an earlier try.
@@ -329,7 +329,7 @@
     if (!take_write()) co_return false;
     auto txn =
         cancel_transaction(id, found.pending_version, found.pending.value_or(PendingRecord{}));
-    auto result = co_await kv_.txn(std::move(txn), kWrite_s);
+    auto result = co_await kv_.txn(txn, kWrite_s);
     if (result.too_fast) writes_.too_fast();
     // Without an answer it may have been executed, or be later: what is recorded is read either
     // way.
