--- a/src/controller/cloud_client.cpp
+++ b/src/controller/cloud_client.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr size_t kMaxAnswerBytes = 1024 * 1024;
+constexpr size_t kMaxAnswerBytes = size_t{1024} * 1024;
 constexpr double kRateShare = 0.85;  // of the rate that the cloud allows
 constexpr double kBurst_s = 1.0;
 constexpr double kTurnPoll_s = 0.1;
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -146,7 +146,7 @@
 }
 
 // Negative: there is no notice.
-void HeartbeatHandler::note_interruption(Machine& machine, double notice_s) {
+void HeartbeatHandler::note_interruption(Machine& machine, double notice_s) const {
     if (notice_s < 0) return;
     if (machine.interruption_at < 0)
         spdlog::info("machine: {} has an interruption notice, {:.1f}s left", machine.name,
@@ -165,7 +165,7 @@
         if (task.phase != TaskPhase::Unseen || task.start_seq == 0 ||
             task.start_seq >= heartbeat.seq)
             continue;
-        if (reported.count({job.spec.id, ref.task}))
+        if (reported.contains({job.spec.id, ref.task}))
             seen.start_taken = true;
         else
             seen.start_missing = true;
@@ -231,7 +231,7 @@
         auto& job = *context_.cluster.jobs[ref.job];
         auto& task = job.tasks[ref.task];
         if (task.state != TaskState::Placed || task.machine != index) continue;
-        if (reported.count({job.spec.id, ref.task})) continue;
+        if (reported.contains({job.spec.id, ref.task})) continue;
         bool proof = (machine.saw_fencing_token || task.placed_this_term) &&
                      (task.start_seq == 0 || task.start_seq < seq);
         if (!proof) continue;
--- a/src/controller/heartbeat_handler.h
+++ b/src/controller/heartbeat_handler.h
@@ -69,18 +69,18 @@
     void apply_heartbeat(Machine& machine, Index index, const Heartbeat& heartbeat);
     void machine_up(Machine& machine, const Heartbeat& heartbeat);
     void agent_restarted(Machine& machine, Index index, uint64_t agent_epoch);
-    void note_interruption(Machine& machine, double notice_s);
+    void note_interruption(Machine& machine, double notice_s) const;
     void observe_downlink(Machine& machine, const Heartbeat& heartbeat,
                           const ReportedTasks& reported);
     void apply_task_status(Machine& machine, Index index, const TaskStatus& status);
-    void task_progressed(Machine& machine, Index job, const TaskStatus& status);
+    void task_progressed(Machine& machine, Index index, const TaskStatus& status);
     void lose_missing_tasks(Machine& machine, Index index, uint64_t seq,
                             const ReportedTasks& reported);
 
     [[nodiscard]] bool waits_for_records(const Machine& machine) const;
     void respond_to_heartbeat(Index index, HeldResponse& held);
     [[nodiscard]] std::optional<Command> command_for_unexpected(Index machine,
-                                                                const UnexpectedTask& task) const;
+                                                                const UnexpectedTask& entry) const;
     [[nodiscard]] bool may_start(const Machine& machine, const TaskRef& ref) const;
     [[nodiscard]] std::optional<Command> command_for_placed(const Machine& machine,
                                                             const TaskRef& ref, uint64_t seq);
--- a/src/controller/instance_manager.cpp
+++ b/src/controller/instance_manager.cpp
@@ -177,8 +177,8 @@
     for (auto& type : types) type.price = type.spot_price = 0;
     auto without_prices = machine_types_json(types);
     auto record = machine_types_json(message.types);
-    if (without_prices != recorded_without_prices_ && record != recorded_types_ &&
-        record.size() < context_.settings.value_kb * 1024) {
+    bool fits = static_cast<double>(record.size()) < context_.settings.value_kb * 1024;
+    if (without_prices != recorded_without_prices_ && record != recorded_types_ && fits) {
         recorded_without_prices_ = without_prices;
         context_.state_log.note(kTypesKey, record);
     }
@@ -352,7 +352,7 @@
             auto page = parse_machine_page(answer->body);
             more = page.more && !page.machines.empty();
             if (!page.machines.empty()) after = page.machines.back().name;
-            std::move(page.machines.begin(), page.machines.end(), std::back_inserter(all));
+            std::ranges::move(page.machines, std::back_inserter(all));
         } catch (const BadMessage& e) {
             spdlog::error("cloud: malformed machine list: {}", e.what());
             co_return std::nullopt;
--- a/src/controller/leader_context.h
+++ b/src/controller/leader_context.h
@@ -31,6 +31,9 @@
           random(std::random_device{}()) {}
     LeaderContext(const LeaderContext&) = delete;  // the log refers to the cluster state
     LeaderContext& operator=(const LeaderContext&) = delete;
+    LeaderContext(LeaderContext&&) = delete;
+    LeaderContext& operator=(LeaderContext&&) = delete;
+    ~LeaderContext() = default;
 
     boost::asio::io_context& io;
     const Settings& settings;
--- a/src/controller/request_router.cpp
+++ b/src/controller/request_router.cpp
@@ -17,7 +17,7 @@
                              const Properties& properties)
     : io_(io), settings_(settings), properties_(properties), kv_(io, settings), roster_(settings) {
     Election::Events events;
-    events.won = [this](std::shared_ptr<LeadershipTerm> term) {
+    events.won = [this](const std::shared_ptr<LeadershipTerm>& term) {
         term_ = term;
         leader_ = std::make_shared<Leader>(io_, settings_, properties_, kv_, metrics_, term);
         leader_->set_relay([this](std::string name, PeerCall call) {
@@ -63,7 +63,7 @@
             return std::nullopt;
         return term_->won;
     };
-    hooks.transfer_leadership = [this](TransferRecord to) {
+    hooks.transfer_leadership = [this](const TransferRecord& to) {
         leader_->transfer_leadership([this, to, term = std::weak_ptr(term_)] {
             if (auto held = term.lock(); held && held == term_) election_->step_down(to);
         });
--- a/src/controller/request_router.h
+++ b/src/controller/request_router.h
@@ -28,7 +28,7 @@
 
   private:
     struct RoutedReply {
-        const char* kind;  // of the request, as the metrics name it
+        const char* kind = "other";  // of the request, as the metrics name it
         HttpReply reply;
     };
     boost::asio::awaitable<HttpReply> handle(HttpRequest request);
--- a/src/controller/request_router_peers.cpp
+++ b/src/controller/request_router_peers.cpp
@@ -45,7 +45,7 @@
 asio::awaitable<PeerReply> RequestRouter::pass_command(PeerCall call) {
     metrics_.count("stops_passed_on_total");
     std::string body = call.body;
-    if (co_await send_commands(io_, call.subject, std::move(body), kWorkerCommand_s))
+    if (co_await send_commands(&io_, call.subject, std::move(body), kWorkerCommand_s))
         co_return PeerReply{200, "{}"};
     if (!call.relay) {
         auto from = call.sender;
--- a/src/controller/scheduling_loop.cpp
+++ b/src/controller/scheduling_loop.cpp
@@ -38,7 +38,7 @@
 
 // For one gang at a time, the one that waits the longest.
 void SchedulingLoop::reserve_for_late_gang(const std::vector<Index>& late) {
-    auto gang = std::find_if(late.begin(), late.end(), [&](Index j) {
+    auto gang = std::ranges::find_if(late, [&](Index j) {
         auto& job = *context_.cluster.jobs[j];
         return job.spec.kind == JobKind::Gang && job.placed == 0;
     });
--- a/src/controller/stop_sender.cpp
+++ b/src/controller/stop_sender.cpp
@@ -18,7 +18,7 @@
 // Without a heartbeat for so many of its intervals, a machine gets its stops directly.
 constexpr double kMissedHeartbeats = 1.5;
 constexpr double kWorkerTimeout_s = 2.0;
-constexpr size_t kMaxWorkerAnswerBytes = 1024 * 1024;
+constexpr size_t kMaxWorkerAnswerBytes = size_t{1024} * 1024;
 
 }  // namespace
 
@@ -145,7 +145,7 @@
     }
     std::string direct_body = body;
     bool answered =
-        co_await send_commands(context_.io, route.addr, std::move(direct_body), kWorkerTimeout_s);
+        co_await send_commands(&context_.io, route.addr, std::move(direct_body), kWorkerTimeout_s);
     if (answered || !route.by_any_controller || !relay_) co_return;
     for (auto& peer : context_.settings.peers) {
         if (context_.stopped) co_return;
@@ -163,10 +163,10 @@
     co_return co_await relay_(std::move(controller), std::move(call));
 }
 
-asio::awaitable<bool> send_commands(asio::io_context& io, std::string addr, std::string body,
+asio::awaitable<bool> send_commands(asio::io_context* io, std::string addr, std::string body,
                                     double timeout_s) {
     try {
-        HttpClient worker(io, Endpoint::parse(addr, "worker"), kMaxWorkerAnswerBytes);
+        HttpClient worker(*io, Endpoint::parse(addr, "worker"), kMaxWorkerAnswerBytes);
         auto reply = co_await worker.request("POST", paths::kCommands, std::move(body), timeout_s);
         co_return reply.has_value();
     } catch (const SettingsError& e) {
--- a/src/controller/stop_sender.h
+++ b/src/controller/stop_sender.h
@@ -18,7 +18,7 @@
 
 // Sends commands straight to a worker. False: it did not answer, and may carry them out or not.
 // `timeout_s`: seconds to wait for the worker's answer.
-boost::asio::awaitable<bool> send_commands(boost::asio::io_context& io, std::string addr,
+boost::asio::awaitable<bool> send_commands(boost::asio::io_context* io, std::string addr,
                                            std::string body, double timeout_s);
 
 // Passes a call on to the controller with this name. False: it did not carry the call out, as far
--- a/src/controller/task_lifecycle.cpp
+++ b/src/controller/task_lifecycle.cpp
@@ -77,8 +77,8 @@
 
 // Machines that failed this job alone are not to blame.
 void TaskLifecycle::back_off(Job& job) {
-    double exponent =
-        std::min<double>(job.failed_on.size() + job.failures / 8.0, kMaxBackOffExponent);
+    double failures = static_cast<double>(job.failed_on.size()) + job.failures / 8.0;
+    double exponent = std::min(failures, static_cast<double>(kMaxBackOffExponent));
     job.not_before = context_.now + std::min(kMaxBackOff_s, kBackOff_s * std::pow(2.0, exponent));
     for (auto i : job.failed_on) {
         auto* other = context_.cluster.machines[i].get();
--- a/src/controller/task_lifecycle.h
+++ b/src/controller/task_lifecycle.h
@@ -37,7 +37,7 @@
     // need it are recorded as cancelled, or gone, and one of these was.
     void check_cancelled(const std::vector<Index>& jobs);
     // The machine is to be interrupted in so many seconds.
-    void drain_machine(Index machine, double interruption_notice_s);
+    void drain_machine(Index index, double interruption_notice_s);
 
   private:
     void task_done(Index job, uint32_t task, Index machine);
