--- a/tests/cancel_model_test.cpp
+++ b/tests/cancel_model_test.cpp
@@ -60,7 +60,7 @@
     uint8_t over, stopping;  // its tenure has ended; it stops the task
     uint8_t txn;             // of its cancellation: 1 sent, 2 carried out
     uint8_t next_since, next_leads, next_knows;
-    uint8_t recorded, adoption_recorded;  // told: when + 1
+    uint8_t recorded, confirmed;  // told: when + 1
     uint8_t sent, fencing_token,
         task;             // the worker: its last answered report; highest token; the task is there
     uint8_t headroom[6];  // to whole words
@@ -117,8 +117,8 @@
         if (s.over) s.since = s.asked = 0;
         if (!s.next_leads) s.next_since = s.next_knows = 0;
         if (!s.holder) s.ends = 0;
-        if (s.adoption_recorded && s.recorded) s.txn = 0;
-        if (s.adoption_recorded && s.t > horizon() && !s.asked)
+        if (s.confirmed && s.recorded) s.txn = 0;
+        if (s.confirmed && s.t > horizon() && !s.asked)
             s.outage = s.refused = s.holder = s.ends = 0;
         if (keeps(s)) s.sent = s.t;
     }
@@ -130,11 +130,11 @@
 
     void push(State s) {
         if (!s.task || broken_) return;
-        if (s.adoption_recorded && s.t > s.adoption_recorded - 1 + cancel_) {
+        if (s.confirmed && s.t > s.confirmed - 1 + cancel_) {
             broken_ = true;
             return;
         }
-        if (!s.adoption_recorded && s.t > horizon() + cancel_) return;
+        if (!s.confirmed && s.t > horizon() + cancel_) return;
         tidy(s);
         if (seen_.insert(std::bit_cast<Words>(s)).second) queue_.push_back(s);
     }
@@ -169,10 +169,10 @@
         if (s.txn == 1 && up && (s.holder == 1 || !holds(kRecordNamesToken)))
             with(s, [](State& n) { n.txn = 2, n.recorded = 1; });
         // A door reads it and tells.
-        if (up && !s.adoption_recorded && s.recorded)
-            with(s, [&](State& n) { n.adoption_recorded = static_cast<uint8_t>(t + 1); });
-        if (up && !s.adoption_recorded && !holds(kDoorTellsRecorded))
-            with(s, [&](State& n) { n.adoption_recorded = static_cast<uint8_t>(t + 1); });
+        if (up && !s.confirmed && s.recorded)
+            with(s, [&](State& n) { n.confirmed = static_cast<uint8_t>(t + 1); });
+        if (up && !s.confirmed && !holds(kDoorTellsRecorded))
+            with(s, [&](State& n) { n.confirmed = static_cast<uint8_t>(t + 1); });
     }
 
     void old_leader(const State& s, int t, bool up) {
@@ -198,7 +198,7 @@
             });
             with(s, [](State& n) { n.asked = 0; });
         }
-        if (lease_valid(s.since, t) && s.txn == 0 && !s.adoption_recorded && early)
+        if (lease_valid(s.since, t) && s.txn == 0 && !s.confirmed && early)
             with(s, [&](State& n) {
                 n.txn = 1;
                 n.stopping = holds(kStopsWhenAsked);
@@ -221,10 +221,10 @@
                 n.next_since = static_cast<uint8_t>(t);
             });
         bool is_sure = lease_valid(s.next_since, t);
-        if (up && s.holder == 2 && is_sure && !s.adoption_recorded)
+        if (up && s.holder == 2 && is_sure && !s.confirmed)
             with(s, [&](State& n) {
                 n.recorded = n.next_knows = 1;
-                n.adoption_recorded = static_cast<uint8_t>(t + 1);
+                n.confirmed = static_cast<uint8_t>(t + 1);
             });
         bool stops = s.next_knows && (is_sure || holds(kUnsureLeaderStops));
         if (answers(s.next_since, t) && !stops)
--- a/tests/fault_scenario.h
+++ b/tests/fault_scenario.h
@@ -54,11 +54,11 @@
         until([&] { return steady_now() > end; });
     }
     // Whether nobody on any machine runs it from now on, for as long as a cancellation may take.
-    void expect_gone_by(double adoption_recorded, const std::string& id) {
+    void expect_gone_by(double confirmed, const std::string& id) {
         EXPECT_TRUE(until([&] {
-            return !cloud->on_some_machine(id) || steady_now() > adoption_recorded + base.cancel_s;
+            return !cloud->on_some_machine(id) || steady_now() > confirmed + base.cancel_s;
         }));
-        pass(std::max(0.0, adoption_recorded + base.cancel_s - steady_now()));
+        pass(std::max(0.0, confirmed + base.cancel_s - steady_now()));
         EXPECT_FALSE(cloud->on_some_machine(id)) << id;
     }
     // Each machine that runs something of it.
--- a/tests/fault_scenarios_service_test.cpp
+++ b/tests/fault_scenarios_service_test.cpp
@@ -35,11 +35,11 @@
         s.next_leader_after(old);
         auto next = s.leading();
         ASSERT_EQ(s.cancel_at(next, "req-2"), "aborted") << row.what;
-        double adoption_recorded = steady_now();
+        double confirmed = steady_now();
         s.state->down = true;
         if (row.ends) s.crash(next);
         EXPECT_TRUE(s.until([&] { return !s.cloud->on_some_machine("req-2"); }));
-        double gone = steady_now() - adoption_recorded;
+        double gone = steady_now() - confirmed;
         EXPECT_LT(gone, s.base.cancel_s) << row.what;
         if (row.commands) {
             EXPECT_LT(gone, s.base.lease_s) << row.what;  // before the grace and a lease are over
@@ -219,7 +219,7 @@
     s.start("req-2", 2);
     s.start("req-3", 2);
     s.start("req-4", 2);  // cancelled through the next leader alone
-    bool adoption_recorded = false, next_told = false;
+    bool confirmed = false, next_told = false;
     auto look = [&] {
         for (size_t node = 0; node < s.nodes.size(); ++node)
             for (const char* id : {"req-2", "req-3", "req-4"}) {
@@ -232,11 +232,11 @@
                     EXPECT_EQ(state, "aborted") << node;
                 } else if (std::string(id) != "req-2") {
                     EXPECT_TRUE(known(std::string(state))) << state;
-                } else if (adoption_recorded) {
+                } else if (confirmed) {
                     EXPECT_EQ(state, "aborted") << node;
                 } else if (state == "aborted") {
                     EXPECT_TRUE(s.recorded("[\"c\",\"req-2\"]"));
-                    adoption_recorded = true;
+                    confirmed = true;
                 }
             }
     };
@@ -247,9 +247,8 @@
     look();
     s.state->refused.insert(old.back() - '0');
     look();
-    adoption_recorded =
-        s.cancel_at((old.back() - '0' + 1) % 3, "req-2") == "aborted" || adoption_recorded;
-    EXPECT_TRUE(adoption_recorded);
+    confirmed = s.cancel_at((old.back() - '0' + 1) % 3, "req-2") == "aborted" || confirmed;
+    EXPECT_TRUE(confirmed);
     s.next_leader_after(old);
     next_told = s.cancel_at(s.leading(), "req-4") == "aborted";
     EXPECT_TRUE(next_told);
--- a/tests/history.cpp
+++ b/tests/history.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-bool adoption_recorded(const Exchange& e) { return e.status == 200 || e.status == 201; }
+bool confirmed(const Exchange& e) { return e.status == 200 || e.status == 201; }
 bool is_end(const std::string& state) { return state == "done" || state == "aborted"; }
 
 std::string text(const Exchange& e) {
@@ -38,13 +38,13 @@
         double submitted = std::numeric_limits<double>::infinity();
         for (auto* e : all) {
             if (e->asking == Asking::Submission) submitted = std::min(submitted, e->asked);
-            if (!adoption_recorded(*e)) continue;
+            if (!confirmed(*e)) continue;
             if (!known || e->answered < known->answered) known = e;
             if (is_end(e->state) && (!end || e->answered < end->answered)) end = e;
         }
         for (auto* e : all) {
             bool after = known && e->asked > known->answered;
-            if (adoption_recorded(*e)) {
+            if (confirmed(*e)) {
                 if (e->answered < submitted) return "invented: " + text(*e);
                 if (end && is_end(e->state) && e->state != end->state)
                     return "went_back: " + text(*e) + " beside " + text(*end);
--- a/tests/more_fault_scenarios_service_test.cpp
+++ b/tests/more_fault_scenarios_service_test.cpp
@@ -172,14 +172,14 @@
         s.state->refused = {old.back() - '0'};
         s.next_leader_after(old);
         ASSERT_EQ(s.cancel_at(s.leading(), "req-2"), "aborted");
-        double adoption_recorded = steady_now();
+        double confirmed = steady_now();
         EXPECT_TRUE(s.until([&] {
             return s.state->keys().count("f/req-4") > 0 ||
-                   steady_now() > adoption_recorded + 3 * s.base.cancel_s;
+                   steady_now() > confirmed + 3 * s.base.cancel_s;
         }));
         EXPECT_EQ(s.status("req-4"), "done");
         for (auto* w : away) row.away(*w, false);
-        s.expect_gone_by(adoption_recorded, "req-2");
+        s.expect_gone_by(confirmed, "req-2");
         EXPECT_EQ(s.cancel_at(s.leading(), "req-3"), "aborted");
         s.expect_no_rule_broken();
     }
@@ -241,21 +241,20 @@
         s.pass(0.5);
         s.state->down = true;
         if (ends) s.crash(old);
-        std::map<std::string, double> adoption_recorded;
+        std::map<std::string, double> confirmed;
         double gone_at = 0;
         s.until([&] {
             for (auto& [id, list] : asked)
                 for (auto& a : list)
-                    if (a->over && a->state() == "aborted")
-                        adoption_recorded.emplace(id, steady_now());
-            for (auto& [id, at] : adoption_recorded)
+                    if (a->over && a->state() == "aborted") confirmed.emplace(id, steady_now());
+            for (auto& [id, at] : confirmed)
                 if (s.cloud->on_some_machine(id)) gone_at = std::max(gone_at, steady_now() - at);
             return steady_now() > refused + 1.2 * s.base.cancel_s;
         });
         EXPECT_LT(gone_at, s.base.cancel_s);
         s.state->refused.clear();
         s.state->end_outage();
-        for (auto& [id, at] : adoption_recorded) EXPECT_EQ(s.status(id), "aborted") << id;
+        for (auto& [id, at] : confirmed) EXPECT_EQ(s.status(id), "aborted") << id;
         for (auto& [id, list] : asked) EXPECT_EQ(s.cancel_at((old + 1) % 3, id), "aborted");
         s.expect_no_rule_broken();
     }
@@ -315,11 +314,11 @@
         for (auto* w : machines) w->hung = true;
         double hung = steady_now();
         ASSERT_EQ(s.cancel_at(s.leading(), "req-2"), "aborted");
-        double adoption_recorded = steady_now();
+        double confirmed = steady_now();
         if (row.change) s.state->refused = {s.leading()};
         s.pass(hung + row.leases * s.base.lease_s - steady_now());
         for (auto* w : machines) w->hung = false;
-        s.expect_gone_by(adoption_recorded, "req-2");
+        s.expect_gone_by(confirmed, "req-2");
         for (int t = 0; t < 3; ++t)
             EXPECT_EQ(s.cloud->starts["req-2/" + std::to_string(t)], 1) << t;
         s.expect_no_rule_broken();
--- a/tests/standby_model_test.cpp
+++ b/tests/standby_model_test.cpp
@@ -62,7 +62,7 @@
 
 struct State {
     uint8_t value[kKeys], version[kKeys], last[kKeys];
-    uint8_t adoption_recorded;
+    uint8_t confirmed;
     uint8_t drops;      // how often the log's segments were dropped after the job's end
     uint8_t late_left;  // so many more late executions, of any of the copies below
     DoorNode doors[2];
@@ -146,12 +146,12 @@
 
     void check(const State& s) {
         bool is_pending = s.value[kDoor] == kAccepted || s.value[kDoor] == kAcceptedCancelled;
-        if (s.adoption_recorded && !is_pending && !live(s) && !s.value[kFinal])
+        if (s.confirmed && !is_pending && !live(s) && !s.value[kFinal])
             fail("an accepted job is nowhere");
         if ((s.value[kSegmentA] & kTold) && (s.value[kSegmentB] & kTold))
             fail("two leaders took the job for new");
         if (live(s) && s.value[kFinal]) fail("a job that has ended is alive");
-        if ((s.adoption_recorded & kSaidCancelled) && s.value[kFinal] == kDone)
+        if ((s.confirmed & kSaidCancelled) && s.value[kFinal] == kDone)
             fail("called cancelled, and done in the end");
     }
 
@@ -165,7 +165,7 @@
             fail("went back to waiting");
         if (what == kSaidCancelled && (knew & kSaidDone)) fail("done, then cancelled");
         if (what == kSaidDone && (knew & kSaidCancelled)) fail("cancelled, then done");
-        s.adoption_recorded |= what;
+        s.confirmed |= what;
     }
 
     bool execute(State& s, Txn& t) {
@@ -288,7 +288,7 @@
                     State a = s;
                     auto& x = a.doors[i];
                     --x.submits;
-                    x.seen = s.adoption_recorded;
+                    x.seen = s.confirmed;
                     x.step = kSending;
                     x.in_flight = kAccept;
                     x.ended_when_sent = ended_in_log(s);
@@ -301,7 +301,7 @@
                     State a = s;
                     auto& x = a.doors[i];
                     --x.cancels;
-                    x.seen = s.adoption_recorded;
+                    x.seen = s.confirmed;
                     x.cancelling = 1;
                     look(x);
                     push(a);
@@ -310,7 +310,7 @@
                     State a = s;
                     auto& x = a.doors[i];
                     --x.asks;
-                    x.seen = s.adoption_recorded;
+                    x.seen = s.confirmed;
                     look(x);
                     push(a);
                 }
@@ -335,7 +335,7 @@
                 }
                 return push(n);
             }
-            case kAcceptedNow:  // Door::submit, after its record
+            case kAcceptedNow:  // StandbyService::submit, after its record
                 if (live(s))
                     tell(n, d.seen, cancelled_in_log(s) ? kSaidCancelled : kSaidAccepted);
                 else if (d.drops_when_sent == s.drops && (d.ended_when_sent || !ended_in_log(s)))
@@ -480,7 +480,7 @@
         if (l.job == kUnknown && l.inbox == kNothing && l.submits) {
             State n = s;
             --n.leaders[i].submits;
-            n.leaders[i].seen = s.adoption_recorded;
+            n.leaders[i].seen = s.confirmed;
             n.leaders[i].from_door = 0;
             send(n, i, kNewJob, own | kTold);
         }
@@ -494,14 +494,13 @@
         bool asked_by_door = l.inbox == kAcceptedCancelled || l.inbox == kRequest;
         if (l.job == kAlive && (l.cancels || asked_by_door)) {
             State n = s;
-            n.leaders[i].cancel_seen = s.adoption_recorded;
+            n.leaders[i].cancel_seen = s.confirmed;
             n.leaders[i].from_door = asked_by_door;
             if (!asked_by_door) --n.leaders[i].cancels;
             send(n, i, kLogCancel, own | kCancel);
         }
         if (l.job == kAlive && !l.started) {
-            if (s.adoption_recorded & kSaidCancelled)
-                return fail("a task of a cancelled job is started");
+            if (s.confirmed & kSaidCancelled) return fail("a task of a cancelled job is started");
             State n = s;
             n.leaders[i].started = 1;
             push(n);
@@ -518,16 +517,16 @@
         // What it answers: from its tables, or from what it reads in the order door record, final
         // state, tables.
         State n = s;
-        if (l.job == kAlive) tell(n, s.adoption_recorded, kSaidAccepted);
-        if (l.job == kAliveCancelled) tell(n, s.adoption_recorded, kSaidCancelled);
+        if (l.job == kAlive) tell(n, s.confirmed, kSaidAccepted);
+        if (l.job == kAliveCancelled) tell(n, s.confirmed, kSaidCancelled);
         if (l.job == kUnknown && l.inbox == kNothing && !s.value[kDoor]) {
             if (s.value[kFinal])
-                tell(n, s.adoption_recorded, s.value[kFinal] == kDone ? kSaidDone : kSaidCancelled);
+                tell(n, s.confirmed, s.value[kFinal] == kDone ? kSaidDone : kSaidCancelled);
             else
-                tell(n, s.adoption_recorded, 0, true);
+                tell(n, s.confirmed, 0, true);
         }
         if (l.job == kOver && s.value[kFinal])
-            tell(n, s.adoption_recorded, s.value[kFinal] == kDone ? kSaidDone : kSaidCancelled);
+            tell(n, s.confirmed, s.value[kFinal] == kDone ? kSaidDone : kSaidCancelled);
         push(n);
     }
 
@@ -555,8 +554,7 @@
                 if (!ok) break;
                 l.job = kOver;
                 l.started = 0;
-                if (lease_valid)
-                    tell(n, n.adoption_recorded, was_cancelled ? kSaidCancelled : kSaidDone);
+                if (lease_valid) tell(n, n.confirmed, was_cancelled ? kSaidCancelled : kSaidDone);
                 break;
             default:
                 if (ok) l.inbox = kNothing, l.inbox_version = 0;
--- a/tests/state_log_test.cpp
+++ b/tests/state_log_test.cpp
@@ -171,7 +171,7 @@
 TEST(StateLog, ACancellationThatWasRecordedIsReadByEverybodyFromThenOn) {
     constexpr StateLogLimits limits{12, 1};
     for (size_t types : {0, 20}) {  // long lists of types: such a record takes several entries
-        size_t adoption_recorded = 0, kept = 0;
+        size_t confirmed = 0, kept = 0;
         for (unsigned seed = 1; seed <= 40; ++seed) {
             std::mt19937 random(seed);
             auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
@@ -218,8 +218,7 @@
                 state_log.committed(b, revision);
                 for (auto& e : b.entries) {
                     auto id = e.job == kNone ? "" : w.cluster.jobs[e.job]->spec.id;
-                    if (e.kind == EntryKind::Cancel)
-                        cancelled.emplace(id, e.job), ++adoption_recorded;
+                    if (e.kind == EntryKind::Cancel) cancelled.emplace(id, e.job), ++confirmed;
                     if (e.kind == EntryKind::Finish)
                         cancelled.erase(id), w.cluster.remove_job(e.job, w.now);
                 }
@@ -239,7 +238,7 @@
                 }
             }
         }
-        EXPECT_GT(adoption_recorded, 500u) << types;
+        EXPECT_GT(confirmed, 500u) << types;
         EXPECT_GT(kept, 5000u) << types;
     }
 }
--- a/tests/traces_test.cpp
+++ b/tests/traces_test.cpp
@@ -41,7 +41,7 @@
     std::string jobs, dispositions;
     // Each record and job in the order told: "a:1>J" merged into J, "a:2!code" rejected, "J=req-1",
     // "J!code".
-    std::string adoption_recorded;
+    std::string confirmed;
     // Each submission in short: "id@time tasks x cores/gpus/mem run team urgency class <awaits>".
     std::string submissions;
 };
@@ -82,7 +82,7 @@
             EXPECT_FALSE(text("why").empty());
             what += "!" + text("reason");
         }
-        out.adoption_recorded += (out.adoption_recorded.empty() ? "" : " ") + what;
+        out.confirmed += (out.confirmed.empty() ? "" : " ") + what;
     }
     // Nothing is left out: as many lines as the account says, and each submission is one that is
     // taken.
@@ -125,7 +125,7 @@
     const char* name;
     const char* format;
     std::vector<std::string> texts;
-    const char* adoption_recorded;
+    const char* confirmed;
 };
 
 const Case kCases[] = {
@@ -299,7 +299,7 @@
 
 TEST(Traces, EveryRecordAndEveryJobIsToldOf) {
     for (auto& c : kCases)
-        EXPECT_EQ(import_texts(c.format, c.texts).adoption_recorded, c.adoption_recorded) << c.name;
+        EXPECT_EQ(import_texts(c.format, c.texts).confirmed, c.confirmed) << c.name;
     // Seeds for bench/trace_fuzz.cpp.
     auto* to = std::getenv("WEIRMILL_SAMPLES_TO");
     if (!to) return;
@@ -328,8 +328,7 @@
                       "2000000,,1,0,m1,1,u,2,9,0.25,0.1,0,0\n3000000,,1,1,m1,1,u,2,9,0.25,0.1,0,0\n"
                       "4000000,,1,0,m1,4,u,2,9,0.25,0.1,0,0\n"},
                      map);
-    EXPECT_EQ(google.submissions, "req-1@1 2x16/0/10 6s red high batch\n")
-        << google.adoption_recorded;
+    EXPECT_EQ(google.submissions, "req-1@1 2x16/0/10 6s red high batch\n") << google.confirmed;
 
     auto swf = import_texts("swf", {"1 0 5 100 -1 -1 -1 100 200 1048576 1 7 1 1 1 1 -1 -1\n"
                                     "2 1 5 100 -1 -1 -1 200 200 -1 1 7 1 1 1 1 1 -1\n"});
@@ -399,7 +398,7 @@
     std::string line = "1 0 5 100 4 -1 -1 4 200 -1 1 1 1 1 1 1 -1 -1\n";
     auto path = folder.file("long", std::string(100'000'000, '7') + "\n" + line);
     auto got = import_files("swf", {path});
-    EXPECT_EQ(got.adoption_recorded, "long:1!line_too_long long:2>1 1=req-1");
+    EXPECT_EQ(got.confirmed, "long:1!line_too_long long:2>1 1=req-1");
 }
 
 TEST(Traces, TheMapIsChecked) {
@@ -424,7 +423,7 @@
         "-1\n";
     struct Row {
         const char* script;
-        const char* adoption_recorded;
+        const char* confirmed;
     };
     const Row rows[] = {
         {"function job(j) if j.user == '2' then return nil, 'not wanted' end j.urgency = 'high' "
@@ -456,8 +455,7 @@
     for (auto& r : rows) {
         Map map;
         map.script = folder.file("s.lua", r.script);
-        EXPECT_EQ(import_texts("swf", {log}, map).adoption_recorded, r.adoption_recorded)
-            << r.script;
+        EXPECT_EQ(import_texts("swf", {log}, map).confirmed, r.confirmed) << r.script;
     }
     for (auto* wrong : {"function job(", "x = 1", "while true do end", "\x1bLua"}) {
         Map map;
