--- a/src/controller/cloud_client.cpp
+++ b/src/controller/cloud_client.cpp
@@ -10,39 +10,40 @@
 
 namespace {
 
-constexpr size_t kMaxAnswerBytes = size_t{1024} * 1024;
-constexpr double kRateShare = 0.85;  // of the rate that the cloud allows
+constexpr size_t kMaxResponseBytes = size_t{1024} * 1024;
+constexpr double kRateShare = 0.85;  // share of the request rate that the cloud permits
 constexpr double kBurst_s = 1.0;
-constexpr double kTurnPoll_s = 0.1;
-constexpr double kMinTroublePause_s = 0.8, kMaxTroublePause_s = 1.6;
-
-// The cloud is overloaded or out of order. That it has no capacity is an answer like any other.
-bool is_trouble(const std::optional<HttpAnswer>& answer) {
-    return !answer || answer->status == 429 ||
-           (answer->status == 503 && !says_no_capacity(answer->body));
+constexpr double kRateLimitPoll_s = 0.1;
+constexpr double kMinBackOff_s = 0.8, kMaxBackOff_s = 1.6;
+
+// Returns whether the cloud is overloaded or failing. A response that reports a lack of capacity is
+// a regular response and needs no back-off.
+bool needs_back_off(const std::optional<HttpAnswer>& response) {
+    return !response || response->status == 429 ||
+           (response->status == 503 && !says_no_capacity(response->body));
 }
 
 }  // namespace
 
 CloudClient::CloudClient(LeaderContext& context)
     : context_(context),
-      http_(context.io, context.settings.cloud, kMaxAnswerBytes),
+      http_(context.io, context.settings.cloud, kMaxResponseBytes),
       rate_limiter_(context.settings.cloud_rps * kRateShare, kBurst_s) {}
 
 asio::awaitable<std::optional<HttpAnswer>> CloudClient::call(const char* method, std::string target,
                                                              std::string body, double timeout_s) {
     while (!context_.stopped) {
         double now = steady_now();
-        if (now >= pause_until_ && rate_limiter_.available(now) >= 1) break;
-        co_await sleep_s(kTurnPoll_s);
+        if (now >= back_off_until_ && rate_limiter_.available(now) >= 1) break;
+        co_await sleep_s(kRateLimitPoll_s);
     }
     rate_limiter_.take(1);
-    auto answer = co_await http_.request(method, std::move(target), std::move(body), timeout_s);
-    if (is_trouble(answer)) {
-        std::uniform_real_distribution<double> pause_s(kMinTroublePause_s, kMaxTroublePause_s);
-        pause_until_ = steady_now() + pause_s(context_.random);
+    auto response = co_await http_.request(method, std::move(target), std::move(body), timeout_s);
+    if (needs_back_off(response)) {
+        std::uniform_real_distribution<double> back_off_s(kMinBackOff_s, kMaxBackOff_s);
+        back_off_until_ = steady_now() + back_off_s(context_.random);
     }
-    co_return answer;
+    co_return response;
 }
 
 }  // namespace weirmill
--- a/src/controller/cloud_client.h
+++ b/src/controller/cloud_client.h
@@ -1,5 +1,5 @@
-// Calls to the cloud's interface within its rate limit. One object for each leadership term, used
-// on the leader's executor only.
+// Rate-limited client of the cloud provider's API. One object exists for each leadership term, and
+// it is used on the leader's executor only.
 #pragma once
 #include <boost/asio/awaitable.hpp>
 #include <optional>
@@ -15,9 +15,9 @@
   public:
     explicit CloudClient(LeaderContext& context);
 
-    // Waits for its turn within the rate limit, then sends the request. Nothing: no answer came
-    // within `timeout_s` seconds, and whether the request was executed is unknown. The caller keeps
-    // the leader alive.
+    // Waits until the rate limit permits a request, then sends it. Returns nothing if no response
+    // arrived within `timeout_s` seconds; the cloud may or may not have executed the request then.
+    // The caller must keep the leader alive until the call completes.
     boost::asio::awaitable<std::optional<HttpAnswer>> call(const char* method, std::string target,
                                                            std::string body, double timeout_s);
 
@@ -25,7 +25,7 @@
     LeaderContext& context_;
     HttpClient http_;
     RateLimiter rate_limiter_;
-    double pause_until_ = 0;  // steady clock, seconds
+    double back_off_until_ = 0;  // steady clock, seconds
 };
 
 }  // namespace weirmill
--- a/src/controller/heartbeat_handler.h
+++ b/src/controller/heartbeat_handler.h
@@ -1,5 +1,5 @@
-// Heartbeats of workers and the responses to them. One object for each leadership term, used on the
-// leader's executor only.
+// Handles the heartbeats of workers. One object exists for each leadership term, and it is used on
+// the leader's executor only.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -19,13 +19,13 @@
 
 namespace weirmill {
 
-// Applies heartbeats to the cluster state and answers them. A response with status 200 renews the
-// worker's lease and carries the commands for the machine: starts and stops of tasks, and which
-// exits it may forget. Where records that the commands wait for are on their way to the key-value
-// store, the response is held for a moment.
+// Applies heartbeats to the cluster state and responds to them. A response with status 200 renews
+// the worker's lease and carries the commands for its machine: tasks to start, tasks to stop, and
+// exits that are acknowledged. A response is deferred for a short time while the records that its
+// commands depend on are being written to the key-value store.
 class HeartbeatHandler {
   public:
-    // `is_terminated`: the machine with this name is known to be gone for good.
+    // `is_terminated` returns whether the machine with the given name was terminated.
     HeartbeatHandler(LeaderContext& context, TaskLifecycle& task_lifecycle,
                      SchedulingLoop& scheduling_loop,
                      std::function<bool(const std::string&)> is_terminated)
@@ -34,52 +34,55 @@
           scheduling_loop_(scheduling_loop),
           is_terminated_(std::move(is_terminated)) {}
 
-    // Takes a heartbeat, and answers it now or later. Status 503: not taken, and the lease is not
-    // renewed; 400: malformed.
-    void heartbeat(PeerCall& call, ReplyPromise& reply);
-    // Sends the held responses that nothing is to be waited for any more. `due_only`: also those
-    // that have been held for as long as they may be.
-    void release_held(bool due_only);
-    // The machine is gone, or has sent a later heartbeat: what is held for it is refused.
-    void drop_held(Index machine);
-    // The leadership term is over: workers are to look for the next leader.
-    void redirect_held();
-    // The lease has not been valid for so long that heartbeats may not be answered any more.
-    [[nodiscard]] bool past_grace() const {
+    // Handles a heartbeat and responds to it, immediately or later. Status 400 means that the
+    // heartbeat is malformed; 503 means that it was refused and the lease is not renewed.
+    void handle_heartbeat(PeerCall& call, ReplyPromise& reply);
+    // Sends the deferred responses that have nothing left to wait for. With `include_expired`, also
+    // sends those that have reached their maximum delay.
+    void send_deferred(bool include_expired);
+    // Refuses the heartbeat whose response to this machine is deferred, if there is one. Called
+    // when the machine is gone or has sent a later heartbeat.
+    void refuse_deferred(Index machine);
+    // Tells all workers with a deferred response to look for the next leader. Called when the
+    // leadership term is over.
+    void redirect_deferred();
+    // Returns whether the leader's lease has been invalid for longer than the grace period in which
+    // heartbeats are still answered.
+    [[nodiscard]] bool answering_grace_expired() const {
         return context_.now > context_.term->lease_valid_until + answering_grace(context_.settings);
     }
 
   private:
-    // A response that waits for records, and for a scheduling pass.
-    struct HeldResponse {
+    // A response that waits for records to be written and for a scheduling pass.
+    struct DeferredResponse {
         ReplyPromise reply;
-        uint64_t seq = 0;         // of the heartbeat
-        double until = 0;         // steady clock, seconds
-        uint64_t after_pass = 0;  // number of the scheduling pass
+        uint64_t seq = 0;            // sequence number of the heartbeat
+        double deadline = 0;         // latest time to respond; steady clock, seconds
+        uint64_t required_pass = 0;  // number of the scheduling pass to wait for
     };
-    // The tasks that a heartbeat names.
+    // The tasks that a heartbeat lists, as pairs of a job id and a task index.
     using ReportedTasks = std::set<std::pair<std::string_view, uint32_t>>;
 
     [[nodiscard]] std::optional<Heartbeat> parse(const PeerCall& call, ReplyPromise& reply);
-    [[nodiscard]] bool from_later_term(const Heartbeat& heartbeat);
-    [[nodiscard]] bool is_copy(const Machine& machine, const Heartbeat& heartbeat);
-    void note_sender(Machine& machine, const PeerCall& call, const Heartbeat& heartbeat);
-    [[nodiscard]] bool warning_due();
+    [[nodiscard]] bool is_from_later_term(const Heartbeat& heartbeat);
+    [[nodiscard]] bool is_duplicate(const Machine& machine, const Heartbeat& heartbeat);
+    void record_sender(Machine& machine, const PeerCall& call, const Heartbeat& heartbeat);
+    [[nodiscard]] bool may_log_warning();
 
-    void apply_heartbeat(Machine& machine, Index index, const Heartbeat& heartbeat);
-    void machine_up(Machine& machine, const Heartbeat& heartbeat);
-    void agent_restarted(Machine& machine, Index index, uint64_t agent_epoch);
-    void note_interruption(Machine& machine, double notice_s) const;
+    void apply_heartbeat(Machine& machine, Index machine_index, const Heartbeat& heartbeat);
+    void mark_machine_up(Machine& machine, const Heartbeat& heartbeat);
+    void handle_agent_restart(Machine& machine, Index machine_index, uint64_t agent_epoch);
+    void record_interruption_notice(Machine& machine, double notice_s) const;
     void observe_downlink(Machine& machine, const Heartbeat& heartbeat,
                           const ReportedTasks& reported);
-    void apply_task_status(Machine& machine, Index index, const TaskStatus& status);
-    void task_progressed(Machine& machine, Index index, const TaskStatus& status);
-    void lose_missing_tasks(Machine& machine, Index index, uint64_t seq,
-                            const ReportedTasks& reported);
+    void apply_task_status(Machine& machine, Index machine_index, const TaskStatus& status);
+    void update_task_phase(Machine& machine, Index job_index, const TaskStatus& status);
+    void mark_missing_tasks_lost(Machine& machine, Index machine_index, uint64_t seq,
+                                 const ReportedTasks& reported);
 
-    [[nodiscard]] bool waits_for_records(const Machine& machine) const;
-    void respond_to_heartbeat(Index index, HeldResponse& held);
-    [[nodiscard]] std::optional<Command> command_for_unexpected(Index machine,
+    [[nodiscard]] bool is_waiting_for_records(const Machine& machine) const;
+    void respond(Index machine_index, DeferredResponse& response);
+    [[nodiscard]] std::optional<Command> command_for_unexpected(Index machine_index,
                                                                 const UnexpectedTask& entry) const;
     [[nodiscard]] bool may_start(const Machine& machine, const TaskRef& ref) const;
     [[nodiscard]] std::optional<Command> command_for_placed(const Machine& machine,
@@ -90,8 +93,8 @@
     TaskLifecycle& task_lifecycle_;
     SchedulingLoop& scheduling_loop_;
     std::function<bool(const std::string&)> is_terminated_;
-    std::map<Index, HeldResponse> held_;  // by machine
-    double next_warning_ = 0;             // steady clock, seconds
+    std::map<Index, DeferredResponse> deferred_;  // by machine index
+    double next_warning_at_ = 0;                  // steady clock, seconds
 };
 
 }  // namespace weirmill
--- a/src/controller/instance_manager.cpp
+++ b/src/controller/instance_manager.cpp
@@ -17,34 +17,35 @@
 
 namespace {
 
-// One machine at a time: its tasks must find their places first.
-constexpr double kDrainPause_s = 4;
-// A silent machine's replacement has to boot. Where a whole zone is silent the machines are sound
-// and will come back with their images, which a replacement would have to fetch as well.
+// Machines are drained one at a time, so that the tasks of one are placed before the next follows.
+constexpr double kDrainInterval_s = 4;
+// How long a silent machine is kept, in boot times, as a replacement has to boot first. If a whole
+// zone is silent, its machines are probably healthy and will return with their images, which
+// replacements would have to fetch again.
 constexpr double kReplacementBoots = 1;
 constexpr double kSilentZoneReplacementBoots = 3;
-constexpr size_t kMaxTerminatedAtOnce = 100;
-constexpr double kRememberTerminated_s = 600;
-constexpr int kListPageMachines = 500;
-// Until the cloud is asked again for a type that it had none of.
-constexpr double kMinRefusalPause_s = 12, kMaxRefusalPause_s = 18;
-constexpr double kTypesPause_s = 20, kTypesRetry_s = 0.5;
-constexpr double kListPause_s = 2.5, kListRetry_s = 1.0;
-constexpr double kReadTimeout_s = 3, kChangeTimeout_s = 4;
+constexpr size_t kMaxMachinesPerTermination = 100;
+constexpr double kTerminatedRetention_s = 600;
+constexpr int kMachinesPerListPage = 500;
+// Delay before a machine type is requested again after the cloud had no capacity for it.
+constexpr double kMinNoCapacityDelay_s = 12, kMaxNoCapacityDelay_s = 18;
+constexpr double kTypesPollInterval_s = 20, kTypesRetryDelay_s = 0.5;
+constexpr double kListPollInterval_s = 2.5, kListRetryDelay_s = 1.0;
+constexpr double kReadTimeout_s = 3, kWriteTimeout_s = 4;
 
 }  // namespace
 
-// ---- machines that are lost ----
+// ---- lost machines ----
 
-// Everything on the machine is proven gone.
-void InstanceManager::machine_gone(Index index, const char* why) {
+// Marks all tasks of the machine as lost. The machine must be proven gone, or its lease expired.
+void InstanceManager::mark_machine_gone(Index index, const char* reason) {
     auto& machine = *context_.cluster.machines[index];
-    spdlog::info("machine: {} gone, {} tasks={}", machine.name, why, machine.tasks.size());
-    auto tasks = machine.tasks;  // lose_task changes the machine's own
+    spdlog::info("machine: {} gone, {}, tasks={}", machine.name, reason, machine.tasks.size());
+    auto tasks = machine.tasks;  // a copy, as mark_lost removes tasks from the machine
     for (auto& ref : tasks)
         if (context_.cluster.jobs[ref.job]->tasks[ref.task].machine == index)
-            task_lifecycle_.lose_task(ref.job, ref.task);
-    heartbeat_handler_.drop_held(index);
+            task_lifecycle_.mark_lost(ref.job, ref.task);
+    heartbeat_handler_.refuse_deferred(index);
     stop_sender_.drop_stops(index);
     context_.scheduling_needed = true;
 }
@@ -54,16 +55,16 @@
     return machine.type < types.size() && types[machine.type].offered;
 }
 
-// Seconds until a machine provisioned in place of this one would do the same work.
+// Returns the seconds until a machine provisioned in place of this one could run its tasks.
 double InstanceManager::replacement_s(const Machine& machine, bool zone_silent) const {
     if (!is_offered(machine)) return 0;
     return (zone_silent ? kSilentZoneReplacementBoots : kReplacementBoots) *
            context_.cluster.boot_factor * context_.cluster.types[machine.type].type.boot_s;
 }
 
-InstanceManager::FleetView InstanceManager::fleet_view() const {
-    FleetView fleet;
-    fleet.silent_zones = silent_zones(context_.cluster, usable_now(context_));
+InstanceManager::FleetSummary InstanceManager::summarize_fleet() const {
+    FleetSummary fleet;
+    fleet.silent_zones = silent_zones(context_.cluster, usable_predicate(context_));
     for (auto& machine : context_.cluster.machines) {
         if (!machine || !machine->up) continue;
         ++fleet.up;
@@ -73,26 +74,28 @@
 }
 
 void InstanceManager::check_machines() {
-    if (heartbeat_handler_.past_grace()) responses_blocked_at_ = context_.now;
-    auto fleet = fleet_view();
+    if (heartbeat_handler_.answering_grace_expired()) responses_blocked_at_ = context_.now;
+    auto fleet = summarize_fleet();
     for (Index i = 0; i < context_.cluster.machines.size(); ++i)
         if (auto* machine = context_.cluster.machines[i].get()) check_machine(i, *machine, fleet);
-    std::erase_if(terminated_,
-                  [&](auto& t) { return context_.now - t.second > kRememberTerminated_s; });
-    std::erase_if(context_.cluster.refusals, [&](auto& r) { return r.first <= context_.now; });
+    std::erase_if(terminated_at_, [&](auto& entry) {
+        return context_.now - entry.second > kTerminatedRetention_s;
+    });
+    std::erase_if(context_.cluster.refusals,
+                  [&](auto& refusal) { return refusal.first <= context_.now; });
 }
 
-void InstanceManager::check_machine(Index index, Machine& machine, const FleetView& fleet) {
-    // Until its lease has certainly run out, whatever was placed there may be running.
+void InstanceManager::check_machine(Index index, Machine& machine, const FleetSummary& fleet) {
+    // The tasks placed on the machine may be running until its lease has certainly expired.
     bool expired =
         context_.now > worker_lease_expiry(context_.settings, machine, context_.term->won);
-    if (expired && machine.up) return lease_expired(index, machine);
+    if (expired && machine.up) return handle_expired_lease(index, machine);
     abandon_unreachable(machine, fleet);
-    abandon_unheard(machine, fleet);
+    abandon_silent(machine, fleet);
     if (expired && !machine.up && !machine.tasks.empty())
-        machine_gone(index, "no heartbeat since the failover");
-    if (is_lost(machine)) {
-        spdlog::info("machine: {} no longer known", machine.name);
+        mark_machine_gone(index, "no heartbeat since the failover");
+    if (is_no_longer_listed(machine)) {
+        spdlog::info("machine: {} no longer listed, forgotten", machine.name);
         context_.cluster.remove_machine(index);
         return;
     }
@@ -102,43 +105,47 @@
         context_.cluster.remove_machine(index);
 }
 
-void InstanceManager::lease_expired(Index index, Machine& machine) {
-    machine_gone(index, "its lease ran out");
+void InstanceManager::handle_expired_lease(Index index, Machine& machine) {
+    mark_machine_gone(index, "its lease expired");
     machine.up = false;
     machine.saw_fencing_token = false;
-    // Should it come back under its name with counts that begin anew, they are not taken for
-    // copies.
+    // If the machine returns with the same name, its agent epoch and sequence numbers may start
+    // again. Its heartbeats must not be taken for duplicates then.
     reset_downlink(machine.downlink, {machine.agent_epoch, machine.seq});
     machine.agent_epoch = machine.seq = 0;
 }
 
-// Its heartbeats arrive, and the responses do not.
-void InstanceManager::abandon_unreachable(Machine& machine, const FleetView& fleet) const {
+// Abandons a machine whose heartbeats arrive, but which has not received responses for too long.
+void InstanceManager::abandon_unreachable(Machine& machine, const FleetSummary& fleet) const {
     if (!machine.up || machine.abandoned) return;
     if (!should_replace_unreachable(machine.downlink, replacement_s(machine, false),
                                     fleet.downlink_lost, fleet.up, context_.settings, context_.now))
         return;
-    spdlog::info("machine: {} downlink lost for too long, terminated", machine.name);
+    spdlog::info("machine: {} downlink lost for too long, will be terminated", machine.name);
     machine.abandoned = true;
 }
 
-// Without a heartbeat for so long that it is terminated. A replacement has to boot and to fetch its
-// images again: for as long as that takes, the machine may just as well come back. A network
-// partition of 20 s once cost a whole zone's machines. After an outage in which this leader itself
-// could not answer, all will send heartbeats again.
-void InstanceManager::abandon_unheard(Machine& machine, const FleetView& fleet) const {
-    bool running = machine.up_at > 0 || machine.status == MachineStatus::Running;
-    if (machine.up || !running || machine.abandoned) return;
+// Abandons a machine that has sent no heartbeat for longer than a replacement would take. A
+// replacement has to boot and to fetch its images again, and the machine may return in that time:
+// with a shorter limit, a network partition of 20 s caused the replacement of a whole zone's
+// machines. The time starts again after an outage in which this leader could not answer heartbeats,
+// as the workers will then return.
+void InstanceManager::abandon_silent(Machine& machine, const FleetSummary& fleet) const {
+    bool has_booted = machine.up_at > 0 || machine.status == MachineStatus::Running;
+    if (machine.up || !has_booted || machine.abandoned) return;
     bool zone_silent = machine.zone < fleet.silent_zones.size() && fleet.silent_zones[machine.zone];
-    double since = std::max({machine.last_heartbeat, responses_blocked_at_, context_.term->won});
-    if (context_.now - since <= context_.settings.lease_s + replacement_s(machine, zone_silent))
+    double silent_since =
+        std::max({machine.last_heartbeat, responses_blocked_at_, context_.term->won});
+    if (context_.now - silent_since <=
+        context_.settings.lease_s + replacement_s(machine, zone_silent))
         return;
-    spdlog::info("machine: {} no heartbeat for too long, terminated", machine.name);
+    spdlog::info("machine: {} no heartbeat for too long, will be terminated", machine.name);
     machine.abandoned = true;
 }
 
-// The cloud's list does not show it, although it would by now.
-bool InstanceManager::is_lost(const Machine& machine) const {
+// Returns whether the machine is missing from the cloud's list for longer than the list may lag
+// behind.
+bool InstanceManager::is_no_longer_listed(const Machine& machine) const {
     if (machine.up || !machine.tasks.empty() || machine.terminating) return false;
     double list_lag_s = context_.settings.list_lag_s;
     if (machine.listed)
@@ -146,16 +153,17 @@
     return context_.now - machine.added > std::max(60.0, 6 * list_lag_s);
 }
 
-// Silent, and no longer listed: interrupted, as it seems. To terminate it costs nothing and proves
-// it gone, long before its lease would.
+// Abandons a machine that is silent and missing from the cloud's list. The cloud has probably
+// interrupted it. Terminating it costs nothing and proves that it is gone, long before its lease
+// expires.
 void InstanceManager::abandon_unlisted(Machine& machine) const {
     bool silent = context_.now - std::max(machine.last_heartbeat, context_.term->won) >
-                  silence_s(context_.settings);
+                  silence_threshold_s(context_.settings);
     bool overdue = context_.now - machine.added > 2 * context_.settings.list_lag_s + 1;
-    bool unlisted = listed_once_ && (machine.listed ? machine.missing : overdue);
+    bool unlisted = list_received_ && (machine.listed ? machine.missing : overdue);
     if (!silent || !unlisted || machine.abandoned) return;
     if (!machine.up && machine.tasks.empty()) return;
-    spdlog::info("machine: {} is silent and not listed, terminated", machine.name);
+    spdlog::info("machine: {} silent and not listed, will be terminated", machine.name);
     machine.abandoned = true;
 }
 
@@ -165,13 +173,15 @@
     double boot_s = context_.now - machine.requested_at;
     if (boot_s <= 3 * context_.cluster.types[machine.type].type.boot_s + 5) return;
     context_.cluster.learn_boot(machine.type, boot_s);
-    spdlog::info("machine: {} given up after booting {:.0f}s", machine.name, boot_s);
+    spdlog::info("machine: {} still booting after {:.0f}s, will be terminated", machine.name,
+                 boot_s);
     machine.abandoned = true;
 }
 
-// ---- what the cloud says ----
+// ---- results of calls to the cloud ----
 
-// Recorded, so that the next leader can decide about submissions while the cloud does not answer.
+// Records the machine types, so that the next leader can validate submissions while the cloud does
+// not respond.
 void InstanceManager::handle(MachineTypesRead& message) {
     auto types = message.types;
     for (auto& type : types) type.price = type.spot_price = 0;
@@ -186,12 +196,12 @@
 }
 
 void InstanceManager::handle(MachineListRead& message) {
-    listed_once_ = true;
+    list_received_ = true;
     std::set<std::string_view> listed_names;
     for (auto& listed : message.machines) {
         if (is_terminated(listed.name)) continue;
         listed_names.insert(listed.name);
-        machine_listed(listed);
+        apply_listed_machine(listed);
     }
     for (auto& machine : context_.cluster.machines) {
         if (!machine || !machine->listed || machine->missing) continue;
@@ -201,11 +211,11 @@
     }
 }
 
-void InstanceManager::machine_listed(const ListedMachine& listed) {
+void InstanceManager::apply_listed_machine(const ListedMachine& listed) {
     bool is_new = context_.cluster.find_machine(listed.name) == kNone;
     auto index = context_.cluster.add_machine(listed.name, context_.now);
     auto& machine = *context_.cluster.machines[index];
-    if (is_new) spdlog::debug("machine: {} found in the list", listed.name);
+    if (is_new) spdlog::debug("machine: {} discovered in the cloud's list", listed.name);
     if (!machine.listed)
         machine.requested_at = std::min(machine.requested_at, context_.now - listed.age_s);
     machine.listed = true;
@@ -215,7 +225,7 @@
         context_.cluster.describe_machine(machine, listed.type, listed.zone, listed.spot);
     if (listed.status == MachineStatus::Failed && machine.status != MachineStatus::Failed) {
         machine.status = MachineStatus::Failed;
-        machine_gone(index, "failed");
+        mark_machine_gone(index, "failed");
         machine.up = false;
     } else if (listed.status == MachineStatus::Running &&
                machine.status == MachineStatus::Booting) {
@@ -227,8 +237,8 @@
     auto& request = message.request;
     auto& type = context_.cluster.names.types.name(request.type);
     auto& zone = context_.cluster.names.zones.name(request.zone);
-    spdlog::info("cloud: provisioned {}/{} of {} in {} spot={}", message.names.size(),
-                 request.count, type, zone, request.spot);
+    spdlog::info("cloud: provisioned {}/{} machines of type {} in zone {} spot={}",
+                 message.names.size(), request.count, type, zone, request.spot);
     context_.metrics.count("machines_rented_total", message.names.size());
     for (auto& name : message.names) {
         if (is_terminated(name)) continue;
@@ -239,19 +249,19 @@
         machine.provisioned_here = true;
     }
     if (message.names.size() >= static_cast<size_t>(request.count)) return;
-    std::uniform_real_distribution<double> pause_s(kMinRefusalPause_s, kMaxRefusalPause_s);
+    std::uniform_real_distribution<double> delay_s(kMinNoCapacityDelay_s, kMaxNoCapacityDelay_s);
     context_.cluster.refusals.push_back(
-        {context_.now + pause_s(context_.random), {request.type, request.zone, request.spot}});
+        {context_.now + delay_s(context_.random), {request.type, request.zone, request.spot}});
 }
 
 void InstanceManager::handle(MachinesTerminated& message) {
     terminating_ = false;
     for (auto& name : message.names) {
         auto index = context_.cluster.find_machine(name);
-        if (message.done) terminated_[name] = context_.now;
+        if (message.confirmed) terminated_at_[name] = context_.now;
         if (index == kNone) continue;
-        if (message.done) {
-            machine_gone(index, "terminated");
+        if (message.confirmed) {
+            mark_machine_gone(index, "terminated");
             context_.cluster.remove_machine(index);
             continue;
         }
@@ -263,16 +273,16 @@
 // ---- the autoscaler ----
 
 void InstanceManager::autoscale() {
-    if (!context_.cluster.types_known || !listed_once_ || !may_decide_()) return;
+    if (!context_.cluster.types_known || !list_received_ || !may_decide_()) return;
     if (!terminating_) scale_in();
-    if (context_.now >= next_drain_) drain_one();
+    if (context_.now >= next_drain_at_) drain_one_machine();
     if (!provisioning_ && context_.now >= provision_not_before_) scale_out();
 }
 
 void InstanceManager::scale_in() {
     std::vector<std::string> names;
     for (auto i : plan_scale_in(context_.cluster, autoscaler_settings(context_), context_.now)) {
-        if (names.size() == kMaxTerminatedAtOnce) break;
+        if (names.size() == kMaxMachinesPerTermination) break;
         auto& machine = *context_.cluster.machines[i];
         machine.terminating = true;
         names.push_back(machine.name);
@@ -282,19 +292,19 @@
     asio::co_spawn(context_.io, terminate(context_.keep_alive(), std::move(names)), asio::detached);
 }
 
-void InstanceManager::drain_one() {
-    next_drain_ = context_.now + kDrainPause_s;
-    auto index = plan_drain(context_.cluster, usable_now(context_), context_.now);
+void InstanceManager::drain_one_machine() {
+    next_drain_at_ = context_.now + kDrainInterval_s;
+    auto index = plan_drain(context_.cluster, usable_predicate(context_), context_.now);
     if (index == kNone) return;
     auto& machine = *context_.cluster.machines[index];
-    spdlog::info("machine: {} draining, {} tasks move", machine.name, machine.tasks.size());
+    spdlog::info("machine: {} draining, moving {} tasks", machine.name, machine.tasks.size());
     machine.draining = true;
-    auto tasks = machine.tasks;  // a stop may change the machine's own
+    auto tasks = machine.tasks;  // a copy, as stop_task may change the machine's list
     for (auto& ref : tasks) task_lifecycle_.stop_task(ref.job, ref.task, true);
 }
 
 void InstanceManager::scale_out() {
-    auto requests = plan_scale_out(context_.cluster, usable_now(context_),
+    auto requests = plan_scale_out(context_.cluster, usable_predicate(context_),
                                    autoscaler_settings(context_), context_.now);
     if (requests.empty()) return;
     provisioning_ = true;
@@ -304,52 +314,52 @@
 
 // ---- calls to the cloud ----
 
-void InstanceManager::start_reading_types() {
-    asio::co_spawn(context_.io, read_types(context_.keep_alive()), asio::detached);
+void InstanceManager::start_polling_types() {
+    asio::co_spawn(context_.io, poll_types(context_.keep_alive()), asio::detached);
 }
 
-void InstanceManager::start_reading_list() {
-    asio::co_spawn(context_.io, read_lists(context_.keep_alive()), asio::detached);
+void InstanceManager::start_polling_list() {
+    asio::co_spawn(context_.io, poll_list(context_.keep_alive()), asio::detached);
 }
 
-asio::awaitable<void> InstanceManager::read_types(std::shared_ptr<void> keep_alive) {
+asio::awaitable<void> InstanceManager::poll_types(std::shared_ptr<void> keep_alive) {
     (void)keep_alive;
     while (!context_.stopped) {
-        auto answer = co_await cloud_.call("GET", paths::kMachineTypes, "", kReadTimeout_s);
-        bool good = false;
-        if (answer && answer->status == 200) {
+        auto response = co_await cloud_.call("GET", paths::kMachineTypes, "", kReadTimeout_s);
+        bool succeeded = false;
+        if (response && response->status == 200) {
             try {
-                auto types = parse_machine_types(answer->body);
+                auto types = parse_machine_types(response->body);
                 context_.post(MachineTypesRead{std::move(types)});
-                good = true;
+                succeeded = true;
             } catch (const BadMessage& e) {
                 spdlog::error("cloud: malformed machine types: {}", e.what());
             }
         }
-        co_await sleep_s(good ? kTypesPause_s : kTypesRetry_s);
+        co_await sleep_s(succeeded ? kTypesPollInterval_s : kTypesRetryDelay_s);
     }
 }
 
-asio::awaitable<void> InstanceManager::read_lists(std::shared_ptr<void> keep_alive) {
+asio::awaitable<void> InstanceManager::poll_list(std::shared_ptr<void> keep_alive) {
     (void)keep_alive;
     while (!context_.stopped) {
         auto machines = co_await read_list();
-        bool good = machines.has_value();
-        if (good) context_.post(MachineListRead{std::move(*machines)});
-        co_await sleep_s(good ? kListPause_s : kListRetry_s);
+        bool succeeded = machines.has_value();
+        if (succeeded) context_.post(MachineListRead{std::move(*machines)});
+        co_await sleep_s(succeeded ? kListPollInterval_s : kListRetryDelay_s);
     }
 }
 
-// All pages of the list. Nothing: not all could be read.
+// Returns the machines of all pages of the list, or nothing if a page could not be read.
 asio::awaitable<std::optional<std::vector<ListedMachine>>> InstanceManager::read_list() {
     std::vector<ListedMachine> all;
     std::string after;
     for (bool more = true; more;) {
-        auto target = machine_list_target(after, kListPageMachines);
-        auto answer = co_await cloud_.call("GET", std::move(target), "", kReadTimeout_s);
-        if (!answer || answer->status != 200) co_return std::nullopt;
+        auto target = machine_list_target(after, kMachinesPerListPage);
+        auto response = co_await cloud_.call("GET", std::move(target), "", kReadTimeout_s);
+        if (!response || response->status != 200) co_return std::nullopt;
         try {
-            auto page = parse_machine_page(answer->body);
+            auto page = parse_machine_page(response->body);
             more = page.more && !page.machines.empty();
             if (!page.machines.empty()) after = page.machines.back().name;
             std::ranges::move(page.machines, std::back_inserter(all));
@@ -372,33 +382,34 @@
     context_.post(ScaleOutFinished{});
 }
 
-// The names of the machines, fewer than asked for where the cloud has no more. Nothing: the term is
-// over.
+// Returns the names of the provisioned machines, which are fewer than requested if the cloud lacks
+// capacity. Returns nothing if the term is over.
 asio::awaitable<std::optional<std::vector<std::string>>> InstanceManager::provision_one(
     ScaleOutRequest request) {
-    // Unique for ever: no other leader has this fencing token, and no other request of this leader
-    // this number.
-    auto id = fmt::format("w{}-{}", context_.term->fencing_token, ++provision_count_);
+    // The id is globally unique: each leadership term has its own fencing token, and each request
+    // of the term its own number.
+    auto id = fmt::format("w{}-{}", context_.term->fencing_token, ++provision_requests_);
     auto body =
         rental_json(id, context_.cluster.names.types.name(request.type),
                     context_.cluster.names.zones.name(request.zone), request.spot, request.count);
     std::vector<std::string> none;
     while (!context_.stopped) {
-        auto answer = co_await cloud_.call("POST", paths::kMachines, body, kChangeTimeout_s);
+        auto response = co_await cloud_.call("POST", paths::kMachines, body, kWriteTimeout_s);
         if (context_.stopped) break;
-        if (answer && answer->status == 200) {
+        if (response && response->status == 200) {
             try {
-                co_return parse_rented(answer->body);
+                co_return parse_rented(response->body);
             } catch (const BadMessage& e) {
                 spdlog::error("cloud: malformed response to a scale-out request: {}", e.what());
             }
-        } else if (answer && answer->status == 503 && says_no_capacity(answer->body)) {
+        } else if (response && response->status == 503 && says_no_capacity(response->body)) {
             co_return none;
-        } else if (answer && answer->status == 400) {
-            spdlog::error("cloud: scale-out request refused as malformed: {}", body);
+        } else if (response && response->status == 400) {
+            spdlog::error("cloud: scale-out request rejected with status 400: {}", body);
             co_return none;
         }
-        // No answer or trouble: the same request again, as the cloud executes one id once.
+        // Without a usable response, the request is sent again with the same id, which the cloud
+        // executes only once.
     }
     co_return std::nullopt;
 }
@@ -407,9 +418,10 @@
                                                  std::vector<std::string> names) {
     (void)keep_alive;
     auto body = return_json(names);
-    auto answer = co_await cloud_.call("POST", paths::kReturn, std::move(body), kChangeTimeout_s);
-    // Without an answer they may be gone or not: they stay out of use and are terminated again.
-    context_.post(MachinesTerminated{std::move(names), answer && answer->status == 200});
+    auto response = co_await cloud_.call("POST", paths::kReturn, std::move(body), kWriteTimeout_s);
+    // Without a response, the machines may or may not be terminated. They stay out of use until a
+    // later request terminates them.
+    context_.post(MachinesTerminated{std::move(names), response && response->status == 200});
 }
 
 }  // namespace weirmill
--- a/src/controller/job_admission.cpp
+++ b/src/controller/job_admission.cpp
@@ -16,17 +16,18 @@
 constexpr double kReadDependencies_s = 1.2;
 constexpr double kReadTimeout_s = 0.6;
 
-// False: the rest is not read, as the job was never accepted, or the read failed (`all` is false).
+// False: the rest is not read, as the job was never accepted, or the read failed (`complete` is
+// false).
 bool take_final_state(const std::string& id, const KvResult<KvItem>& result,
                       DependenciesRead& read) {
     if (result.outcome == KvOutcome::Missing) {
-        read.missing = id;
+        read.never_accepted_id = id;
         return false;
     }
     auto state = result ? decode_final_state(result.value) : std::nullopt;
-    read.all = state.has_value();
-    if (state) read.ended.emplace_back(id, *state);
-    return read.all;
+    read.complete = state.has_value();
+    if (state) read.final_states.emplace_back(id, *state);
+    return read.complete;
 }
 
 }  // namespace
@@ -116,9 +117,9 @@
     double until = steady_now() + kReadDependencies_s;
     double pause_s = 1 / (kReadShare * context_.settings.state_rps);
     for (auto& id : ids) {
-        if (read.ended.size() >= kReadAtOnce) co_await sleep_s(pause_s);
+        if (read.final_states.size() >= kReadAtOnce) co_await sleep_s(pause_s);
         if (context_.stopped || steady_now() > until) {
-            read.all = false;
+            read.complete = false;
             break;
         }
         auto result = co_await final_states_.read(id, kReadTimeout_s);
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -17,16 +17,16 @@
 
 namespace {
 
-// Outcomes of calls have as much room again as requests: none of them may be lost.
+// Half of the mailbox is for the outcomes of calls, none of which may be lost.
 constexpr size_t kMaxMessages = 2 * kMaxQueuedRequests;
-constexpr double kAnswer_s = 2.0;     // after that, users are asked to come back
-constexpr double kMaxSettle_s = 0.6;  // before a transfer of the leadership
-constexpr double kLoadRetry_s = 0.3;
-constexpr double kTick_s = 0.1;
-constexpr double kCheckPause_s = 0.5;
-constexpr double kAutoscalePause_s = 1.0;
-constexpr double kAutoscaleAgain_s = 0.2;  // after a scale-out pass is over
-constexpr double kCapacityLogPause_s = 5;
+constexpr double kReplyTimeout_s = 2.0;  // users are then told to retry later
+constexpr double kMaxQuiesce_s = 0.6;    // maximum delay of a leadership transfer
+constexpr double kLoadRetryDelay_s = 0.3;
+constexpr double kTickInterval_s = 0.1;
+constexpr double kMachineCheckInterval_s = 0.5;
+constexpr double kAutoscaleInterval_s = 1.0;
+constexpr double kAutoscaleRepeatDelay_s = 0.2;  // after the end of a scale-out pass
+constexpr double kCapacityLogInterval_s = 5;
 
 }  // namespace
 
@@ -48,7 +48,7 @@
       users_(context_, final_states_, admission_, adoption_,
              [this] { return log_writer_.kv_unavailable(); }),
       log_writer_(context_, users_, adoption_, admission_, job_callbacks(),
-                  [this] { heartbeat_handler_.release_held(false); }),
+                  [this] { heartbeat_handler_.send_deferred(false); }),
       mailbox_(io, kMaxMessages) {
     context_.post = [this](LeaderMessage message) { post(std::move(message)); };
     context_.keep_alive = [this] { return shared_from_this(); };
@@ -61,7 +61,7 @@
 
 void Leader::start() {
     asio::co_spawn(context_.io, run(shared_from_this()), asio::detached);
-    instance_manager_.start_reading_types();
+    instance_manager_.start_polling_types();
 }
 
 void Leader::stop() {
@@ -70,10 +70,10 @@
     context_.term->ended = true;
     mailbox_.close();
     users_.stop();
-    heartbeat_handler_.redirect_held();
+    heartbeat_handler_.redirect_deferred();
 }
 
-asio::awaitable<PeerReply> Leader::ask(PeerCall call) {
+asio::awaitable<PeerReply> Leader::request(PeerCall call) {
     if (!ready_) co_return undecided(context_);
     size_t bytes = call.body.size();
     if (queued_requests_ >= kMaxQueuedRequests ||
@@ -84,75 +84,76 @@
     ++queued_requests_;
     queued_bytes_ += bytes;
     post(RequestReceived{std::move(call), reply, bytes});
-    // A worker waits for as long as its own patience: with a burst of heartbeats on a small share
-    // of a core, some are answered late.
-    double wait_s =
-        is_heartbeat ? std::max(kAnswer_s, context_.settings.worker_patience_s) : kAnswer_s;
-    auto answer = co_await reply.wait(wait_s);
-    if (answer) co_return *answer;
+    // A heartbeat is answered for as long as its worker waits. In a burst of heartbeats, a
+    // controller that has only a small share of a CPU core answers some of them late.
+    double timeout_s = is_heartbeat ? std::max(kReplyTimeout_s, context_.settings.worker_patience_s)
+                                    : kReplyTimeout_s;
+    auto result = co_await reply.wait(timeout_s);
+    if (result) co_return *result;
     co_return is_heartbeat ? PeerReply{503, "{}"} : retry_later(context_);
 }
 
-void Leader::handle(RequestReceived& m) {
+void Leader::handle(RequestReceived& message) {
     --queued_requests_;
-    queued_bytes_ -= m.bytes;
-    switch (m.call.op) {
+    queued_bytes_ -= message.bytes;
+    switch (message.call.op) {
         case PeerOp::Submit:
-            return users_.submit(m.call, m.reply);
+            return users_.submit(message.call, message.reply);
         case PeerOp::Status:
-            return users_.status(m.call, m.reply);
+            return users_.status(message.call, message.reply);
         case PeerOp::Cancel:
-            return users_.cancel(m.call, m.reply);
+            return users_.cancel(message.call, message.reply);
         case PeerOp::Heartbeat:
-            return heartbeat_handler_.heartbeat(m.call, m.reply);
+            return heartbeat_handler_.handle_heartbeat(message.call, message.reply);
         case PeerOp::Ping:
         case PeerOp::Command:
-            break;  // answered by the node itself
+            break;  // RequestRouter handles these and does not pass them to the leader
     }
-    m.reply.set({400, "{}"});
+    message.reply.set({400, "{}"});
 }
 
-void Leader::handle(DependenciesRead& m) {
-    for (auto& [id, ended] : m.ended) final_states_.remember(id, ended);
-    if (m.adopts)
-        adoption_.resume(m);
+void Leader::handle(DependenciesRead& message) {
+    for (auto& [id, final_state] : message.final_states) final_states_.remember(id, final_state);
+    if (message.for_adoption)
+        adoption_.resume(message);
     else
-        users_.dependencies_read(m);
+        users_.dependencies_read(message);
 }
 
 void Leader::gauges(std::map<std::string, double>& out) const {
-    size_t up = 0, downlink_lost = 0, placed = 0, pending = 0;
-    for (auto& m : context_.cluster.machines) {
-        up += m && m->up;
-        downlink_lost += m && m->up && m->downlink.downlink_lost();
+    size_t machines_up = 0, downlinks_lost = 0, tasks_placed = 0, tasks_pending = 0;
+    for (auto& machine : context_.cluster.machines) {
+        machines_up += machine && machine->up;
+        downlinks_lost += machine && machine->up && machine->downlink.downlink_lost();
     }
     for (auto& job : context_.cluster.jobs) {
         if (!job) continue;
-        placed += job->placed;
-        pending += job->pending;
+        tasks_placed += job->placed;
+        tasks_pending += job->pending;
     }
     out["jobs_waiting"] = static_cast<double>(context_.cluster.dependencies().waiting());
     out["jobs"] = static_cast<double>(context_.cluster.job_index.size());
     out["machines"] = static_cast<double>(context_.cluster.machine_index.size());
-    out["machines_up"] = static_cast<double>(up);
-    out["machines_deaf"] = static_cast<double>(downlink_lost);
-    out["tasks_placed"] = static_cast<double>(placed);
-    out["tasks_pending"] = static_cast<double>(pending);
+    out["machines_up"] = static_cast<double>(machines_up);
+    out["machines_deaf"] = static_cast<double>(downlinks_lost);
+    out["tasks_placed"] = static_cast<double>(tasks_placed);
+    out["tasks_pending"] = static_cast<double>(tasks_pending);
     out["queues_pressed"] = static_cast<double>(forecast_.overloaded());
-    auto can_use = usable_now(context_);
-    for (auto& gauge : capacity_gauges(capacity_breakdown(context_.cluster, can_use, context_.now)))
-        out[gauge.name] = gauge.value;
+    auto is_usable_now = usable_predicate(context_);
     for (auto& gauge :
-         starved_gauges(starved_jobs(context_.cluster, can_use, context_.now, kStarvedAfter_s)))
+         capacity_gauges(capacity_breakdown(context_.cluster, is_usable_now, context_.now)))
+        out[gauge.name] = gauge.value;
+    for (auto& gauge : starved_gauges(
+             starved_jobs(context_.cluster, is_usable_now, context_.now, kStarvedAfter_s)))
         out[gauge.name] = gauge.value;
 }
 
-void Leader::post(LeaderMessage m) {
+void Leader::post(LeaderMessage message) {
     if (context_.stopped) return;
-    if (mailbox_.try_send(boost::system::error_code(), std::move(m))) return;
-    // Without an outcome that was lost, this leader would wait for ever: the next one reads the
-    // records anew.
-    spdlog::error("leader: mailbox full, giving up the leadership");
+    if (mailbox_.try_send(boost::system::error_code(), std::move(message))) return;
+    // This leader would wait forever for the outcome that is lost here. The next leader reads the
+    // records again.
+    spdlog::error("leader: mailbox full, leadership given up");
     context_.term->ended = true;
 }
 
@@ -161,18 +162,18 @@
     if (!pending || context_.stopped) co_return;
     become_ready(*pending);
     asio::co_spawn(context_.io, tick_loop(self), asio::detached);
-    instance_manager_.start_reading_list();
+    instance_manager_.start_polling_list();
     adoption_.start_watch();
     while (!context_.stopped) {
         auto [ec, message] = co_await mailbox_.async_receive(asio::as_tuple(asio::use_awaitable));
         if (ec) break;
         context_.now = steady_now();
-        std::visit([this](auto& m) { handle(m); }, message);
+        std::visit([this](auto& received) { handle(received); }, message);
         if (context_.stopped) break;
         scheduling_loop_.run_if_due();
         stop_sender_.flush_stops();
         log_writer_.flush();
-        if (on_settled_) settle();
+        if (on_quiesced_) finish_transfer_if_quiesced();
     }
 }
 
@@ -182,112 +183,110 @@
     while (!context_.stopped) {
         auto notes = co_await loader.load();
         if (notes) {
-            scheduling_loop_.resume_rounds(notes->preemption_rounds);
+            scheduling_loop_.set_last_preemption_round(notes->preemption_rounds);
             instance_manager_.set_recorded_types(notes->machine_types);
             pending = co_await adoption_.read_all();
         }
         if (pending) break;
-        co_await sleep_s(kLoadRetry_s);
+        co_await sleep_s(kLoadRetryDelay_s);
     }
     co_return pending;
 }
 
 void Leader::become_ready(const PendingRecordsChanged& pending) {
     context_.now = steady_now();
-    // Machines that a predecessor provisioned may not be listed yet: without waiting, they would be
-    // provisioned again.
+    // The cloud's list may not contain machines yet that an earlier leader has provisioned. Without
+    // this delay, this leader would provision them again.
     if (!context_.cluster.jobs.empty())
         instance_manager_.defer_scale_out(context_.term->won + 2 * context_.settings.list_lag_s);
-    next_round_ = context_.now + context_.properties.preemption_round_s / 2;
+    next_preemption_at_ = context_.now + context_.properties.preemption_round_s / 2;
     ready_ = true;
     spdlog::info("leader: ready token={} jobs={} machines={}", context_.term->fencing_token,
                  context_.cluster.job_index.size(), context_.cluster.machine_index.size());
-    for (Index j = 0; j < context_.cluster.jobs.size(); ++j) {
-        if (!context_.cluster.jobs[j]) continue;
-        auto& job = *context_.cluster.jobs[j];
+    for (Index job_index = 0; job_index < context_.cluster.jobs.size(); ++job_index) {
+        if (!context_.cluster.jobs[job_index]) continue;
+        auto& job = *context_.cluster.jobs[job_index];
         job.seen_at = context_.now - std::max(0.0, wall_now() - job.submitted);
         job.ready_at = context_.now - std::max(0.0, wall_now() - job.ready);
-        task_lifecycle_.check_job(j);
+        task_lifecycle_.check_job(job_index);
     }
     context_.cluster.propagate_demands();
     if (!pending.events.empty())
-        spdlog::info("leader: {} pending records to adopt", pending.events.size());
+        spdlog::info("leader: adopting {} pending records", pending.events.size());
     adoption_.receive(pending);
 }
 
 asio::awaitable<void> Leader::tick_loop(std::shared_ptr<Leader> self) {
     (void)self;
     while (!context_.stopped) {
-        co_await sleep_s(kTick_s);
+        co_await sleep_s(kTickInterval_s);
         post(TimerTick{});
     }
 }
 
 void Leader::handle(TimerTick&) {
-    heartbeat_handler_.release_held(true);
+    heartbeat_handler_.send_deferred(true);
     adoption_.adopt_due();
-    if (context_.now >= next_check_) {
-        next_check_ = context_.now + kCheckPause_s;
+    if (context_.now >= next_machine_check_at_) {
+        next_machine_check_at_ = context_.now + kMachineCheckInterval_s;
         instance_manager_.check_machines();
         stop_sender_.repeat_stops();
     }
-    if (context_.now >= next_round_) {
-        next_round_ = context_.now + context_.properties.preemption_round_s;
-        scheduling_loop_.preempt();
+    if (context_.now >= next_preemption_at_) {
+        next_preemption_at_ = context_.now + context_.properties.preemption_round_s;
+        scheduling_loop_.run_preemption_round();
     }
-    if (context_.now >= next_autoscale_) {
-        next_autoscale_ = context_.now + kAutoscalePause_s;
+    if (context_.now >= next_autoscale_at_) {
+        next_autoscale_at_ = context_.now + kAutoscaleInterval_s;
         if (context_.properties.overload_enabled) forecast_.observe(context_.cluster, context_.now);
         instance_manager_.autoscale();
         log_capacity();
-        context_.scheduling_needed = true;  // back-offs and quarantines end with time alone
+        context_.scheduling_needed = true;  // back-offs and quarantines may have expired
     }
 }
 
-// Why jobs wait, for the operators' engineers.
+// Logs why jobs wait, as an aid to debugging.
 void Leader::log_capacity() {
-    if (!spdlog::should_log(spdlog::level::debug) || context_.now < next_capacity_log_) return;
-    next_capacity_log_ = context_.now + kCapacityLogPause_s;
+    if (!spdlog::should_log(spdlog::level::debug) || context_.now < next_capacity_log_at_) return;
+    next_capacity_log_at_ = context_.now + kCapacityLogInterval_s;
     spdlog::debug("capacity: {}", capacity_text(capacity_breakdown(
-                                      context_.cluster, usable_now(context_), context_.now)));
-    for (auto& [key, q] : forecast_.queues())
-        if (q.jobs > 0)
+                                      context_.cluster, usable_predicate(context_), context_.now)));
+    for (auto& [key, queue] : forecast_.queues())
+        if (queue.jobs > 0)
             spdlog::debug(
-                "queue: {} of {}, {} jobs wait, {} of them give up a time, {:.0f} units in "
-                "use, "
-                "{:.0f} left, "
-                "drains in {:.0f}s of {:.0f}s",
+                "queue: class {} of team {}, {} jobs waiting, {} deadlines abandoned, "
+                "{:.0f} units in use, {:.0f} left, drains in {:.0f}s of {:.0f}s",
                 context_.cluster.names.classes.name(key.job_class),
-                context_.cluster.names.teams.name(key.team), q.jobs, q.abandoning, q.in_use, q.left,
-                q.drain_s, q.within_s);
+                context_.cluster.names.teams.name(key.team), queue.jobs, queue.abandoning,
+                queue.in_use, queue.left, queue.drain_s, queue.within_s);
 }
 
-void Leader::handle(ScaleOutFinished& m) {
-    instance_manager_.handle(m);
-    next_autoscale_ = std::min(next_autoscale_, context_.now + kAutoscaleAgain_s);
+void Leader::handle(ScaleOutFinished& message) {
+    instance_manager_.handle(message);
+    next_autoscale_at_ = std::min(next_autoscale_at_, context_.now + kAutoscaleRepeatDelay_s);
 }
 
-// ---- transfer of the leadership ----
+// ---- leadership transfer ----
 
-void Leader::transfer_leadership(std::function<void()> settled) {
-    if (!ready_) return settled();
-    post(TransferRequested{std::move(settled)});
+void Leader::transfer_leadership(std::function<void()> on_quiesced) {
+    if (!ready_) return on_quiesced();
+    post(TransferRequested{std::move(on_quiesced)});
 }
 
-void Leader::handle(TransferRequested& m) {
-    on_settled_ = std::move(m.settled);
-    settle_deadline_ = context_.now + kMaxSettle_s;
-    // Requests of users go on to the next leader, as at any end of a term: they are under way or
-    // repeated.
+void Leader::handle(TransferRequested& message) {
+    on_quiesced_ = std::move(message.on_quiesced);
+    quiesce_deadline_ = context_.now + kMaxQuiesce_s;
+    // New requests are no longer accepted. As at the end of any term, requests in progress complete
+    // or their senders repeat them to the next leader.
     ready_ = false;
 }
 
-// Records that are under way or waiting are written first: the next leader would else do the work
-// again.
-void Leader::settle() {
-    if (log_writer_.busy() && context_.now < settle_deadline_) return;
-    auto settled = std::exchange(on_settled_, nullptr);
-    settled();
+// Hands over the leadership once all queued records are written, or at the deadline. The next
+// leader would have to repeat the work behind records that are not written.
+void Leader::finish_transfer_if_quiesced() {
+    if (log_writer_.busy() && context_.now < quiesce_deadline_) return;
+    auto on_quiesced = std::exchange(on_quiesced_, nullptr);
+    on_quiesced();
 }
 
 }  // namespace weirmill
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -1,5 +1,5 @@
-// The leader: an actor that owns the cluster state and is spoken to by messages. It exists for one
-// leadership term.
+// The leader of the cluster, as an actor: it owns the cluster state and handles the messages of its
+// mailbox one at a time. One object exists for each leadership term.
 #pragma once
 #include <boost/asio/experimental/channel.hpp>
 #include <functional>
@@ -23,60 +23,64 @@
 
 namespace weirmill {
 
-// Wires the parts of a leadership term, and takes the messages of its mailbox one after the other.
-// The parts own their state; what they share is LeaderContext. Used on one executor only.
+// Constructs and connects the components of a leadership term and dispatches messages to them. Each
+// component owns its state; they share LeaderContext. Used on one executor only.
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
     Leader(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
            KvClient& state, Metrics& metrics, std::shared_ptr<LeadershipTerm> term);
     void start();
-    // The term is over: nothing is answered or sent any more.
+    // Ends the term: the leader answers and sends nothing any more.
     void stop();
 
+    // Returns whether the records are loaded and the leader accepts requests.
     bool ready() const { return ready_; }
     bool lease_valid(double now) const {
         return !context_.term->ended && now < context_.term->lease_valid_until;
     }
-    bool may_decide() const { return lease_valid(context_.now) && !on_settled_; }
+    // Returns whether the lease is valid and no leadership transfer is in progress.
+    bool may_decide() const { return lease_valid(context_.now) && !on_quiesced_; }
     uint64_t fencing_token() const { return context_.term->fencing_token; }
+    // Adds the current values of this leader's gauges to `out`, by metric name.
     void gauges(std::map<std::string, double>& out) const;
 
-    // Completes what is under way and starts nothing more, then calls `settled`.
-    void transfer_leadership(std::function<void()> settled);
+    // Starts no new work, and calls `on_quiesced` once the work in progress is complete or a
+    // deadline has passed.
+    void transfer_leadership(std::function<void()> on_quiesced);
     const ClusterState& cluster() const { return context_.cluster; }
-    // Stops also go by way of peers from here on.
+    // Sets the function that forwards stop commands through peers.
     void set_relay(PeerRelay relay) { stop_sender_.set_relay(std::move(relay)); }
 
-    // Requests of users and workers, from this node's own HTTP server or over the peer link.
-    // Answered within some seconds in any case.
-    boost::asio::awaitable<PeerReply> ask(PeerCall call);
+    // Handles a request of a user or a worker, which arrived at this node's own HTTP server or over
+    // a peer link. Replies within a few seconds in any case.
+    boost::asio::awaitable<PeerReply> request(PeerCall call);
 
   private:
     using Mailbox =
         boost::asio::experimental::channel<void(boost::system::error_code, LeaderMessage)>;
 
     boost::asio::awaitable<void> run(std::shared_ptr<Leader> self);
-    // Until all was read, or the term is over (nothing).
+    // Loads all records and returns the pending ones. Returns nothing if the term ends first.
     boost::asio::awaitable<std::optional<PendingRecordsChanged>> load();
     void become_ready(const PendingRecordsChanged& pending);
     boost::asio::awaitable<void> tick_loop(std::shared_ptr<Leader> self);
 
-    void post(LeaderMessage m);
-    void handle(RequestReceived& m);
-    void handle(FinalStateRead& m) { users_.final_state_read(m); }
-    void handle(DependenciesRead& m);
-    void handle(TransactionFinished& m) { log_writer_.finished(m); }
+    void post(LeaderMessage message);
+    void handle(RequestReceived& message);
+    void handle(FinalStateRead& message) { users_.final_state_read(message); }
+    void handle(DependenciesRead& message);
+    void handle(TransactionFinished& message) { log_writer_.finished(message); }
     void handle(TransactionOutcomeUnknown&) { log_writer_.outcome_unknown(); }
-    void handle(PendingRecordsChanged& m) { adoption_.receive(m); }
-    void handle(MachineTypesRead& m) { instance_manager_.handle(m); }
-    void handle(MachineListRead& m) { instance_manager_.handle(m); }
-    void handle(MachinesProvisioned& m) { instance_manager_.handle(m); }
-    void handle(ScaleOutFinished& m);
-    void handle(MachinesTerminated& m) { instance_manager_.handle(m); }
+    void handle(PendingRecordsChanged& message) { adoption_.receive(message); }
+    void handle(MachineTypesRead& message) { instance_manager_.handle(message); }
+    void handle(MachineListRead& message) { instance_manager_.handle(message); }
+    void handle(MachinesProvisioned& message) { instance_manager_.handle(message); }
+    void handle(ScaleOutFinished& message);
+    void handle(MachinesTerminated& message) { instance_manager_.handle(message); }
     void handle(TimerTick&);
-    void handle(TransferRequested& m);
+    void handle(TransferRequested& message);
     void log_capacity();
-    void settle();
+    void finish_transfer_if_quiesced();
 
     JobCallbacks job_callbacks();
 
@@ -93,19 +97,19 @@
     StateLogWriter log_writer_;
     Mailbox mailbox_;
     Forecast forecast_;
-    // Requests in the mailbox, and the bytes of their bodies.
+    // Number of requests in the mailbox, and the total size of their bodies.
     size_t queued_requests_ = 0;
     size_t queued_bytes_ = 0;
     bool ready_ = false;
-    // Transfer of the leadership: called once nothing is under way, or at the deadline.
-    std::function<void()> on_settled_;
-    double settle_deadline_ = 0;
+    // Set during a leadership transfer.
+    std::function<void()> on_quiesced_;
+    double quiesce_deadline_ = 0;  // steady clock, seconds
 
-    // When the periodic work is due, on the steady clock in seconds.
-    double next_round_ = 0;
-    double next_check_ = 0;
-    double next_autoscale_ = 0;
-    double next_capacity_log_ = 0;
+    // When the next periodic tasks are due. Times on the steady clock, seconds.
+    double next_preemption_at_ = 0;
+    double next_machine_check_at_ = 0;
+    double next_autoscale_at_ = 0;
+    double next_capacity_log_at_ = 0;
 };
 
 }  // namespace weirmill
--- a/src/controller/leader_context.h
+++ b/src/controller/leader_context.h
@@ -1,5 +1,5 @@
-// What the parts of one leadership term share. Owned by Leader and used on its executor only;
-// between two messages of the leader's mailbox nobody changes it.
+// State shared by the components of one leadership term. Leader owns it, and it is used on the
+// leader's executor only. It does not change between two messages of the leader's mailbox.
 #pragma once
 #include <boost/asio/io_context.hpp>
 #include <functional>
@@ -29,7 +29,7 @@
           cluster(settings),
           state_log(cluster, term->fencing_token, {settings.txn_ops, settings.value_kb}),
           random(std::random_device{}()) {}
-    LeaderContext(const LeaderContext&) = delete;  // the log refers to the cluster state
+    LeaderContext(const LeaderContext&) = delete;  // state_log refers to cluster
     LeaderContext& operator=(const LeaderContext&) = delete;
     LeaderContext(LeaderContext&&) = delete;
     LeaderContext& operator=(LeaderContext&&) = delete;
@@ -44,16 +44,16 @@
     ClusterState cluster;
     StateLog state_log;
     std::mt19937_64 random;
-    double now = 0;                 // steady clock, seconds; set as each message is taken
-    bool scheduling_needed = true;  // something changed that the next scheduling pass looks at
+    double now = 0;  // steady clock, seconds; set when the handling of a message begins
+    bool scheduling_needed = true;  // the state has changed since the last scheduling pass
     bool stopped = false;           // the term is over: nothing is answered or sent any more
 
-    // Puts a message into the leader's mailbox.
+    // Posts a message to the leader's mailbox.
     std::function<void(LeaderMessage)> post;
-    // Keeps the leader, and with it this context, alive for as long as a coroutine holds it.
+    // Returns a pointer that keeps the leader, and with it this context, alive. Coroutines hold it.
     std::function<std::shared_ptr<void>()> keep_alive;
 
-    // This controller is the leader for certain, at the time of the current message.
+    // Returns whether this controller is certain to be the leader at the time `now`.
     [[nodiscard]] bool lease_valid() const { return !term->ended && now < term->lease_valid_until; }
 };
 
--- a/src/controller/leader_messages.h
+++ b/src/controller/leader_messages.h
@@ -1,5 +1,5 @@
-// Messages of the leader's mailbox: requests from outside, and the outcomes of the calls that its
-// parts have started. All are handled one after the other by the leader's actor.
+// Messages of the leader's mailbox: requests, and the outcomes of asynchronous calls that its
+// components have started. The leader handles them one at a time.
 #pragma once
 #include <functional>
 #include <string>
@@ -16,32 +16,33 @@
 
 namespace weirmill {
 
-// Where the answer to a user, worker or peer goes.
+// Receives the reply to a user, worker or peer.
 using ReplyPromise = OneShot<PeerReply>;
 
-// What a user or a worker asks for, by way of this node or of a peer.
+// A request of a user or a worker, received by this node or forwarded by a peer.
 struct RequestReceived {
     PeerCall call;
     ReplyPromise reply;
-    size_t bytes = 0;  // of the body, as counted against the limit on queued requests
+    size_t bytes = 0;  // size of the body, which counts towards the limit on queued requests
 };
 
-// The final state of a job that is not in the cluster state was read from the key-value store.
+// The final state of a job that is not in the cluster state was read from the key-value store for a
+// request.
 struct FinalStateRead {
     PeerCall call;
     ReplyPromise reply;
     KvResult<KvItem> result;
-    PeerReply refusal;  // the answer should there be no final state
+    PeerReply reply_if_absent;  // the reply if there is no final state
 };
 
-// The final states of jobs that a submission depends on were read.
+// The final states of jobs that a new job depends on were read.
 struct DependenciesRead {
     PeerCall call;
     ReplyPromise reply;
-    std::vector<std::pair<std::string, FinalState>> ended;
-    std::string missing;  // was never accepted, as the key-value store has it
-    bool all = false;     // nothing is left to be read
-    bool adopts = false;  // for a job that a standby accepted
+    std::vector<std::pair<std::string, FinalState>> final_states;  // by job id
+    std::string never_accepted_id;  // if not empty: a job of which there is no final state
+    bool complete = false;          // all final states were read
+    bool for_adoption = false;      // the new job was accepted by a standby controller
 };
 
 // The outcome of a state log transaction is known.
@@ -50,13 +51,13 @@
     KvResult<uint64_t> result;
 };
 
-// A state log transaction had no answer: it may have been applied, or may be later.
+// A state log transaction got no response: it may have been applied, or may be applied later.
 struct TransactionOutcomeUnknown {};
 
 // Pending records of standby controllers were added, changed or deleted.
 struct PendingRecordsChanged {
     std::vector<KvEvent> events;
-    bool whole = false;  // all records there are, not only what changed
+    bool complete = false;  // `events` lists all existing records, not only the changed ones
 };
 
 struct MachineTypesRead {
@@ -67,25 +68,26 @@
     std::vector<ListedMachine> machines;
 };
 
-// The cloud answered a request to provision machines.
+// The cloud responded to a provisioning request.
 struct MachinesProvisioned {
     ScaleOutRequest request;
     std::vector<std::string> names;
 };
 
-// All requests of one scale-out pass are answered.
+// All requests of one scale-out pass are complete.
 struct ScaleOutFinished {};
 
 struct MachinesTerminated {
     std::vector<std::string> names;
-    bool done = false;  // false: no answer, they may be gone or not
+    bool confirmed = false;  // if false, the machines may or may not be terminated
 };
 
 struct TimerTick {};
 
-// The leadership is to go to another controller; `settled` is called once nothing is under way.
+// The leadership is to be transferred to another controller. `on_quiesced` is called once the work
+// in progress is complete.
 struct TransferRequested {
-    std::function<void()> settled;
+    std::function<void()> on_quiesced;
 };
 
 using LeaderMessage =
--- a/src/controller/leader_replies.h
+++ b/src/controller/leader_replies.h
@@ -1,15 +1,15 @@
-// Answers of the leader that say nothing about a job.
+// Replies of the leader that do not depend on a job.
 #pragma once
 #include "controller/leader_context.h"
 #include "transport/peer_link.h"
 
 namespace weirmill {
 
-// 503: the caller repeats its request after this many seconds.
+// Returns a reply with status 503 that asks the caller to repeat its request after `seconds`.
 PeerReply retry_later(const LeaderContext& context, int seconds = 1);
 
-// 503 by a controller that does not lead for certain, or does not know what is recorded: a standby
-// controller, which reads the records, may serve the request instead.
+// Returns a reply with status 503 and the `undecided` flag: this controller is not certain to lead,
+// or does not know what is recorded. A standby controller may serve the request from the records.
 PeerReply undecided(const LeaderContext& context);
 
 }  // namespace weirmill
--- a/src/controller/pending_adoption.cpp
+++ b/src/controller/pending_adoption.cpp
@@ -32,7 +32,7 @@
 
 asio::awaitable<std::optional<PendingRecordsChanged>> PendingAdoption::read_all() {
     PendingRecordsChanged read;
-    read.whole = true;
+    read.complete = true;
     std::string after;
     for (bool more = true; more;) {
         auto page =
@@ -84,7 +84,7 @@
 }
 
 void PendingAdoption::receive(const PendingRecordsChanged& changes) {
-    if (changes.whole) {
+    if (changes.complete) {
         std::set<std::string> keys;
         for (auto& event : changes.events) keys.insert(event.item.key);
         std::erase_if(entries_,
@@ -175,14 +175,14 @@
     if (it == entries_.end() || it->second.step != Step::ReadingDependencies) return;
     auto& entry = it->second;
     entry.step = Step::Waiting;
-    if (read.missing.empty()) {
-        if (!read.all) entry.not_before = context_.now + kRetry_s;
+    if (read.never_accepted_id.empty()) {
+        if (!read.complete) entry.not_before = context_.now + kRetry_s;
         return adopt_due();
     }
     // The standby controller saw that the dependency was accepted, so this can't be; what was
     // accepted is never refused.
     spdlog::error("leader: {} waits for {}, which was never accepted", read.call.subject,
-                  read.missing);
+                  read.never_accepted_id);
     entry.not_before = context_.now + kMissingDependency_s;
 }
 
--- a/src/controller/request_router.cpp
+++ b/src/controller/request_router.cpp
@@ -29,12 +29,12 @@
         if (leader_) leader_->stop();
         leader_.reset();
         term_.reset();
-        leader_knowledge_->excuse_silence();
+        leader_tracker_->reset_silence_timer();
     };
     events.campaign_wait = [this] { return membership_->campaign_wait(); };
     set_up_membership();
     election_ = std::make_unique<Election>(io, settings_, properties_, kv_, std::move(events));
-    leader_knowledge_ = std::make_unique<LeaderKnowledge>(*election_);
+    leader_tracker_ = std::make_unique<LeaderTracker>(*election_);
     standby_ = std::make_unique<StandbyService>(io, settings_, properties_, kv_, metrics_,
                                                 [this] { return leader_ && leader_->ready(); });
     peer_server_ = std::make_unique<PeerServer>(
@@ -54,7 +54,7 @@
         if (leader_ && leader_->ready())
             return leader_links(leader_->cluster(), membership_->times(), settings_.lease_s, now);
         LinkStatus r;
-        r.direct_workers = roster_.stranded(leader_knowledge_->fencing_token(),
+        r.direct_workers = roster_.stranded(leader_tracker_->fencing_token(),
                                             membership_->times().controller_cycle_s, now);
         return r;
     };
--- a/src/controller/request_router.h
+++ b/src/controller/request_router.h
@@ -8,7 +8,7 @@
 #include <memory>
 
 #include "controller/leader.h"
-#include "controller/leader_knowledge.h"
+#include "controller/leader_tracker.h"
 #include "leadership/election.h"
 #include "membership/membership.h"
 #include "membership/worker_roster.h"
@@ -73,7 +73,7 @@
     std::unique_ptr<Membership> membership_;
     WorkerRoster roster_;
     Metrics metrics_;
-    std::unique_ptr<LeaderKnowledge> leader_knowledge_;
+    std::unique_ptr<LeaderTracker> leader_tracker_;
     ForwardTimeout forward_timeout_;
 };
 
--- a/src/controller/request_router_forwarding.cpp
+++ b/src/controller/request_router_forwarding.cpp
@@ -28,12 +28,12 @@
     return nullptr;
 }
 
-PeerClient* RequestRouter::leader_client() { return peer_client(leader_knowledge_->name()); }
+PeerClient* RequestRouter::leader_client() { return peer_client(leader_tracker_->name()); }
 
 std::optional<std::string> RequestRouter::relay_for(const PeerCall& call) const {
     if (!membership_->enabled() || call.relay) return std::nullopt;
     auto views = membership_->peer_views(steady_now());
-    if (auto way = relay_to_leader(leader_knowledge_->name(), views)) return way;
+    if (auto way = relay_to_leader(leader_tracker_->name(), views)) return way;
     return membership_->reaches_kv(steady_now()) ? std::nullopt : relay_to_kv(views);
 }
 
@@ -55,14 +55,14 @@
 }
 
 asio::awaitable<PeerReply> RequestRouter::call_leader(PeerCall call) {
-    if (auto leader = leader_) co_return co_await leader->ask(std::move(call));
+    if (auto leader = leader_) co_return co_await leader->request(std::move(call));
     auto* link = leader_client();
-    if (!link || leader_knowledge_->is_silent()) {
+    if (!link || leader_tracker_->has_timed_out()) {
         if (auto way = relay_for(call)) {
             metrics_.count("second_hops_total");
             call.relay = true;
             auto reply = co_await call_peer(*way, std::move(call));
-            if (!reply.undecided) leader_knowledge_->excuse_silence();
+            if (!reply.undecided) leader_tracker_->reset_silence_timer();
             co_return reply;
         }
         // It is asked again each second: until it answers, nobody waits for it.
@@ -71,16 +71,16 @@
     if (!link) co_return PeerReply{503, R"({"error":"no leader"})", 1, 0, true};
     call.sender = settings_.name;
     double asked = steady_now();
-    auto fencing_token = leader_knowledge_->fencing_token();
+    auto fencing_token = leader_tracker_->fencing_token();
     bool submits = call.op == PeerOp::Submit;
     auto reply = co_await link->call(std::move(call), kForward_s);
     if (!reply) {
-        leader_knowledge_->record_timeout(fencing_token);
+        leader_tracker_->record_timeout(fencing_token);
         co_return PeerReply{503, R"({"error":"the leader does not answer"})", 1, 0, true};
     }
-    leader_knowledge_->record_answer();
+    leader_tracker_->record_answer();
     if (submits && reply->status < 300)
-        forward_timeout_.record_answer(leader_knowledge_->answered_at() - asked);
+        forward_timeout_.record_answer(leader_tracker_->answered_at() - asked);
     co_return *reply;
 }
 
@@ -97,7 +97,7 @@
     bool probed = false;
     for (;;) {
         double quiet_until =
-            std::max(started, leader_knowledge_->answered_at()) + forward_timeout_.seconds();
+            std::max(started, leader_tracker_->answered_at()) + forward_timeout_.seconds();
         double until = std::min(quiet_until, started + most_s);
         if (!probed) until = std::min(until, started + kProbe_s);
         double now = steady_now();
@@ -109,7 +109,7 @@
         if (!probed) {
             probed = true;
             if (leader_client())
-                asio::co_spawn(io_, ping_peer(leader_knowledge_->name()), asio::detached);
+                asio::co_spawn(io_, ping_peer(leader_tracker_->name()), asio::detached);
         }
     }
 }
@@ -118,11 +118,11 @@
     if (!standby_->available()) co_return co_await call_leader(std::move(call));
     PeerCall again = call;
     if (auto leader = leader_) {
-        auto reply = co_await leader->ask(std::move(call));
+        auto reply = co_await leader->request(std::move(call));
         if (!reply.undecided) co_return reply;
         co_return co_await standby_->serve(std::move(again));
     }
-    if (!leader_client() || leader_knowledge_->is_silent())
+    if (!leader_client() || leader_tracker_->has_timed_out())
         co_return co_await standby_->serve(std::move(again));
     // The leader goes on while the standby service begins: what both accept is one job, as their
     // records exclude each other.
--- a/src/controller/request_router_heartbeats.cpp
+++ b/src/controller/request_router_heartbeats.cpp
@@ -12,7 +12,7 @@
 namespace asio = boost::asio;
 
 bool RequestRouter::leader_uplink_lost() const {
-    auto links = membership_->peer_links(leader_knowledge_->name(), steady_now());
+    auto links = membership_->peer_links(leader_tracker_->name(), steady_now());
     return links && links->reports_links && links->known_workers > 0 &&
            2 * links->direct_workers < links->known_workers;
 }
@@ -21,7 +21,7 @@
 asio::awaitable<HttpReply> RequestRouter::handle_heartbeat(HttpRequest r) {
     if (auto leader = leader_) {
         PeerCall call{PeerOp::Heartbeat, std::move(r.from), std::move(r.body)};
-        auto reply = co_await leader->ask(std::move(call));
+        auto reply = co_await leader->request(std::move(call));
         co_return HttpReply{reply.status, std::move(reply.body)};
     }
     HeartbeatHeader head;
@@ -33,7 +33,7 @@
     }
     double now = steady_now();
     bool relay = roster_.should_relay(head.machine, head.fencing_token,
-                                      leader_knowledge_->fencing_token(), now);
+                                      leader_tracker_->fencing_token(), now);
     if (!leader_client()) co_return HttpReply{421, redirect_answer("")};
     relay = relay || leader_uplink_lost();
     if (relay) {
@@ -46,7 +46,7 @@
         roster_.end_relay(head.machine);
         co_return HttpReply{421, redirect_answer("")};
     }
-    co_return HttpReply{421, redirect_answer(leader_knowledge_->name())};
+    co_return HttpReply{421, redirect_answer(leader_tracker_->name())};
 }
 
 }  // namespace weirmill
--- a/src/controller/request_router_http.cpp
+++ b/src/controller/request_router_http.cpp
@@ -55,13 +55,13 @@
         if (alone && now - kv_.answered_at() > kMaxLeaderSilence_s) return false;
     }
     if (leader_ || standby_->available()) return true;
-    return steady_now() - leader_knowledge_->answered_at() < kMaxLeaderSilence_s;
+    return steady_now() - leader_tracker_->answered_at() < kMaxLeaderSilence_s;
 }
 
 HttpReply RequestRouter::metrics_page() const {
     std::map<std::string, double> gauges{
         {"leading", leader_ ? 1 : 0},
-        {"token", static_cast<double>(leader_knowledge_->fencing_token())}};
+        {"token", static_cast<double>(leader_tracker_->fencing_token())}};
     if (leader_ && leader_->ready()) leader_->gauges(gauges);
     if (membership_->enabled()) membership_->gauges(gauges);
     gauges["workers_relayed"] = static_cast<double>(roster_.relayed(steady_now()));
--- a/src/controller/request_router_peers.cpp
+++ b/src/controller/request_router_peers.cpp
@@ -16,7 +16,7 @@
 
 // The answer to a ping: 200 from the leader itself, else whom this node takes for it.
 PeerReply RequestRouter::ping_reply() const {
-    PeerReply reply{503, leader_knowledge_->name(), 1, leader_knowledge_->fencing_token()};
+    PeerReply reply{503, leader_tracker_->name(), 1, leader_tracker_->fencing_token()};
     if (leader_ && leader_->lease_valid(steady_now()))
         reply = {200, settings_.name, 0, leader_->fencing_token()};
     if (membership_->enabled()) reply.links = membership_->own_links(steady_now());
@@ -30,7 +30,7 @@
     }
     if (call.op == PeerOp::Command) co_return co_await pass_command(std::move(call));
     if (auto leader = leader_; leader && (leader->lease_valid(steady_now()) || !call.relay))
-        co_return co_await leader->ask(std::move(call));
+        co_return co_await leader->request(std::move(call));
     if (call.relay) {
         // The sender can't reach the leader, and may not reach the state service: this is the last
         // hop, nobody relays it again.
@@ -66,45 +66,44 @@
     if (membership_->enabled()) ping.links = membership_->own_links(steady_now());
     auto reply = co_await peer_client(name)->call(std::move(ping), kPing_s);
     if (!reply) {
-        if (name == leader_knowledge_->name())
-            leader_knowledge_->record_timeout(leader_knowledge_->fencing_token());
+        if (name == leader_tracker_->name())
+            leader_tracker_->record_timeout(leader_tracker_->fencing_token());
         membership_->record_timeout(name);
         co_return false;
     }
     membership_->record_contact(name, reply->links);
-    if (leader_knowledge_->record_report(reply->body, reply->fencing_token))
+    if (leader_tracker_->record_report(reply->body, reply->fencing_token))
         spdlog::info("node: {} says that {} leads with token={}", name, reply->body,
                      reply->fencing_token);
     // A leader without a valid lease counts as one that answers: in an outage of the state service
     // no other node would serve better, and nodes that leave the load balancer for it come back
     // late.
-    if (name == leader_knowledge_->name() && reply->body == name)
-        leader_knowledge_->record_answer();
+    if (name == leader_tracker_->name() && reply->body == name) leader_tracker_->record_answer();
     co_return reply->status == 200;
 }
 
 asio::awaitable<void> RequestRouter::ping_loop() {
     for (;;) {
         co_await sleep_s(settings_.ping_s);
-        if (term_ && leader_knowledge_->reported_fencing_token() > term_->fencing_token) {
+        if (term_ && leader_tracker_->reported_fencing_token() > term_->fencing_token) {
             // The state service refuses this node alone, and another leads by now. Without this,
             // the node would go on as a leader without a valid lease, and refuse its users for as
             // long as that lasts.
             spdlog::info("node: gives up token={}: {} leads", term_->fencing_token,
-                         leader_knowledge_->reported_leader());
+                         leader_tracker_->reported_leader());
             term_->ended = true;
             continue;
         }
         if (membership_->enabled()) {
-            if (!leader_client() && !leader_) leader_knowledge_->excuse_silence();
+            if (!leader_client() && !leader_) leader_tracker_->reset_silence_timer();
             for (auto& p : settings_.peers) asio::co_spawn(io_, ping_peer(p.name), asio::detached);
             continue;
         }
         if (leader_ && leader_->lease_valid(steady_now())) continue;
         // An election: soon over, and no other node would serve better.
-        if (!leader_client() && !leader_) leader_knowledge_->excuse_silence();
+        if (!leader_client() && !leader_) leader_tracker_->reset_silence_timer();
         // The leader first; the others only where it can't be asked or does not say that it leads.
-        if (!leader_ && leader_client() && co_await ping_peer(leader_knowledge_->name())) continue;
+        if (!leader_ && leader_client() && co_await ping_peer(leader_tracker_->name())) continue;
         for (auto& p : settings_.peers) asio::co_spawn(io_, ping_peer(p.name), asio::detached);
     }
 }
--- a/src/controller/scheduling_loop.cpp
+++ b/src/controller/scheduling_loop.cpp
@@ -12,51 +12,53 @@
 
 namespace {
 
-constexpr double kGangReservation_s = 5;  // renewed with each pass
-constexpr size_t kMaxPlaced = 4096;       // in one pass
+constexpr double kGangReservation_s = 5;  // each scheduling pass renews the reservation
+constexpr size_t kMaxPlacementsPerPass = 4096;
 
 }  // namespace
 
 void SchedulingLoop::run_if_due() {
-    if (context_.scheduling_needed && context_.now >= next_pass_) run();
+    if (context_.scheduling_needed && context_.now >= next_pass_at_) run_pass();
 }
 
-void SchedulingLoop::run() {
-    next_pass_ = context_.now + context_.properties.scheduling_pause_s;
+void SchedulingLoop::run_pass() {
+    next_pass_at_ = context_.now + context_.properties.scheduling_pause_s;
     if (!may_decide_()) return;
     context_.scheduling_needed = false;
     ++passes_;
-    std::vector<Index> late;
+    std::vector<Index> late_jobs;
     if (context_.properties.overload_enabled)
-        late = jobs_near_start_deadline(context_.cluster, context_.properties.start_deadline_s,
-                                        context_.now);
-    place_waiting(context_.cluster, usable_now(context_), context_.now, kMaxPlaced,
+        late_jobs = jobs_near_start_deadline(context_.cluster, context_.properties.start_deadline_s,
+                                             context_.now);
+    place_waiting(context_.cluster, usable_predicate(context_), context_.now, kMaxPlacementsPerPass,
                   planned_headroom(context_.cluster, autoscaler_settings(context_), context_.now),
-                  late);
-    reserve_for_late_gang(late);
+                  late_jobs);
+    reserve_for_late_gang(late_jobs);
 }
 
-// For one gang at a time, the one that waits the longest.
-void SchedulingLoop::reserve_for_late_gang(const std::vector<Index>& late) {
-    auto gang = std::ranges::find_if(late, [&](Index j) {
-        auto& job = *context_.cluster.jobs[j];
+// Reserves machines for the gang that has waited longest. Only one gang has a reservation at a
+// time.
+void SchedulingLoop::reserve_for_late_gang(const std::vector<Index>& late_jobs) {
+    auto gang = std::ranges::find_if(late_jobs, [&](Index job_index) {
+        auto& job = *context_.cluster.jobs[job_index];
         return job.spec.kind == JobKind::Gang && job.placed == 0;
     });
-    if (gang == late.end()) return;
-    for (auto i : machines_for_gang(context_.cluster, usable_now(context_), *gang, context_.now)) {
+    if (gang == late_jobs.end()) return;
+    for (auto i :
+         machines_for_gang(context_.cluster, usable_predicate(context_), *gang, context_.now)) {
         context_.cluster.machines[i]->reserved_for = *gang;
         context_.cluster.machines[i]->reserved_until = context_.now + kGangReservation_s;
     }
 }
 
-void SchedulingLoop::preempt() {
+void SchedulingLoop::run_preemption_round() {
     if (!may_decide_()) return;
-    auto round = plan_preemption(context_.cluster, usable_now(context_), context_.now);
+    auto round = plan_preemption(context_.cluster, usable_predicate(context_), context_.now);
     if (round.clearings.empty()) return;
-    ++rounds_;
+    ++preemption_rounds_;
     context_.metrics.count("preemption_rounds_total");
     context_.metrics.count("preemption_stops_total", round.stops.size());
-    context_.state_log.note(kRoundKey, round_record(round, context_.cluster, rounds_));
+    context_.state_log.note(kRoundKey, round_record(round, context_.cluster, preemption_rounds_));
     reserve_cleared(round);
     for (auto& ref : round.stops) {
         auto& task = context_.cluster.jobs[ref.job]->tasks[ref.task];
@@ -65,7 +67,8 @@
     }
 }
 
-// For as long as the stopped tasks may take to be gone.
+// Reserves the machines of a round for the jobs that they are cleared for, until the stopped tasks
+// are certain to be gone.
 void SchedulingLoop::reserve_cleared(const PreemptionRound& round) {
     double until =
         context_.now + 2 * context_.properties.preemption_round_s + context_.settings.lease_s;
@@ -75,7 +78,7 @@
                 context_.cluster.machines[i]->reserved_for = clearing.job;
                 context_.cluster.machines[i]->reserved_until = until;
             }
-        spdlog::info("preemption: round={} job={} machines={} kept={} stops={}", rounds_,
+        spdlog::info("preemption: round={} job={} machines={} kept={} stops={}", preemption_rounds_,
                      context_.cluster.jobs[clearing.job]->spec.id, clearing.machines.size(),
                      clearing.kept.size(), round.stops.size());
     }
--- a/src/controller/stop_sender.cpp
+++ b/src/controller/stop_sender.cpp
@@ -15,31 +15,32 @@
 
 namespace {
 
-// Without a heartbeat for so many of its intervals, a machine gets its stops directly.
-constexpr double kMissedHeartbeats = 1.5;
+// A machine counts as silent after this number of heartbeat intervals without a heartbeat.
+constexpr double kSilentAfterIntervals = 1.5;
 constexpr double kWorkerTimeout_s = 2.0;
-constexpr size_t kMaxWorkerAnswerBytes = size_t{1024} * 1024;
+constexpr size_t kMaxWorkerResponseBytes = size_t{1024} * 1024;
 
 }  // namespace
 
-// A stop is sent straight to its worker as well, so that a gang receives it within gang_peer_s. A
-// late copy does no harm: it names the attempt, and the agent epoch must still match. Workers that
-// may not answer come last and get half of the sockets, so that the others need not wait for them.
+// Stops are also sent directly to the worker so that all tasks of a gang receive them within
+// gang_peer_s. A late duplicate has no effect: it names the attempt, and the worker checks the
+// agent epoch. Silent workers come last and get at most half of the sockets, as they may not
+// respond and must not delay the others.
 void StopSender::flush_stops() {
     if (queued_.empty()) return;
     auto max_sockets = static_cast<size_t>(stop_sockets(context_.settings));
-    flush_to(false, max_sockets);
-    flush_to(true, max_sockets / 2);
+    flush_queued(false, max_sockets);
+    flush_queued(true, max_sockets / 2);
 }
 
-void StopSender::flush_to(bool silent, size_t max_sockets) {
+void StopSender::flush_queued(bool to_silent_machines, size_t max_sockets) {
     for (auto it = queued_.begin(); it != queued_.end() && *flush_sockets_ < max_sockets;) {
         const auto* machine = context_.cluster.machines[it->first].get();
         if (!machine || !machine->up || machine->addr.empty()) {
             it = queued_.erase(it);
             continue;
         }
-        if (is_silent(*machine) != silent) {
+        if (is_silent(*machine) != to_silent_machines) {
             ++it;
             continue;
         }
@@ -51,27 +52,28 @@
     }
 }
 
-// Tasks of cancelled jobs on machines that send no heartbeats here are stopped where they are,
-// again and again until they are proven gone: an earlier leader that can't know of the cancellation
-// may still answer their workers. The agent epoch is the one that the placement was recorded with;
-// in a newer one they are gone. The command shows the worker our fencing token, so from then on it
-// drops what the earlier leader answers.
+// Stops are repeated to machines that send no heartbeats to this leader until the tasks are proven
+// gone: an earlier leader that does not know of the cancellation may still answer their heartbeats.
+// The commands carry the agent epoch that the placement was recorded with; in a newer epoch the
+// tasks are gone. They also carry this leader's fencing token, so that the worker ignores responses
+// of the earlier leader from then on.
 void StopSender::repeat_stops() {
-    if (context_.now >= repeat_interval_ends_) {
-        repeat_interval_ends_ = context_.now + context_.settings.heartbeat_interval_s;
+    if (context_.now >= repeat_interval_ends_at_) {
+        repeat_interval_ends_at_ = context_.now + context_.settings.heartbeat_interval_s;
         repeated_in_interval_ = 0;
     }
-    std::erase_if(next_repeat_, [&](auto& entry) { return context_.now >= entry.second; });
+    std::erase_if(next_repeat_at_, [&](auto& entry) { return context_.now >= entry.second; });
     size_t count = context_.cluster.machines.size();
-    for (size_t n = 0; n < count && may_repeat_one_more(); ++n) {
+    for (size_t checked = 0; checked < count && may_repeat_another(); ++checked) {
         repeat_cursor_ = (repeat_cursor_ + 1) % count;
         auto index = static_cast<Index>(repeat_cursor_);
         const auto* machine = context_.cluster.machines[index].get();
-        if (!machine || next_repeat_.contains(index) || !needs_repeated_stops(*machine)) continue;
+        if (!machine || next_repeat_at_.contains(index) || !needs_repeated_stops(*machine))
+            continue;
         uint64_t agent_epoch = latest_agent_epoch(*machine);
         auto commands = stops_of_cancelled_jobs(*machine, agent_epoch);
         if (commands.empty()) continue;
-        next_repeat_[index] = context_.now + context_.settings.heartbeat_interval_s;
+        next_repeat_at_[index] = context_.now + context_.settings.heartbeat_interval_s;
         ++repeated_in_interval_;
         context_.metrics.count("stops_repeated_total");
         start_sending({machine->addr, machine->relayed_by, true},
@@ -80,9 +82,9 @@
     }
 }
 
-// Where workers do not answer, sockets come free by their time-outs alone: then there is a turn for
-// as many machines in each interval all the same.
-bool StopSender::may_repeat_one_more() const {
+// If workers do not respond, sockets only become free when requests time out. The second condition
+// still gives each heartbeat interval its share of machines in that case.
+bool StopSender::may_repeat_another() const {
     auto max_sockets = static_cast<size_t>(stop_sockets(context_.settings));
     return *repeat_sockets_ < max_sockets || repeated_in_interval_ < max_sockets;
 }
@@ -94,10 +96,11 @@
 
 bool StopSender::is_silent(const Machine& machine) const {
     double silent_s = context_.now - std::max(machine.last_heartbeat, context_.term->won);
-    return silent_s > kMissedHeartbeats * context_.settings.heartbeat_interval_s;
+    return silent_s > kSilentAfterIntervals * context_.settings.heartbeat_interval_s;
 }
 
-// Of those that this leader knows: the machine's own, or what its tasks were placed in.
+// Returns the latest agent epoch that this leader knows: that of the machine's last heartbeat or
+// one in which a task was placed on it.
 uint64_t StopSender::latest_agent_epoch(const Machine& machine) const {
     uint64_t agent_epoch = machine.up ? machine.agent_epoch : 0;
     for (auto& ref : machine.tasks)
@@ -118,41 +121,42 @@
     return commands;
 }
 
-void StopSender::start_sending(Route route, std::string body, const SocketCount& in_use) {
-    ++*in_use;
-    asio::co_spawn(context_.io,
-                   send_and_count(context_.keep_alive(), std::move(route), std::move(body), in_use),
-                   asio::detached);
+void StopSender::start_sending(Route route, std::string body, const SocketCount& sockets) {
+    ++*sockets;
+    asio::co_spawn(
+        context_.io,
+        send_and_count(context_.keep_alive(), std::move(route), std::move(body), sockets),
+        asio::detached);
 }
 
 asio::awaitable<void> StopSender::send_and_count(std::shared_ptr<void> keep_alive, Route route,
-                                                 std::string body, SocketCount in_use) {
-    // Given back however the coroutine ends.
-    std::shared_ptr<void> socket(nullptr, [in_use](void*) { --*in_use; });
+                                                 std::string body, SocketCount sockets) {
+    // Releases the socket when the coroutine ends, also by an exception.
+    std::shared_ptr<void> socket_guard(nullptr, [sockets](void*) { --*sockets; });
     co_await send_stops(std::move(keep_alive), std::move(route), std::move(body));
 }
 
-// First by the controller that relays for the worker, where there is one: the worker can't be
-// reached from here, as it seems.
+// If another controller relays the worker's heartbeats, asks that one first, as this controller
+// probably can't reach the worker itself.
 asio::awaitable<void> StopSender::send_stops(std::shared_ptr<void> keep_alive, Route route,
                                              std::string body) {
     (void)keep_alive;
-    // Arguments of awaited calls are named variables (request_router.cpp says why).
+    // Arguments of awaited calls are named variables; request_router.cpp gives the reason.
     if (!route.relayed_by.empty()) {
         std::string relayed_body = body;
-        bool taken = co_await relay_stops(route.relayed_by, route.addr, std::move(relayed_body));
-        if (taken) co_return;
+        bool relayed = co_await relay_stops(route.relayed_by, route.addr, std::move(relayed_body));
+        if (relayed) co_return;
     }
     std::string direct_body = body;
-    bool answered =
+    bool responded =
         co_await send_commands(&context_.io, route.addr, std::move(direct_body), kWorkerTimeout_s);
-    if (answered || !route.by_any_controller || !relay_) co_return;
+    if (responded || !route.try_all_peers || !relay_) co_return;
     for (auto& peer : context_.settings.peers) {
         if (context_.stopped) co_return;
         if (peer.name == route.relayed_by) continue;
         std::string relayed_body = body;
-        bool taken = co_await relay_stops(peer.name, route.addr, std::move(relayed_body));
-        if (taken) co_return;
+        bool relayed = co_await relay_stops(peer.name, route.addr, std::move(relayed_body));
+        if (relayed) co_return;
     }
 }
 
@@ -166,11 +170,12 @@
 asio::awaitable<bool> send_commands(asio::io_context* io, std::string addr, std::string body,
                                     double timeout_s) {
     try {
-        HttpClient worker(*io, Endpoint::parse(addr, "worker"), kMaxWorkerAnswerBytes);
-        auto reply = co_await worker.request("POST", paths::kCommands, std::move(body), timeout_s);
-        co_return reply.has_value();
+        HttpClient worker(*io, Endpoint::parse(addr, "worker"), kMaxWorkerResponseBytes);
+        auto response =
+            co_await worker.request("POST", paths::kCommands, std::move(body), timeout_s);
+        co_return response.has_value();
     } catch (const SettingsError& e) {
-        spdlog::error("worker: bad address {}: {}", addr, e.what());
+        spdlog::error("worker: invalid address {}: {}", addr, e.what());
     }
     co_return false;
 }
--- a/src/controller/stop_sender.h
+++ b/src/controller/stop_sender.h
@@ -1,5 +1,5 @@
-// Stops that go straight to the workers, beside those in heartbeat responses. One object for each
-// leadership term, used on the leader's executor only.
+// Sends stop commands directly to workers, in addition to those in heartbeat responses. One object
+// exists for each leadership term, and it is used on the leader's executor only.
 #pragma once
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -16,57 +16,59 @@
 
 namespace weirmill {
 
-// Sends commands straight to a worker. False: it did not answer, and may carry them out or not.
-// `timeout_s`: seconds to wait for the worker's answer.
+// Sends commands directly to the worker at `addr` and returns whether it responded within
+// `timeout_s` seconds. A worker that did not respond may still carry out the commands.
 boost::asio::awaitable<bool> send_commands(boost::asio::io_context* io, std::string addr,
                                            std::string body, double timeout_s);
 
-// Passes a call on to the controller with this name. False: it did not carry the call out, as far
-// as is known.
+// Forwards a call to the controller with this name. Returns whether that controller confirmed that
+// it carried out the call.
 using PeerRelay =
     std::function<boost::asio::awaitable<bool>(std::string controller, PeerCall call)>;
 
-// Sends stop commands to workers. A stop is also part of each heartbeat response until the task is
-// gone, so one that is lost here costs time only.
+// Sends stop commands to workers. Each heartbeat response also repeats a stop until the task is
+// gone, so a stop command that is lost here only delays the stop.
 class StopSender {
   public:
     explicit StopSender(LeaderContext& context) : context_(context) {}
 
-    // For workers whose heartbeats another controller relays. Without it, stops are sent from here
-    // alone.
+    // Sets the function that forwards stops for workers whose heartbeats arrive through another
+    // controller. Without it, this controller sends all stops itself.
     void set_relay(PeerRelay relay) { relay_ = std::move(relay); }
 
-    // Queues a stop for the worker of this machine; sent by the next flush_stops().
+    // Queues a stop for the worker of this machine. The next call of flush_stops() sends it.
     void queue_stop(Index machine, Command stop) { queued_[machine].push_back(std::move(stop)); }
-    // The machine is gone: what is queued for it is not sent.
+    // Discards the queued stops of a machine that is gone.
     void drop_stops(Index machine) { queued_.erase(machine); }
-    // Sends what is queued, over stop_sockets() sockets at a time; the rest waits for the next
-    // call. Called after each message of the leader's mailbox.
+    // Sends the queued stops over at most stop_sockets() sockets; what remains is sent by later
+    // calls. Called after each message of the leader's mailbox.
     void flush_stops();
-    // Sends stops for the tasks of cancelled jobs on machines without heartbeats: to each once a
-    // heartbeat interval, over stop_sockets() sockets at a time. Where workers answer so slowly
-    // that these do not come free, to as many machines in each interval. Called twice a second.
+    // Sends stops for the tasks of cancelled jobs on machines that send no heartbeats, once per
+    // heartbeat interval to each machine and over at most stop_sockets() sockets. If all sockets
+    // are blocked by workers that do not respond, up to stop_sockets() machines still get their
+    // stops in each interval. Called twice a second.
     void repeat_stops();
 
   private:
-    // Sockets that are in use for stops, or may be as soon as a peer has refused to relay.
+    // Number of sockets in use for stops. A stop that is forwarded to a peer counts as well, as it
+    // needs a socket if the peer refuses.
     using SocketCount = std::shared_ptr<size_t>;
-    // Where a worker is reached.
+    // How to reach a worker.
     struct Route {
         std::string addr;
-        std::string relayed_by;          // name of the controller that relays for it; empty: none
-        bool by_any_controller = false;  // where it can't be reached, by each controller in turn
+        std::string relayed_by;      // controller that relays the worker's heartbeats; may be empty
+        bool try_all_peers = false;  // if the worker can't be reached, ask each peer in turn
     };
     boost::asio::awaitable<void> send_stops(std::shared_ptr<void> keep_alive, Route route,
                                             std::string body);
     boost::asio::awaitable<void> send_and_count(std::shared_ptr<void> keep_alive, Route route,
-                                                std::string body, SocketCount in_use);
+                                                std::string body, SocketCount sockets);
     boost::asio::awaitable<bool> relay_stops(std::string controller, std::string addr,
                                              std::string body);
-    void start_sending(Route route, std::string body, const SocketCount& in_use);
-    void flush_to(bool silent, size_t max_sockets);
+    void start_sending(Route route, std::string body, const SocketCount& sockets);
+    void flush_queued(bool to_silent_machines, size_t max_sockets);
     [[nodiscard]] bool is_silent(const Machine& machine) const;
-    [[nodiscard]] bool may_repeat_one_more() const;
+    [[nodiscard]] bool may_repeat_another() const;
     [[nodiscard]] bool needs_repeated_stops(const Machine& machine) const;
     [[nodiscard]] uint64_t latest_agent_epoch(const Machine& machine) const;
     [[nodiscard]] std::vector<Command> stops_of_cancelled_jobs(const Machine& machine,
@@ -74,16 +76,16 @@
 
     LeaderContext& context_;
     PeerRelay relay_;
-    std::map<Index, std::vector<Command>> queued_;  // by machine
-    // First and repeated stops have sockets of their own: those that are repeated go to workers
-    // that may not answer, and others must not wait for them.
+    std::map<Index, std::vector<Command>> queued_;  // by machine index
+    // First stops and repeated stops use separate sockets. Repeated stops go to workers that may
+    // not respond, and must not delay first stops.
     SocketCount flush_sockets_ = std::make_shared<size_t>(0);
     SocketCount repeat_sockets_ = std::make_shared<size_t>(0);
-    // Repeated stops. Times on the steady clock, seconds.
-    std::map<Index, double> next_repeat_;  // by machine: not before
-    size_t repeat_cursor_ = 0;             // machines get their stops in turn
-    double repeat_interval_ends_ = 0;
-    size_t repeated_in_interval_ = 0;
+    // State of repeated stops. Times on the steady clock, seconds.
+    std::map<Index, double> next_repeat_at_;  // earliest time of the next repeat, by machine index
+    size_t repeat_cursor_ = 0;                // index of the last machine checked, in round-robin
+    double repeat_interval_ends_at_ = 0;
+    size_t repeated_in_interval_ = 0;  // number of machines
 };
 
 }  // namespace weirmill
--- a/src/controller/task_lifecycle.cpp
+++ b/src/controller/task_lifecycle.cpp
@@ -9,182 +9,192 @@
 
 namespace {
 
-constexpr double kNotTakenPause_s = 1;  // after a worker without room, busy, or without the task
-// A job that fails on several machines waits for min(kMaxBackOff_s, kBackOff_s * 2^n).
+// Delay of a job after a worker did not accept one of its tasks: the worker lacked resources, was
+// busy or did not know the task.
+constexpr double kNotAcceptedDelay_s = 1;
+// A job that fails on several machines is delayed by min(kMaxBackOff_s, kBackOff_s * 2^n), where n
+// grows with its failures and is at most kMaxBackOffExponent.
 constexpr double kBackOff_s = 2;
 constexpr double kMaxBackOff_s = 120;
 constexpr double kMaxBackOffExponent = 8;
 
-// This leader saw the whole run of the task. Learnt from tasks that an earlier leader had started,
-// or that resumed from a checkpoint, a class's run times came out at a quarter after each change of
-// leader.
-bool ran_whole(const Task& task) {
+// Returns whether this leader observed the whole run of the task. Runs that an earlier leader had
+// started, or that resumed from a checkpoint, are excluded: with them, the estimated run times of a
+// job class fell to a quarter after each change of leader.
+bool observed_whole_run(const Task& task) {
     return task.running_at > 0 && task.start_seq > 0 && task.attempt <= 1;
 }
 
 }  // namespace
 
-void TaskLifecycle::task_exited(Index j, uint32_t t, Index machine, const TaskStatus& status) {
-    auto& job = *context_.cluster.jobs[j];
+void TaskLifecycle::handle_exit(Index job_index, uint32_t task_index, Index machine_index,
+                                const TaskStatus& status) {
+    auto& job = *context_.cluster.jobs[job_index];
     context_.scheduling_needed = true;
     if (status.cause == ExitCause::Done && job.spec.kind != JobKind::Service)
-        task_done(j, t, machine);
+        handle_success(job_index, task_index, machine_index);
     else
-        task_not_done(j, t, machine, status);
-    check_job(j);
+        handle_unsuccessful_exit(job_index, task_index, machine_index, status);
+    check_job(job_index);
 }
 
-void TaskLifecycle::task_done(Index j, uint32_t t, Index machine) {
-    auto& job = *context_.cluster.jobs[j];
-    auto& m = *context_.cluster.machines[machine];
-    m.faulty_jobs.clear();
-    m.faults = 0;
-    if (ran_whole(job.tasks[t]))
-        context_.cluster.learn_run(job.spec, context_.now - job.tasks[t].running_at);
-    if (job.spec.kind != JobKind::Gang) return context_.cluster.finish(j, t, context_.now);
-    // If one task of a gang is done, every one is.
-    for (uint32_t i = 0; i < job.tasks.size(); ++i) context_.cluster.finish(j, i, context_.now);
+void TaskLifecycle::handle_success(Index job_index, uint32_t task_index, Index machine_index) {
+    auto& job = *context_.cluster.jobs[job_index];
+    auto& machine = *context_.cluster.machines[machine_index];
+    machine.faulty_jobs.clear();
+    machine.faults = 0;
+    if (observed_whole_run(job.tasks[task_index]))
+        context_.cluster.learn_run(job.spec, context_.now - job.tasks[task_index].running_at);
+    if (job.spec.kind != JobKind::Gang)
+        return context_.cluster.finish(job_index, task_index, context_.now);
+    // All tasks of a gang complete together.
+    for (uint32_t i = 0; i < job.tasks.size(); ++i)
+        context_.cluster.finish(job_index, i, context_.now);
 }
 
-void TaskLifecycle::task_not_done(Index j, uint32_t t, Index machine, const TaskStatus& status) {
-    auto& job = *context_.cluster.jobs[j];
-    auto& m = *context_.cluster.machines[machine];
-    bool was_graceful = job.tasks[t].graceful;
+void TaskLifecycle::handle_unsuccessful_exit(Index job_index, uint32_t task_index,
+                                             Index machine_index, const TaskStatus& status) {
+    auto& job = *context_.cluster.jobs[job_index];
+    auto& machine = *context_.cluster.machines[machine_index];
+    bool graceful = job.tasks[task_index].graceful;
     if (status.cause != ExitCause::Stopped)
-        spdlog::info("task: {}/{} attempt={} exited on {} cause={}", job.spec.id, t, status.attempt,
-                     m.name, static_cast<int>(status.cause));
-    context_.cluster.unassign(j, t, context_.now);
-    if (status.cause == ExitCause::Error) task_failed(j, machine);
-    bool not_taken = status.cause == ExitCause::NoRoom || status.cause == ExitCause::Busy ||
-                     status.cause == ExitCause::Unknown;
-    if (not_taken) job.not_before = std::max(job.not_before, context_.now + kNotTakenPause_s);
-    if (job.spec.kind == JobKind::Gang) end_gang(j, was_graceful, status.cause == ExitCause::Alone);
+        spdlog::info("task: {}/{} attempt={} exited on {} cause={}", job.spec.id, task_index,
+                     status.attempt, machine.name, static_cast<int>(status.cause));
+    context_.cluster.unassign(job_index, task_index, context_.now);
+    if (status.cause == ExitCause::Error) handle_failure(job_index, machine_index);
+    bool not_accepted = status.cause == ExitCause::NoRoom || status.cause == ExitCause::Busy ||
+                        status.cause == ExitCause::Unknown;
+    if (not_accepted) job.not_before = std::max(job.not_before, context_.now + kNotAcceptedDelay_s);
+    if (job.spec.kind == JobKind::Gang)
+        end_gang_attempt(job_index, graceful, status.cause == ExitCause::Alone);
 }
 
-// A machine that fails different jobs is faulty; a job that fails on different machines is faulty
-// itself.
-void TaskLifecycle::task_failed(Index j, Index machine) {
-    auto& job = *context_.cluster.jobs[j];
-    auto& m = *context_.cluster.machines[machine];
+// A machine on which different jobs fail is faulty and is quarantined. A job that fails on
+// different machines is faulty itself and is retried with a back-off.
+void TaskLifecycle::handle_failure(Index job_index, Index machine_index) {
+    auto& job = *context_.cluster.jobs[job_index];
+    auto& machine = *context_.cluster.machines[machine_index];
     ++job.failures;
-    ++m.faults;
-    job.failed_on.insert(machine);
-    m.faulty_jobs.insert(j);
-    bool job_works = job.done > 0 || job.running > 0;
-    if (job.failed_on.size() >= 2 && !job_works && m.faulty_jobs.size() < 2) return back_off(job);
-    quarantine(m, job);
+    ++machine.faults;
+    job.failed_on.insert(machine_index);
+    machine.faulty_jobs.insert(job_index);
+    bool has_working_tasks = job.done > 0 || job.running > 0;
+    if (job.failed_on.size() >= 2 && !has_working_tasks && machine.faulty_jobs.size() < 2)
+        return back_off(job);
+    quarantine(machine, job);
 }
 
-// Machines that failed this job alone are not to blame.
+// Delays the job, and ends the quarantine of machines on which no other job has failed.
 void TaskLifecycle::back_off(Job& job) {
-    double failures = static_cast<double>(job.failed_on.size()) + job.failures / 8.0;
-    double exponent = std::min(failures, static_cast<double>(kMaxBackOffExponent));
+    double weighted_failures = static_cast<double>(job.failed_on.size()) + job.failures / 8.0;
+    double exponent = std::min(weighted_failures, static_cast<double>(kMaxBackOffExponent));
     job.not_before = context_.now + std::min(kMaxBackOff_s, kBackOff_s * std::pow(2.0, exponent));
     for (auto i : job.failed_on) {
-        auto* other = context_.cluster.machines[i].get();
-        if (other && other->faulty_jobs.size() <= 1 && other->quarantined_until > context_.now)
-            other->quarantined_until = 0;
+        auto* other_machine = context_.cluster.machines[i].get();
+        if (other_machine && other_machine->faulty_jobs.size() <= 1 &&
+            other_machine->quarantined_until > context_.now)
+            other_machine->quarantined_until = 0;
     }
-    spdlog::info("job: {} failed on {} machines, tried again in {:.0f}s", job.spec.id,
+    spdlog::info("job: {} failed on {} machines, retry in {:.0f}s", job.spec.id,
                  job.failed_on.size(), job.not_before - context_.now);
 }
 
-void TaskLifecycle::quarantine(Machine& m, const Job& job) {
-    if (m.quarantined_until > context_.now) return;
-    spdlog::info("machine: {} quarantined after failing {}", m.name, job.spec.id);
+void TaskLifecycle::quarantine(Machine& machine, const Job& job) {
+    if (machine.quarantined_until > context_.now) return;
+    spdlog::info("machine: {} quarantined after job {} failed on it", machine.name, job.spec.id);
     context_.metrics.count("machines_quarantined_total");
-    m.quarantined_until = context_.now + context_.properties.quarantine_s;
+    machine.quarantined_until = context_.now + context_.properties.quarantine_s;
 }
 
-// The task is proven gone, and its outcome is not known.
-void TaskLifecycle::lose_task(Index j, uint32_t t) {
-    auto& job = *context_.cluster.jobs[j];
-    spdlog::info("task: {}/{} attempt={} gone from {}", job.spec.id, t, job.tasks[t].attempt,
-                 context_.cluster.machines[job.tasks[t].machine]->name);
+void TaskLifecycle::mark_lost(Index job_index, uint32_t task_index) {
+    auto& job = *context_.cluster.jobs[job_index];
+    spdlog::info("task: {}/{} attempt={} lost on {}", job.spec.id, task_index,
+                 job.tasks[task_index].attempt,
+                 context_.cluster.machines[job.tasks[task_index].machine]->name);
     context_.metrics.count("tasks_lost_total");
-    bool graceful = job.tasks[t].graceful;
-    context_.cluster.unassign(j, t, context_.now);
+    bool graceful = job.tasks[task_index].graceful;
+    context_.cluster.unassign(job_index, task_index, context_.now);
     context_.scheduling_needed = true;
-    if (job.spec.kind == JobKind::Gang) end_gang(j, graceful);
-    check_job(j);
+    if (job.spec.kind == JobKind::Gang) end_gang_attempt(job_index, graceful);
+    check_job(job_index);
 }
 
-// The gang's current attempt is over. Its other tasks must all be gone before the next one.
-// `keep_fetching`: tasks that fetch their image are not stopped before they have it. Stopped, a
-// worker gives its fetch up; a gang whose image takes longer than its tasks wait for each other
-// once started anew every half minute without an end.
-void TaskLifecycle::end_gang(Index j, bool graceful, bool keep_fetching) {
-    auto& job = *context_.cluster.jobs[j];
+// Ends the gang's current attempt. All of its tasks must be gone before the next attempt starts.
+// With `keep_fetching`, tasks that are fetching their image are not stopped until they have it, as
+// a stop makes the worker abort the fetch. Without this, a gang whose image takes longer to fetch
+// than its tasks wait for each other restarted every half minute and never ran.
+void TaskLifecycle::end_gang_attempt(Index job_index, bool graceful, bool keep_fetching) {
+    auto& job = *context_.cluster.jobs[job_index];
     job.gang_ending = job.placed > 0;
-    for (uint32_t t = 0; t < job.tasks.size(); ++t) {
-        auto& task = job.tasks[t];
+    for (uint32_t task_index = 0; task_index < job.tasks.size(); ++task_index) {
+        auto& task = job.tasks[task_index];
         if (task.state != TaskState::Placed || task.stopping) continue;
-        if (!keep_fetching || task.phase != TaskPhase::Fetching) stop_task(j, t, graceful);
+        if (!keep_fetching || task.phase != TaskPhase::Fetching)
+            stop_task(job_index, task_index, graceful);
     }
 }
 
-// What follows from the counts of a job.
-void TaskLifecycle::check_job(Index j) {
-    auto& job = *context_.cluster.jobs[j];
+void TaskLifecycle::check_job(Index job_index) {
+    auto& job = *context_.cluster.jobs[job_index];
     if (job.ending || job.version == 0) return;
     if (job.spec.kind == JobKind::Gang && job.placed == 0) job.gang_ending = false;
     if (job.cancelled) {
-        stop_cancelled_job(j);
+        stop_cancelled_job(job_index);
         if (job.placed > 0) return;
-        spdlog::debug("job: {} cancelled, none of its tasks is left", job.spec.id);
-        if (!context_.cluster.cancellation_logged(j)) return;
+        spdlog::debug("job: {} cancelled, all its tasks are gone", job.spec.id);
+        if (!context_.cluster.cancellation_logged(job_index)) return;
     } else if (job.done < job.tasks.size()) {
-        // A gang found half placed after a change of leader, or half gone.
+        // After a change of leader or the loss of a task, only a part of the gang is placed.
         if (job.spec.kind == JobKind::Gang && job.placed > 0 && job.pending > 0 && !job.gang_ending)
-            end_gang(j, false);
+            end_gang_attempt(job_index, false);
         return;
     }
     job.ending = true;
     job.ended = wall_now();
-    context_.state_log.finish(j);
+    context_.state_log.finish(job_index);
 }
 
-// Its tasks are of use to nobody: they get no time to save.
-void TaskLifecycle::stop_cancelled_job(Index j) {
-    auto& job = *context_.cluster.jobs[j];
-    for (uint32_t t = 0; t < job.tasks.size(); ++t) {
-        auto& task = job.tasks[t];
+// The results of a cancelled job are not needed, so its tasks get no time to write a checkpoint.
+void TaskLifecycle::stop_cancelled_job(Index job_index) {
+    auto& job = *context_.cluster.jobs[job_index];
+    for (uint32_t task_index = 0; task_index < job.tasks.size(); ++task_index) {
+        auto& task = job.tasks[task_index];
         if (task.state == TaskState::Placed && (!task.stopping || task.graceful))
-            stop_task(j, t, false);
+            stop_task(job_index, task_index, false);
     }
 }
 
-// A cancelled job may end once those that need it are recorded as cancelled, or gone: one of these
-// was.
-void TaskLifecycle::check_cancelled(const std::vector<Index>& jobs) {
-    for (auto j : jobs)
-        if (context_.cluster.jobs[j]->cancelled) check_job(j);
+void TaskLifecycle::check_cancelled(const std::vector<Index>& job_indexes) {
+    for (auto job_index : job_indexes)
+        if (context_.cluster.jobs[job_index]->cancelled) check_job(job_index);
 }
 
-void TaskLifecycle::stop_task(Index j, uint32_t t, bool graceful) {
-    auto& job = *context_.cluster.jobs[j];
-    auto& task = job.tasks[t];
+void TaskLifecycle::stop_task(Index job_index, uint32_t task_index, bool graceful) {
+    auto& job = *context_.cluster.jobs[job_index];
+    auto& task = job.tasks[task_index];
     task.stopping = true;
     task.graceful = graceful && job.spec.checkpoint_interval_s > 0;
     if (job.spec.kind == JobKind::Gang) job.gang_ending = true;
-    stop_sender_.queue_stop(
-        task.machine, {CommandOp::Stop, job.spec.id, t, task.attempt, stop_grace_s(job, task)});
+    stop_sender_.queue_stop(task.machine, {CommandOp::Stop, job.spec.id, task_index, task.attempt,
+                                           stop_grace_s(job, task)});
 }
 
-// The cloud will interrupt the machine: tasks that can save do so in time, the others may still
-// complete.
-void TaskLifecycle::drain_machine(Index index, double interruption_notice_s) {
-    auto tasks = context_.cluster.machines[index]->tasks;
+// Ends the attempts of gangs, stops tasks that are not running yet, and gracefully stops tasks that
+// can write a checkpoint within the notice. Other tasks continue, as they may still complete before
+// the interruption.
+void TaskLifecycle::prepare_for_interruption(Index machine_index, double notice_s) {
+    auto tasks = context_.cluster.machines[machine_index]->tasks;
     for (auto& ref : tasks) {
         auto& job = *context_.cluster.jobs[ref.job];
         auto& task = job.tasks[ref.task];
-        if (task.state != TaskState::Placed || task.machine != index || task.stopping) continue;
+        if (task.state != TaskState::Placed || task.machine != machine_index || task.stopping)
+            continue;
         if (job.spec.kind == JobKind::Gang) {
-            end_gang(ref.job, interruption_notice_s >= job.spec.checkpoint_duration_s);
+            end_gang_attempt(ref.job, notice_s >= job.spec.checkpoint_duration_s);
         } else if (task.phase != TaskPhase::Running && task.phase != TaskPhase::Saving) {
             stop_task(ref.job, ref.task, false);
         } else if (job.spec.checkpoint_interval_s > 0 &&
-                   interruption_notice_s >= job.spec.checkpoint_duration_s) {
+                   notice_s >= job.spec.checkpoint_duration_s) {
             stop_task(ref.job, ref.task, true);
         }
     }
--- a/src/controller/task_lifecycle.h
+++ b/src/controller/task_lifecycle.h
@@ -1,5 +1,5 @@
-// How tasks, gangs and jobs end, and how they are stopped. One object for each leadership term,
-// used on the leader's executor only.
+// State changes of tasks, gangs and jobs when tasks exit, are lost or are stopped. One object
+// exists for each leadership term, and it is used on the leader's executor only.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -11,42 +11,47 @@
 
 namespace weirmill {
 
-// Seconds that a stop allows the task: time to save, with some to spare, or none.
+// Returns the grace period of a stop in seconds: a graceful stop leaves the task time to write a
+// checkpoint, with a margin; any other stop is immediate.
 inline double stop_grace_s(const Job& job, const Task& task) {
     return task.graceful ? job.spec.checkpoint_duration_s * 1.25 + 1 : 0;
 }
 
-// Changes the cluster state when tasks exit, fail or are lost, stops those that have to go, and
-// ends jobs whose tasks are all done or gone. It holds no state of its own.
+// Updates the cluster state when tasks exit, fail or are lost, stops tasks, and ends jobs whose
+// tasks are all done, or gone after a cancellation. Has no state of its own.
 class TaskLifecycle {
   public:
     TaskLifecycle(LeaderContext& context, StopSender& stop_sender)
         : context_(context), stop_sender_(stop_sender) {}
 
-    // The worker says that the current attempt of the task, which is placed there, is over.
-    void task_exited(Index job, uint32_t task, Index machine, const TaskStatus& status);
-    // The placed task is proven gone, and its outcome is not known.
-    void lose_task(Index job, uint32_t task);
-    // Stops the placed task, again with each heartbeat until it is gone. `graceful`: it may save
-    // first, should it be able to.
-    void stop_task(Index job, uint32_t task, bool graceful);
-    // Ends the job, stops its tasks or ends its gang's attempt, as its counts and its cancellation
-    // ask for. To be called after each change of these.
-    void check_job(Index job);
-    // check_job for those of `jobs` that are cancelled: a cancelled job may end once those that
-    // need it are recorded as cancelled, or gone, and one of these was.
-    void check_cancelled(const std::vector<Index>& jobs);
-    // The machine is to be interrupted in so many seconds.
-    void drain_machine(Index index, double interruption_notice_s);
+    // Handles the exit of the task's current attempt, as its worker reported it. The task must be
+    // placed on this machine.
+    void handle_exit(Index job_index, uint32_t task_index, Index machine_index,
+                     const TaskStatus& status);
+    // Handles a placed task that is proven gone without a known outcome.
+    void mark_lost(Index job_index, uint32_t task_index);
+    // Stops the placed task. Heartbeat responses repeat the stop until the task is gone. If
+    // `graceful`, a task that supports checkpoints may write one first.
+    void stop_task(Index job_index, uint32_t task_index, bool graceful);
+    // Ends the job, stops its tasks or ends its gang's attempt if its task counts or its
+    // cancellation require that. Must be called after each change of these.
+    void check_job(Index job_index);
+    // Calls check_job for those of `job_indexes` that are cancelled. A cancelled job can't end
+    // until the cancellation of each of its dependents is recorded or the dependent is gone; called
+    // when that happened to one of them.
+    void check_cancelled(const std::vector<Index>& job_indexes);
+    // Stops tasks on a machine that the cloud will interrupt in `notice_s` seconds.
+    void prepare_for_interruption(Index machine_index, double notice_s);
 
   private:
-    void task_done(Index job, uint32_t task, Index machine);
-    void task_not_done(Index job, uint32_t task, Index machine, const TaskStatus& status);
-    void task_failed(Index job, Index machine);
+    void handle_success(Index job_index, uint32_t task_index, Index machine_index);
+    void handle_unsuccessful_exit(Index job_index, uint32_t task_index, Index machine_index,
+                                  const TaskStatus& status);
+    void handle_failure(Index job_index, Index machine_index);
     void back_off(Job& job);
     void quarantine(Machine& machine, const Job& job);
-    void end_gang(Index job, bool graceful, bool keep_fetching = false);
-    void stop_cancelled_job(Index job);
+    void end_gang_attempt(Index job_index, bool graceful, bool keep_fetching = false);
+    void stop_cancelled_job(Index job_index);
 
     LeaderContext& context_;
     StopSender& stop_sender_;
--- a/src/controller/user_requests.cpp
+++ b/src/controller/user_requests.cpp
@@ -155,14 +155,15 @@
 
 void UserRequests::dependencies_read(DependenciesRead& read) {
     if (!context_.lease_valid()) return read.reply.set(retry_later(context_));
-    if (!read.missing.empty()) {
+    if (!read.never_accepted_id.empty()) {
         // What was read is as old as the read: the job may have come, or ended, meanwhile.
-        if (context_.cluster.find_job(read.missing) || final_states_.contains(read.missing))
+        if (context_.cluster.find_job(read.never_accepted_id) ||
+            final_states_.contains(read.never_accepted_id))
             return read.reply.set(retry_later(context_));
         std::string id = read.call.subject;
         return refuse_unless_ended(read.call, read.reply, id, kNeverRuns);
     }
-    if (!read.all) return read.reply.set(retry_later(context_));
+    if (!read.complete) return read.reply.set(retry_later(context_));
     submit(read.call, read.reply);
 }
 
@@ -247,7 +248,7 @@
     // What was read is as old as the read: the job may have come, or ended, meanwhile.
     bool is_known = context_.cluster.find_job(id) || final_states_.contains(id);
     if (read.result.outcome == KvOutcome::Missing && !is_known)
-        return read.reply.set(std::move(read.refusal));
+        return read.reply.set(std::move(read.reply_if_absent));
     read.reply.set(retry_later(context_));
 }
 
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -167,7 +167,7 @@
     Burst burst;
     auto report = [&](int machine) -> asio::awaitable<void> {
         PeerCall call{PeerOp::Heartbeat, "machine", report_of(machine, 0)};
-        auto reply = co_await leader->ask(std::move(call));
+        auto reply = co_await leader->request(std::move(call));
         burst.count(reply.status);
     };
     for (int i = 0; i < kMachines; ++i) asio::co_spawn(io, report(i), asio::detached);
