--- a/src/controller/task_lifecycle.cpp
+++ b/src/controller/task_lifecycle.cpp
@@ -141,7 +141,7 @@
     if (job.cancelled) {
         stop_cancelled_job(job_index);
         if (job.placed > 0) return;
-        spdlog::debug("job: {} cancelled, all its tasks are gone", job.spec.id);
+        spdlog::debug("job: {} cancelled, none of its tasks is left", job.spec.id);
         if (!context_.cluster.cancellation_logged(job_index)) return;
     } else if (job.done < job.tasks.size()) {
         // After a change of leader or the loss of a task, only a part of the gang is placed.
