--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -316,8 +316,8 @@
                       context_.settings.heartbeat_interval_s, context_.now);
 }
 
-// `seq` is the sequence number of the heartbeat that is answered. Records in the task that it was
-// started.
+// Returns the command for a task that is placed on the machine: a stop, a start or nothing. Updates
+// the task if it is started. `seq` is the sequence number of the heartbeat that is answered.
 std::optional<Command> HeartbeatHandler::command_for_placed(const Machine& machine,
                                                             const TaskRef& ref, uint64_t seq) {
     auto& job = *context_.cluster.jobs[ref.job];
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -84,8 +84,8 @@
     ++queued_requests_;
     queued_bytes_ += bytes;
     post(RequestReceived{std::move(call), reply, bytes});
-    // A heartbeat is answered for as long as its worker waits. In a burst of heartbeats, a
-    // controller that has only a small share of a CPU core answers some of them late.
+    // The reply to a heartbeat may take as long as its worker waits for it. In a burst of
+    // heartbeats, a controller with a small share of a CPU core answers some of them late.
     double timeout_s = is_heartbeat ? std::max(kReplyTimeout_s, context_.settings.worker_patience_s)
                                     : kReplyTimeout_s;
     auto result = co_await reply.wait(timeout_s);
@@ -254,7 +254,7 @@
     for (auto& [key, queue] : forecast_.queues())
         if (queue.jobs > 0)
             spdlog::debug(
-                "queue: class {} of team {}, {} jobs waiting, {} deadlines abandoned, "
+                "queue: class {} of team {}, {} jobs waiting, {} of them abandon a deadline, "
                 "{:.0f} units in use, {:.0f} left, drains in {:.0f}s of {:.0f}s",
                 context_.cluster.names.classes.name(key.job_class),
                 context_.cluster.names.teams.name(key.team), queue.jobs, queue.abandoning,
--- a/src/controller/leader_messages.h
+++ b/src/controller/leader_messages.h
@@ -40,7 +40,7 @@
     PeerCall call;
     ReplyPromise reply;
     std::vector<std::pair<std::string, FinalState>> final_states;  // by job id
-    std::string never_accepted_id;  // if not empty: a job of which there is no final state
+    std::string never_accepted_id;  // a job that has no final state; empty: none
     bool complete = false;          // all final states were read
     bool for_adoption = false;      // the new job was accepted by a standby controller
 };
