--- a/src/controller/final_state_cache.cpp
+++ b/src/controller/final_state_cache.cpp
@@ -9,7 +9,7 @@
 namespace asio = boost::asio;
 
 namespace {
-constexpr size_t kMaxStates = 20000;  // kept in memory
+constexpr size_t kMaxCachedStates = 20000;
 }  // namespace
 
 const FinalState* FinalStateCache::find(const std::string& id) const {
@@ -17,15 +17,16 @@
     return it == states_.end() ? nullptr : &it->second;
 }
 
-void FinalStateCache::remember(const std::string& id, const FinalState& state) {
-    if (states_.emplace(id, state).second) order_.push_back(id);
-    if (order_.size() <= kMaxStates) return;
-    states_.erase(order_.front());
-    order_.pop_front();
+void FinalStateCache::insert(const std::string& id, const FinalState& state) {
+    if (states_.emplace(id, state).second) insertion_order_.push_back(id);
+    if (insertion_order_.size() <= kMaxCachedStates) return;
+    states_.erase(insertion_order_.front());
+    insertion_order_.pop_front();
 }
 
-// A pending record is read first, as jobs move from there to the log and on: while it stands, a
-// missing final state says nothing.
+// Reads the pending record first, because a job's data moves from the pending record to the log and
+// then to the final state. While the pending record exists, a missing final state does not show
+// that the job has not ended, and the outcome is Unknown.
 asio::awaitable<KvResult<KvItem>> FinalStateCache::read(std::string id, double timeout_s) {
     auto pending = co_await kv_.get(pending_key(id), timeout_s);
     KvResult<KvItem> result;
--- a/src/controller/final_state_cache.h
+++ b/src/controller/final_state_cache.h
@@ -1,5 +1,5 @@
-// Final states of jobs that ended: the newest ones in memory, the rest read from the key-value
-// store.
+// Final states of jobs that have ended. Recent ones are cached in memory; older ones are read from
+// the key-value store.
 #pragma once
 #include <boost/asio/awaitable.hpp>
 #include <deque>
@@ -12,28 +12,33 @@
 
 namespace weirmill {
 
-// Bounded, first in first out. Used on the leader's executor only.
+// Cache of bounded size that evicts the oldest entry first. Used on the leader's executor only.
 class FinalStateCache {
   public:
+    // `kv` must outlive this object.
     explicit FinalStateCache(KvClient& kv) : kv_(kv) {}
 
-    // Null: not in memory, which says nothing about whether the job has ended.
+    // Returns the cached final state, or null if it is not cached. A job that is not cached may
+    // have ended nevertheless.
     [[nodiscard]] const FinalState* find(const std::string& id) const;
     [[nodiscard]] bool contains(const std::string& id) const { return find(id) != nullptr; }
-    // What is remembered of a job stays: a final state never changes.
-    void remember(const std::string& id, const FinalState& state);
+    // Adds the final state of a job. An existing entry is kept, because a final state never
+    // changes.
+    void insert(const std::string& id, const FinalState& state);
 
-    // Reads the final state of a job that is not in the cluster state. Missing: it has not ended,
-    // as of some time during the call. `timeout_s` is that of each of the two reads.
+    // Reads the final state of a job that is not in the cluster state. KvOutcome::Missing means
+    // that the job had not ended at some time during the call. `timeout_s` applies to each of the
+    // two reads.
     boost::asio::awaitable<KvResult<KvItem>> read(std::string id, double timeout_s);
 
   private:
     KvClient& kv_;
     std::unordered_map<std::string, FinalState> states_;  // by job id
-    std::deque<std::string> order_;                       // of arrival
+    std::deque<std::string> insertion_order_;             // job ids, the oldest first
 };
 
-// Nothing: the record is malformed, and as good as not read.
+// Parses a final state record. Logs a malformed record and returns nothing; callers treat it as
+// one that could not be read.
 std::optional<FinalState> decode_final_state(const KvItem& item);
 
 }  // namespace weirmill
--- a/src/controller/job_admission.h
+++ b/src/controller/job_admission.h
@@ -1,5 +1,5 @@
-// How jobs enter the cluster state, and are cancelled in it: the same for submissions of users and
-// for jobs that a standby controller accepted.
+// Adds jobs to the cluster state and cancels them there, both for submissions of users and for jobs
+// that a standby controller accepted.
 #pragma once
 #include <boost/asio/awaitable.hpp>
 #include <functional>
@@ -12,50 +12,55 @@
 
 namespace weirmill {
 
-// What the parts that accept and record jobs ask of the part that runs them.
+// Functions of the task lifecycle that admission and the state log writer call.
 struct JobCallbacks {
-    // Ends the job, or what is left of it, if it is due.
+    // Ends the job or stops its tasks if its task counts or its cancellation require that.
     std::function<void(Index)> check_job;
-    // The same for those of the jobs that are cancelled.
+    // Calls `check_job` for those of the jobs that are cancelled.
     std::function<void(const std::vector<Index>&)> check_cancelled;
 };
 
-// What a new job waits for, as far as this leader knows.
+// The dependencies of a new job, as far as this leader knows them.
 struct DependencyResolution {
-    std::vector<Index> jobs;          // live ones that it waits for
-    bool cancelled = false;           // one of them is: and so is the job
-    std::vector<std::string> unread;  // may have ended: their final states are to be read
-    bool invalid = false;             // a name that no job can have
-    bool undecided = false;           // whether one of them will be accepted is not known yet
+    std::vector<Index> live_jobs;     // dependencies that have not ended
+    bool cancelled = false;           // a dependency is cancelled, so the job is cancelled too
+    std::vector<std::string> unread;  // ids of jobs whose final states have to be read
+    bool invalid = false;             // a dependency is the job itself or an invalid job id
+    bool undecided = false;           // a dependency is not recorded yet and may be refused
 };
 
-// Used on the leader's executor only.
+// Validates dependencies, adds jobs to the cluster state and requests cancellations. Used on the
+// leader's executor only.
 class JobAdmission {
   public:
-    // `is_pending`: the job is known from the pending record of a standby controller alone.
-    JobAdmission(LeaderContext& context, FinalStateCache& final_states, JobCallbacks jobs,
+    // `context` and `final_states` must outlive this object. `is_pending` returns whether the job
+    // is known only from the pending record of a standby controller.
+    JobAdmission(LeaderContext& context, FinalStateCache& final_states, JobCallbacks callbacks,
                  std::function<bool(const std::string&)> is_pending);
 
+    // Looks up the dependencies of a job without reading from the key-value store.
     [[nodiscard]] DependencyResolution resolve(const JobSpec& spec) const;
-    // Puts the job into the cluster state; it is not in the state log yet. `submitted`: by the time
-    // of day, seconds.
+    // Adds the job to the cluster state and returns its index. The caller queues its record in the
+    // state log. `submitted`: wall-clock time in seconds.
     Index add(JobSpec spec, const DependencyResolution& dependencies, double submitted);
-    // Removes a job that is not accepted after all.
+    // Removes a job whose record was not written.
     void drop(Index job);
-    // Cancels a live job and has that recorded.
+    // Cancels a job that has not ended, and queues the record of the cancellation.
     void request_cancellation(Index job);
-    // Starts to read the final states of these jobs. DependenciesRead is posted once that is done.
+    // Starts to read the final states of these jobs and posts DependenciesRead when done. `adopts`:
+    // the dependent job was accepted by a standby controller.
     void read_dependencies(PeerCall call, ReplyPromise reply, std::vector<std::string> ids,
                            bool adopts);
 
   private:
-    void resolve_one(const std::string& id, DependencyResolution& out) const;
-    boost::asio::awaitable<void> read_in_turn(std::shared_ptr<void> keep_alive,
-                                              DependenciesRead read, std::vector<std::string> ids);
+    void resolve_dependency(const std::string& id, DependencyResolution& out) const;
+    boost::asio::awaitable<void> read_sequentially(std::shared_ptr<void> keep_alive,
+                                                   DependenciesRead read,
+                                                   std::vector<std::string> ids);
 
     LeaderContext& context_;
     FinalStateCache& final_states_;
-    JobCallbacks jobs_;
+    JobCallbacks callbacks_;
     std::function<bool(const std::string&)> is_pending_;
 };
 
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -113,9 +113,9 @@
 }
 
 void Leader::handle(DependenciesRead& m) {
-    for (auto& [id, ended] : m.ended) final_states_.remember(id, ended);
+    for (auto& [id, ended] : m.ended) final_states_.insert(id, ended);
     if (m.adopts)
-        adoption_.resume(m);
+        adoption_.dependencies_read(m);
     else
         users_.dependencies_read(m);
 }
@@ -212,7 +212,7 @@
     context_.cluster.propagate_demands();
     if (!pending.events.empty())
         spdlog::info("leader: {} pending records to adopt", pending.events.size());
-    adoption_.receive(pending);
+    adoption_.apply_changes(pending);
 }
 
 asio::awaitable<void> Leader::tick_loop(std::shared_ptr<Leader> self) {
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -65,9 +65,9 @@
     void handle(RequestReceived& m);
     void handle(FinalStateRead& m) { users_.final_state_read(m); }
     void handle(DependenciesRead& m);
-    void handle(TransactionFinished& m) { log_writer_.finished(m); }
+    void handle(TransactionFinished& m) { log_writer_.transaction_finished(m); }
     void handle(TransactionOutcomeUnknown&) { log_writer_.outcome_unknown(); }
-    void handle(PendingRecordsChanged& m) { adoption_.receive(m); }
+    void handle(PendingRecordsChanged& m) { adoption_.apply_changes(m); }
     void handle(MachineTypesRead& m) { instance_manager_.handle(m); }
     void handle(MachineListRead& m) { instance_manager_.handle(m); }
     void handle(MachinesProvisioned& m) { instance_manager_.handle(m); }
--- a/src/controller/pending_adoption.cpp
+++ b/src/controller/pending_adoption.cpp
@@ -16,12 +16,13 @@
 namespace {
 
 constexpr int kRecordsPerPage = 200;
-// New jobs that wait to be recorded: users' own must not wait behind more.
-constexpr size_t kMaxRecording = 64;
-// After a refusal, whose cause the watch should bring by then.
-constexpr double kRetry_s = 0.3;
-constexpr double kMissingDependency_s = 5;
-constexpr double kWatch_s = 10;
+// No record is adopted while this many new jobs wait to be recorded, so that submissions of users
+// do not wait behind more adopted jobs.
+constexpr size_t kMaxQueuedJobs = 64;
+// Delay after a failed adoption. By then the watch should have reported what caused the failure.
+constexpr double kRetryDelay_s = 0.3;
+constexpr double kMissingDependencyDelay_s = 5;
+constexpr double kWatchTimeout_s = 10;
 constexpr double kListTimeout_s = 3;
 
 }  // namespace
@@ -38,7 +39,7 @@
         auto page =
             co_await context_.kv.list(kPendingPrefix, after, kRecordsPerPage, kListTimeout_s);
         if (context_.stopped || !page) co_return std::nullopt;
-        if (after.empty()) revision_ = page.value.revision;
+        if (after.empty()) watch_revision_ = page.value.revision;
         more = page.value.more && !page.value.items.empty();
         if (more) after = page.value.items.back().key;
         for (auto& item : page.value.items) read.events.push_back({std::move(item), false});
@@ -53,37 +54,38 @@
 asio::awaitable<void> PendingAdoption::watch(std::shared_ptr<void> keep_alive) {
     (void)keep_alive;
     while (!context_.stopped) {
-        auto watched = co_await context_.kv.watch(kPendingPrefix, revision_, kWatch_s);
+        auto watched = co_await context_.kv.watch(kPendingPrefix, watch_revision_, kWatchTimeout_s);
         if (context_.stopped) co_return;
         if (watched) {
-            revision_ = std::max(revision_, watched.value.revision);
+            watch_revision_ = std::max(watch_revision_, watched.value.revision);
             if (!watched.value.events.empty())
                 context_.post(PendingRecordsChanged{std::move(watched.value.events)});
             continue;
         }
-        // Too old to be watched on from: all records are read again. Never without a pause, as any
-        // other status that stays would else be asked for without an end.
+        // The key-value store no longer has the changes since this revision, so all records are
+        // read again. The loop always pauses after a failure; a persistent error status would
+        // otherwise cause requests in a tight loop.
         if (watched.outcome == KvOutcome::Invalid) {
             auto all = co_await read_all();
             if (all) context_.post(std::move(*all));
         }
-        co_await sleep_s(kRetry_s);
+        co_await sleep_s(kRetryDelay_s);
     }
 }
 
-void PendingAdoption::receive_record(const KvItem& item) {
+void PendingAdoption::update_entry(const KvItem& item) {
     auto id = item.key.substr(kPendingPrefix.size());
     auto it = entries_.find(id);
     if (it != entries_.end() && it->second.version >= item.version) return;
     try {
         entries_[id] = {item.version, parse_pending_record(item.value)};
     } catch (const BadMessage& e) {
-        // Left as it is: its user is asked to come back, which is never wrong.
+        // The record stays in the store, and its user is answered to retry, which is always safe.
         spdlog::error("leader: malformed record {}: {}", item.key, e.what());
     }
 }
 
-void PendingAdoption::receive(const PendingRecordsChanged& changes) {
+void PendingAdoption::apply_changes(const PendingRecordsChanged& changes) {
     if (changes.whole) {
         std::set<std::string> keys;
         for (auto& event : changes.events) keys.insert(event.item.key);
@@ -93,7 +95,7 @@
     for (auto& event : changes.events) {
         auto& item = event.item;
         if (!event.deleted) {
-            receive_record(item);
+            update_entry(item);
             continue;
         }
         auto it = entries_.find(item.key.substr(std::min(kPendingPrefix.size(), item.key.size())));
@@ -102,48 +104,50 @@
     adopt_due();
 }
 
-// A record that is to be deleted says nothing any more. Its job, should it have ended, was answered
-// "not now" until the record was gone, which on a busy day took minutes.
+// A record whose deletion is queued does not count: the state log or a final state has replaced it.
+// If it counted, users of an ended job would be answered to retry until the record is deleted,
+// which takes minutes under high load.
 bool PendingAdoption::is_pending(const std::string& id) const {
     auto it = entries_.find(id);
-    return it != entries_.end() && it->second.step != Step::Deleting;
+    return it != entries_.end() && it->second.state != State::Deleting;
 }
 
 void PendingAdoption::adopt_due() {
     if (entries_.empty() || !context_.lease_valid()) return;
     for (auto& [id, entry] : entries_) {
-        if (context_.state_log.submissions() >= kMaxRecording) return;
-        if (entry.step == Step::Waiting && context_.now >= entry.not_before) adopt(id, entry);
+        if (context_.state_log.submissions() >= kMaxQueuedJobs) return;
+        if (entry.state == State::Waiting && context_.now >= entry.not_before) adopt(id, entry);
     }
 }
 
 void PendingAdoption::adopt(const std::string& id, Entry& entry) {
     auto& index = context_.cluster.job_index;
-    if (auto it = index.find(id); it != index.end()) return adopt_live(id, entry, it->second);
-    // What is neither alive here nor a job of its own has ended.
+    if (auto it = index.find(id); it != index.end()) return adopt_existing(id, entry, it->second);
+    // A job with a final state has ended. So has one that is not in the cluster state and whose
+    // record is only a cancellation request.
     if (final_states_.contains(id) || !entry.record.accepted()) return request_deletion(id);
     auto spec = parse_job(id, entry);
     if (!spec) {
-        entry.step = Step::Malformed;
+        entry.state = State::Malformed;
         return;
     }
     auto dependencies = admission_.resolve(*spec);
     if (dependencies.undecided) return;
     if (dependencies.unread.empty())
-        return record(std::move(*spec), entry, std::move(dependencies));
-    entry.step = Step::ReadingDependencies;
+        return record_job(std::move(*spec), entry, std::move(dependencies));
+    entry.state = State::ReadingDependencies;
     admission_.read_dependencies(PeerCall{PeerOp::Submit, id, ""},
                                  ReplyPromise(context_.io.get_executor()),
                                  std::move(dependencies.unread), true);
 }
 
-// The job is in the cluster state already.
-void PendingAdoption::adopt_live(const std::string& id, const Entry& entry, Index index) {
+// Handles the record of a job that is already in the cluster state.
+void PendingAdoption::adopt_existing(const std::string& id, const Entry& entry, Index index) {
     auto& job = *context_.cluster.jobs[index];
-    if (job.version == 0) return;  // on its way to be recorded
+    if (job.version == 0) return;  // its record is queued or being written
     if (!entry.record.cancelled || job.cancel_recorded) return request_deletion(id);
-    // Cancelled by way of a standby controller. Its record is deleted only once the state log holds
-    // the cancellation, so that no request is lost.
+    // A standby controller accepted the cancellation. The pending record is deleted only after the
+    // state log holds the cancellation, so that the request is not lost.
     if (!job.cancelled && !job.ending) admission_.request_cancellation(index);
 }
 
@@ -159,53 +163,53 @@
     }
 }
 
-void PendingAdoption::record(JobSpec spec, Entry& entry, DependencyResolution dependencies) {
+void PendingAdoption::record_job(JobSpec spec, Entry& entry, DependencyResolution dependencies) {
     dependencies.cancelled = dependencies.cancelled || entry.record.cancelled;
     auto index = admission_.add(std::move(spec), dependencies, entry.record.at);
-    // Standby controllers accept jobs only where all controllers adopt them, so all can read a
-    // record in pieces.
+    // Standby controllers accept jobs only if every controller's version adopts pending records.
+    // All of these versions can read multi-part records.
     context_.state_log.allow_multi_part_records();
     context_.state_log.new_job(index, entry.version);
-    entry.step = Step::Recording;
+    entry.state = State::Recording;
     context_.metrics.count("door_jobs_collected_total");
 }
 
-void PendingAdoption::resume(const DependenciesRead& read) {
+void PendingAdoption::dependencies_read(const DependenciesRead& read) {
     auto it = entries_.find(read.call.subject);
-    if (it == entries_.end() || it->second.step != Step::ReadingDependencies) return;
+    if (it == entries_.end() || it->second.state != State::ReadingDependencies) return;
     auto& entry = it->second;
-    entry.step = Step::Waiting;
+    entry.state = State::Waiting;
     if (read.missing.empty()) {
-        if (!read.all) entry.not_before = context_.now + kRetry_s;
+        if (!read.all) entry.not_before = context_.now + kRetryDelay_s;
         return adopt_due();
     }
-    // The standby controller saw that the dependency was accepted, so this can't be; what was
-    // accepted is never refused.
-    spdlog::error("leader: {} waits for {}, which was never accepted", read.call.subject,
-                  read.missing);
-    entry.not_before = context_.now + kMissingDependency_s;
+    // This is not expected, because the standby controller verified that the dependency was
+    // accepted. An accepted job is never refused, so the adoption is retried.
+    spdlog::error("leader: dependency {} of accepted job {} was never accepted", read.missing,
+                  read.call.subject);
+    entry.not_before = context_.now + kMissingDependencyDelay_s;
 }
 
 void PendingAdoption::request_deletion(const std::string& id) {
     auto it = entries_.find(id);
-    if (it == entries_.end() || it->second.step == Step::Deleting) return;
-    it->second.step = Step::Deleting;
+    if (it == entries_.end() || it->second.state == State::Deleting) return;
+    it->second.state = State::Deleting;
     context_.state_log.forget(pending_key(id), it->second.version);
 }
 
 uint64_t PendingAdoption::adopted_version(const std::string& id) const {
     auto it = entries_.find(id);
-    if (it == entries_.end() || it->second.step != Step::Recording) return 0;
+    if (it == entries_.end() || it->second.state != State::Recording) return 0;
     return it->second.version;
 }
 
-// The record is looked at again: to be deleted if the job was recorded, and otherwise, a little
-// later, to be adopted anew.
+// Makes the record due again: at once if the job was recorded, so that the record is deleted, and
+// otherwise after a delay, so that the adoption is retried.
 void PendingAdoption::adoption_finished(const std::string& id, bool recorded) {
     auto it = entries_.find(id);
-    if (it == entries_.end() || it->second.step != Step::Recording) return;
-    it->second.step = Step::Waiting;
-    it->second.not_before = recorded ? 0 : context_.now + kRetry_s;
+    if (it == entries_.end() || it->second.state != State::Recording) return;
+    it->second.state = State::Waiting;
+    it->second.not_before = recorded ? 0 : context_.now + kRetryDelay_s;
 }
 
 void PendingAdoption::deletion_finished(const StateLogEntry& entry) {
--- a/src/controller/request_router.cpp
+++ b/src/controller/request_router.cpp
@@ -10,8 +10,8 @@
 
 namespace asio = boost::asio;
 
-// Arguments of awaited calls are named variables throughout RequestRouter: GCC 12 destroys
-// aggregates that are written in place inside a co_await expression twice.
+// RequestRouter passes named variables as arguments of awaited calls, because GCC 12 destroys an
+// aggregate that is initialized inside a co_await expression twice.
 
 RequestRouter::RequestRouter(asio::io_context& io, const Settings& settings,
                              const Properties& properties)
@@ -21,7 +21,7 @@
         term_ = term;
         leader_ = std::make_shared<Leader>(io_, settings_, properties_, kv_, metrics_, term);
         leader_->set_relay([this](std::string name, PeerCall call) {
-            return pass_to_peer(std::move(name), std::move(call));
+            return forward_to_peer(std::move(name), std::move(call));
         });
         leader_->start();
     };
@@ -38,10 +38,11 @@
     standby_ = std::make_unique<StandbyService>(io, settings_, properties_, kv_, metrics_,
                                                 [this] { return leader_ && leader_->ready(); });
     peer_server_ = std::make_unique<PeerServer>(
-        io, settings.peer, [this](PeerCall call) { return from_peer(std::move(call)); },
+        io, settings.peer, [this](PeerCall call) { return handle_peer_call(std::move(call)); },
         max_peer_queue_bytes(settings));
-    http_ = std::make_unique<HttpServer>(io, settings.api, max_connections(settings),
-                                         [this](HttpRequest r) { return handle(std::move(r)); });
+    http_ = std::make_unique<HttpServer>(
+        io, settings.api, max_connections(settings),
+        [this](HttpRequest request) { return handle(std::move(request)); });
     asio::co_spawn(io, ping_loop(), asio::detached);
     spdlog::info("node: {} in {} serving {} peers={}", settings.name, settings.zone,
                  settings.api.text(), settings.peers.size());
@@ -53,10 +54,10 @@
         double now = steady_now();
         if (leader_ && leader_->ready())
             return leader_links(leader_->cluster(), membership_->times(), settings_.lease_s, now);
-        LinkStatus r;
-        r.direct_workers = roster_.stranded(leader_knowledge_->fencing_token(),
-                                            membership_->times().controller_cycle_s, now);
-        return r;
+        LinkStatus links;
+        links.direct_workers = roster_.stranded(leader_knowledge_->fencing_token(),
+                                                membership_->times().controller_cycle_s, now);
+        return links;
     };
     hooks.leads_since = [this]() -> std::optional<double> {
         if (!leader_ || !leader_->ready() || !leader_->lease_valid(steady_now()))
--- a/src/controller/request_router.h
+++ b/src/controller/request_router.h
@@ -1,8 +1,8 @@
-// A controller node: users, workers and health checks over HTTP, the other controllers over the
-// peer link. The leader answers; the others forward users to it and redirect workers. An actor on
-// the io_context's one thread; its parts stand in request_router.cpp (wiring),
-// request_router_http.cpp, request_router_forwarding.cpp, request_router_peers.cpp and
-// request_router_heartbeats.cpp.
+// A controller node. It serves users, workers and health checks over HTTP, and the other
+// controllers over the peer link. The leader answers requests itself; followers forward requests of
+// users to the leader and redirect workers to it. The class is implemented in request_router.cpp
+// (construction), request_router_http.cpp, request_router_forwarding.cpp, request_router_peers.cpp
+// and request_router_heartbeats.cpp.
 #pragma once
 #include <map>
 #include <memory>
@@ -19,8 +19,11 @@
 
 namespace weirmill {
 
+// Owns the parts of one controller and routes requests between them. Runs on the single thread of
+// the io_context.
 class RequestRouter {
   public:
+    // The arguments must outlive this object.
     RequestRouter(boost::asio::io_context& io, const Settings& settings,
                   const Properties& properties);
     uint16_t api_port() const { return http_->port(); }
@@ -28,34 +31,36 @@
 
   private:
     struct RoutedReply {
-        const char* kind = "other";  // of the request, as the metrics name it
+        const char* kind = "other";  // request kind, used as a metric label
         HttpReply reply;
     };
     boost::asio::awaitable<HttpReply> handle(HttpRequest request);
     boost::asio::awaitable<RoutedReply> route(HttpRequest request);
     HttpReply metrics_page() const;
     boost::asio::awaitable<HttpReply> handle_heartbeat(HttpRequest request);
-    boost::asio::awaitable<PeerReply> from_peer(PeerCall call);
+    boost::asio::awaitable<PeerReply> handle_peer_call(PeerCall call);
     boost::asio::awaitable<PeerReply> call_leader(PeerCall call);
     boost::asio::awaitable<PeerReply> call_peer(std::string name, PeerCall call);
-    // Whether the peer with this name accepted the call.
-    boost::asio::awaitable<bool> pass_to_peer(std::string name, PeerCall call);
-    // The peer through which this call may reach the leader, where this controller can't.
-    std::optional<std::string> relay_for(const PeerCall& call) const;
-    boost::asio::awaitable<PeerReply> pass_command(PeerCall call);
+    // Returns whether the peer answered with status 200.
+    boost::asio::awaitable<bool> forward_to_peer(std::string name, PeerCall call);
+    // Returns the peer through which the call may reach the leader, if this controller can't reach
+    // it. Nothing: there is no such peer, or the call has already been relayed.
+    std::optional<std::string> find_relay(const PeerCall& call) const;
+    boost::asio::awaitable<PeerReply> relay_command(PeerCall call);
     void set_up_membership();
-    // Far too few workers come to the leader themselves: one that comes here is not redirected.
+    // Returns whether less than half of the known workers reach the leader directly. Workers that
+    // contact this controller are then relayed and not redirected.
     bool leader_uplink_lost() const;
-    boost::asio::awaitable<void> forward(PeerCall call, OneShot<PeerReply> out);
+    boost::asio::awaitable<void> forward_to_leader(PeerCall call, OneShot<PeerReply> result);
     boost::asio::awaitable<std::optional<PeerReply>> await_leader_reply(
-        OneShot<PeerReply> forwarded, double started, double most_s);
-    // What users ask for: from the leader, or from this node's standby service where no leader
-    // answers.
-    boost::asio::awaitable<PeerReply> serve(PeerCall call);
+        OneShot<PeerReply> forwarded, double started, double max_wait_s);
+    // Serves a user request by the leader or, if no leader answers, by this node's standby service.
+    boost::asio::awaitable<PeerReply> serve_user_request(PeerCall call);
     boost::asio::awaitable<void> ping_loop();
-    boost::asio::awaitable<bool> ping_peer(std::string name);  // whether it says that it leads
+    // Pings the peer and returns whether it reports that it leads.
+    boost::asio::awaitable<bool> ping_peer(std::string name);
     PeerReply ping_reply() const;
-    bool healthy() const;
+    bool is_healthy() const;
     PeerClient* peer_client(const std::string& name);
     PeerClient* leader_client();
 
--- a/src/controller/request_router_forwarding.cpp
+++ b/src/controller/request_router_forwarding.cpp
@@ -1,4 +1,4 @@
-// Calls to other controllers, and users' requests on their way to the leader.
+// RequestRouter: calls to other controllers, and the forwarding of user requests to the leader.
 #include <boost/asio.hpp>
 
 #include "config/capacity.h"
@@ -9,39 +9,39 @@
 namespace asio = boost::asio;
 
 namespace {
-constexpr double kForward_s = 2.2;  // for a call that is forwarded
-// A leader that has not answered a request by then is not waited for.
+constexpr double kForwardTimeout_s = 2.2;
+// The standby service takes over a request that the leader has not answered within this time, even
+// if the leader answers pings.
 constexpr double kMaxLeaderWait_s = 0.7;
-// Nor is one for a submission, although it answers pings.
-constexpr double kMaxSubmitWait_s = 1.0;
-constexpr double kProbe_s = 0.05;  // a leader that has not answered by then is pinged
+constexpr double kMaxSubmitWait_s = 1.0;  // the same for a submission
+constexpr double kProbeDelay_s = 0.05;    // a leader that has not answered by then is pinged
 }  // namespace
 
 PeerClient* RequestRouter::peer_client(const std::string& name) {
     if (auto it = peer_clients_.find(name); it != peer_clients_.end()) return it->second.get();
-    for (auto& p : settings_.peers)
-        if (p.name == name) {
-            auto& link = peer_clients_[name];
-            link = std::make_unique<PeerClient>(io_, p.addr, max_peer_queue_bytes(settings_));
-            return link.get();
+    for (auto& peer : settings_.peers)
+        if (peer.name == name) {
+            auto& client = peer_clients_[name];
+            client = std::make_unique<PeerClient>(io_, peer.addr, max_peer_queue_bytes(settings_));
+            return client.get();
         }
     return nullptr;
 }
 
 PeerClient* RequestRouter::leader_client() { return peer_client(leader_knowledge_->name()); }
 
-std::optional<std::string> RequestRouter::relay_for(const PeerCall& call) const {
+std::optional<std::string> RequestRouter::find_relay(const PeerCall& call) const {
     if (!membership_->enabled() || call.relay) return std::nullopt;
     auto views = membership_->peer_views(steady_now());
-    if (auto way = relay_to_leader(leader_knowledge_->name(), views)) return way;
+    if (auto relay = relay_to_leader(leader_knowledge_->name(), views)) return relay;
     return membership_->reaches_kv(steady_now()) ? std::nullopt : relay_to_kv(views);
 }
 
 asio::awaitable<PeerReply> RequestRouter::call_peer(std::string name, PeerCall call) {
-    auto* link = peer_client(name);
-    if (!link) co_return PeerReply{503, "{}", 1, 0, true};
+    auto* client = peer_client(name);
+    if (!client) co_return PeerReply{503, "{}", 1, 0, true};
     call.sender = settings_.name;
-    auto reply = co_await link->call(std::move(call), kForward_s);
+    auto reply = co_await client->call(std::move(call), kForwardTimeout_s);
     if (!reply) {
         membership_->record_timeout(name);
         co_return PeerReply{503, R"({"error":"no way to the leader"})", 1, 0, true};
@@ -49,57 +49,58 @@
     co_return *reply;
 }
 
-asio::awaitable<bool> RequestRouter::pass_to_peer(std::string name, PeerCall call) {
+asio::awaitable<bool> RequestRouter::forward_to_peer(std::string name, PeerCall call) {
     auto reply = co_await call_peer(std::move(name), std::move(call));
     co_return reply.status == 200;
 }
 
 asio::awaitable<PeerReply> RequestRouter::call_leader(PeerCall call) {
     if (auto leader = leader_) co_return co_await leader->ask(std::move(call));
-    auto* link = leader_client();
-    if (!link || leader_knowledge_->is_silent()) {
-        if (auto way = relay_for(call)) {
+    auto* client = leader_client();
+    if (!client || leader_knowledge_->is_silent()) {
+        if (auto relay = find_relay(call)) {
             metrics_.count("second_hops_total");
             call.relay = true;
-            auto reply = co_await call_peer(*way, std::move(call));
+            auto reply = co_await call_peer(*relay, std::move(call));
             if (!reply.undecided) leader_knowledge_->excuse_silence();
             co_return reply;
         }
-        // It is asked again each second: until it answers, nobody waits for it.
-        if (membership_->enabled()) link = nullptr;
+        // The ping loop keeps probing a silent leader; until it answers, no request waits for it.
+        if (membership_->enabled()) client = nullptr;
     }
-    if (!link) co_return PeerReply{503, R"({"error":"no leader"})", 1, 0, true};
+    if (!client) co_return PeerReply{503, R"({"error":"no leader"})", 1, 0, true};
     call.sender = settings_.name;
-    double asked = steady_now();
+    double sent_at = steady_now();
     auto fencing_token = leader_knowledge_->fencing_token();
-    bool submits = call.op == PeerOp::Submit;
-    auto reply = co_await link->call(std::move(call), kForward_s);
+    bool is_submission = call.op == PeerOp::Submit;
+    auto reply = co_await client->call(std::move(call), kForwardTimeout_s);
     if (!reply) {
         leader_knowledge_->record_timeout(fencing_token);
         co_return PeerReply{503, R"({"error":"the leader does not answer"})", 1, 0, true};
     }
     leader_knowledge_->record_answer();
-    if (submits && reply->status < 300)
-        forward_timeout_.record_answer(leader_knowledge_->answered_at() - asked);
+    if (is_submission && reply->status < 300)
+        forward_timeout_.record_answer(leader_knowledge_->answered_at() - sent_at);
     co_return *reply;
 }
 
-asio::awaitable<void> RequestRouter::forward(PeerCall call, OneShot<PeerReply> out) {
+asio::awaitable<void> RequestRouter::forward_to_leader(PeerCall call, OneShot<PeerReply> result) {
     auto reply = co_await call_leader(std::move(call));
-    out.set(std::move(reply));
+    result.set(std::move(reply));
 }
 
-// The leader's answer, waited for as long as the leader answers anything, and at most `most_s`;
-// nothing: none in time. A busy leader answers pings: if it were taken for gone after a time alone,
-// a leader with a burst of submissions would have the standby services' writes on top of its own.
+// Waits for the leader's reply for as long as the leader answers other calls or pings, and for at
+// most `max_wait_s` seconds. Returns nothing if no reply came in time. A fixed timeout alone would
+// make standby services take over while the leader processes a burst of submissions, and their
+// writes would add to its load.
 asio::awaitable<std::optional<PeerReply>> RequestRouter::await_leader_reply(
-    OneShot<PeerReply> forwarded, double started, double most_s) {
+    OneShot<PeerReply> forwarded, double started, double max_wait_s) {
     bool probed = false;
     for (;;) {
-        double quiet_until =
+        double silence_deadline =
             std::max(started, leader_knowledge_->answered_at()) + forward_timeout_.seconds();
-        double until = std::min(quiet_until, started + most_s);
-        if (!probed) until = std::min(until, started + kProbe_s);
+        double until = std::min(silence_deadline, started + max_wait_s);
+        if (!probed) until = std::min(until, started + kProbeDelay_s);
         double now = steady_now();
         if (now >= until && probed) co_return std::nullopt;
         if (now < until) {
@@ -114,29 +115,30 @@
     }
 }
 
-asio::awaitable<PeerReply> RequestRouter::serve(PeerCall call) {
+asio::awaitable<PeerReply> RequestRouter::serve_user_request(PeerCall call) {
     if (!standby_->available()) co_return co_await call_leader(std::move(call));
-    PeerCall again = call;
+    PeerCall standby_call = call;
     if (auto leader = leader_) {
         auto reply = co_await leader->ask(std::move(call));
         if (!reply.undecided) co_return reply;
-        co_return co_await standby_->serve(std::move(again));
+        co_return co_await standby_->serve(std::move(standby_call));
     }
     if (!leader_client() || leader_knowledge_->is_silent())
-        co_return co_await standby_->serve(std::move(again));
-    // The leader goes on while the standby service begins: what both accept is one job, as their
-    // records exclude each other.
-    bool submits = call.op == PeerOp::Submit;
+        co_return co_await standby_->serve(std::move(standby_call));
+    // The leader may still process the request while the standby service serves it. They cannot
+    // accept the same job twice, because the conditions of their transactions exclude each other.
+    bool is_submission = call.op == PeerOp::Submit;
     double started = steady_now();
     OneShot<PeerReply> forwarded(io_.get_executor());
-    asio::co_spawn(io_, forward(std::move(call), forwarded), asio::detached);
+    asio::co_spawn(io_, forward_to_leader(std::move(call), forwarded), asio::detached);
     auto reply = co_await await_leader_reply(forwarded, started,
-                                             submits ? kMaxSubmitWait_s : kMaxLeaderWait_s);
+                                             is_submission ? kMaxSubmitWait_s : kMaxLeaderWait_s);
     if (reply && !reply->undecided) co_return *reply;
-    auto own = co_await standby_->serve(std::move(again));
-    if (reply || own.status != 503) co_return own;
-    auto late = co_await forwarded.wait(std::max(0.01, started + kForward_s - steady_now()));
-    co_return late ? *late : own;
+    auto standby_reply = co_await standby_->serve(std::move(standby_call));
+    if (reply || standby_reply.status != 503) co_return standby_reply;
+    auto late_reply =
+        co_await forwarded.wait(std::max(0.01, started + kForwardTimeout_s - steady_now()));
+    co_return late_reply ? *late_reply : standby_reply;
 }
 
 }  // namespace weirmill
--- a/src/controller/request_router_heartbeats.cpp
+++ b/src/controller/request_router_heartbeats.cpp
@@ -1,5 +1,5 @@
-// Heartbeats of workers: the leader answers them; a follower redirects the worker to the leader or,
-// for one that can't reach it, relays the heartbeat.
+// RequestRouter: heartbeats of workers. The leader answers them. A follower redirects the worker to
+// the leader, or relays the heartbeat if the worker can't reach the leader.
 #include <spdlog/spdlog.h>
 
 #include <boost/asio.hpp>
@@ -17,18 +17,18 @@
            2 * links->direct_workers < links->known_workers;
 }
 
-// For a heartbeat, a call's subject is the address that it came from.
-asio::awaitable<HttpReply> RequestRouter::handle_heartbeat(HttpRequest r) {
+// The subject of a heartbeat call is the address that the heartbeat came from.
+asio::awaitable<HttpReply> RequestRouter::handle_heartbeat(HttpRequest request) {
     if (auto leader = leader_) {
-        PeerCall call{PeerOp::Heartbeat, std::move(r.from), std::move(r.body)};
+        PeerCall call{PeerOp::Heartbeat, std::move(request.from), std::move(request.body)};
         auto reply = co_await leader->ask(std::move(call));
         co_return HttpReply{reply.status, std::move(reply.body)};
     }
     HeartbeatHeader head;
     try {
-        head = parse_heartbeat_header(r.body);
+        head = parse_heartbeat_header(request.body);
     } catch (const BadMessage& e) {
-        spdlog::error("worker: malformed report from {} refused: {}", r.from, e.what());
+        spdlog::error("worker: malformed heartbeat from {} rejected: {}", request.from, e.what());
         co_return HttpReply{400, "{}"};
     }
     double now = steady_now();
@@ -37,10 +37,10 @@
     if (!leader_client()) co_return HttpReply{421, redirect_answer("")};
     relay = relay || leader_uplink_lost();
     if (relay) {
-        PeerCall call{PeerOp::Heartbeat, std::move(r.from), std::move(r.body)};
+        PeerCall call{PeerOp::Heartbeat, std::move(request.from), std::move(request.body)};
         auto reply = co_await call_leader(std::move(call));
-        // The worker would drop the answer of an older leader than it knows, and its lease would
-        // run out here.
+        // A worker ignores the response of a leader that is older than the one it knows. If such
+        // responses were relayed, the worker would stay here until its lease expires.
         if (reply.status == 200 && reply.fencing_token >= head.fencing_token)
             co_return HttpReply{200, std::move(reply.body)};
         roster_.end_relay(head.machine);
--- a/src/controller/request_router_http.cpp
+++ b/src/controller/request_router_http.cpp
@@ -1,4 +1,5 @@
-// HTTP: routes of users, workers and operators, the health check and the metrics page.
+// RequestRouter: HTTP routes of users, workers and operators, the health check and the metrics
+// page.
 #include <spdlog/spdlog.h>
 
 #include <boost/asio.hpp>
@@ -11,19 +12,20 @@
 namespace asio = boost::asio;
 
 namespace {
-// A follower that is without its leader for so long sends its users elsewhere.
+// After this time without an answer of the leader or, at the leader, of the state service, the
+// health check fails and the load balancer sends users to other controllers.
 constexpr double kMaxLeaderSilence_s = 6;
-constexpr double kSlowRequest_s = 0.15;  // answers later than this are logged at debug
+constexpr double kSlowRequest_s = 0.15;  // slower requests are logged at debug level
 
 HttpReply empty_reply(int status) { return {status, "{}"}; }
 
-// As the metrics name it.
-const char* kind_of(PeerOp op) {
+// Returns the metric label of a user request.
+const char* request_kind(PeerOp op) {
     if (op == PeerOp::Submit) return "submit";
     return op == PeerOp::Cancel ? "cancel" : "status";
 }
 
-// What a user asks for with this path; nothing: no path of users.
+// Builds the call for a user request. Returns nothing if the path is not one of the user API.
 std::optional<PeerCall> parse_user_request(std::string_view path, std::string body) {
     PeerCall call;
     if (!path.starts_with(paths::kJobs)) return std::nullopt;
@@ -46,13 +48,13 @@
 
 }  // namespace
 
-bool RequestRouter::healthy() const {
-    // A leader that the state service refuses alone, while its peers refuse it too, is of use to
-    // nobody: without this it would keep its users for as long as that lasts.
+bool RequestRouter::is_healthy() const {
+    // A leader that reaches neither the state service nor any peer can't serve users. Without this
+    // check the load balancer would keep sending it requests for as long as it is isolated.
     if (membership_->enabled() && leader_ && !leader_->lease_valid(steady_now())) {
         double now = steady_now();
-        bool alone = membership_->peer_views(now).empty() && !settings_.peers.empty();
-        if (alone && now - kv_.answered_at() > kMaxLeaderSilence_s) return false;
+        bool isolated = membership_->peer_views(now).empty() && !settings_.peers.empty();
+        if (isolated && now - kv_.answered_at() > kMaxLeaderSilence_s) return false;
     }
     if (leader_ || standby_->available()) return true;
     return steady_now() - leader_knowledge_->answered_at() < kMaxLeaderSilence_s;
@@ -70,37 +72,38 @@
     return reply;
 }
 
-asio::awaitable<HttpReply> RequestRouter::handle(HttpRequest r) {
+asio::awaitable<HttpReply> RequestRouter::handle(HttpRequest request) {
     double started = steady_now();
-    auto routed = co_await route(std::move(r));
-    double took = steady_now() - started;
-    metrics_.request(routed.kind, routed.reply.status, took);
-    if (routed.reply.status >= 429 || took > kSlowRequest_s)
-        spdlog::debug("http: {} {} after {:.3f}s", routed.kind, routed.reply.status, took);
+    auto routed = co_await route(std::move(request));
+    double duration_s = steady_now() - started;
+    metrics_.request(routed.kind, routed.reply.status, duration_s);
+    if (routed.reply.status >= 429 || duration_s > kSlowRequest_s)
+        spdlog::debug("http: {} {} after {:.3f}s", routed.kind, routed.reply.status, duration_s);
     co_return std::move(routed.reply);
 }
 
-asio::awaitable<RequestRouter::RoutedReply> RequestRouter::route(HttpRequest r) {
-    std::string path = r.target.substr(0, r.target.find('?'));
+asio::awaitable<RequestRouter::RoutedReply> RequestRouter::route(HttpRequest request) {
+    std::string path = request.target.substr(0, request.target.find('?'));
     RoutedReply routed{"other", empty_reply(404)};
     if (path == paths::kReport) {
         routed.reply = empty_reply(405);
-        if (r.method != "POST") co_return routed;
+        if (request.method != "POST") co_return routed;
         routed.kind = "report";
-        routed.reply = co_await handle_heartbeat(std::move(r));
+        routed.reply = co_await handle_heartbeat(std::move(request));
         routed.reply.from_machine = true;
     } else if (path == paths::kMetrics) {
         routed.reply = metrics_page();
     } else if (path == paths::kHealth) {
-        routed.reply = empty_reply(healthy() ? 200 : 503);
-    } else if (auto request = parse_user_request(path, std::move(r.body))) {
+        routed.reply = empty_reply(is_healthy() ? 200 : 503);
+    } else if (auto call = parse_user_request(path, std::move(request.body))) {
         routed.reply = empty_reply(405);
-        bool reads = request->op == PeerOp::Status;
-        // What is refused for its method counts as a submission only where it is one.
-        if (request->op != PeerOp::Submit) routed.kind = kind_of(request->op);
-        if (r.method != (reads ? "GET" : "POST")) co_return routed;
-        routed.kind = kind_of(request->op);
-        auto reply = co_await serve(std::move(*request));
+        bool is_status = call->op == PeerOp::Status;
+        // With a wrong method, a request to the jobs path is counted as "other" and not as a
+        // submission.
+        if (call->op != PeerOp::Submit) routed.kind = request_kind(call->op);
+        if (request.method != (is_status ? "GET" : "POST")) co_return routed;
+        routed.kind = request_kind(call->op);
+        auto reply = co_await serve_user_request(std::move(*call));
         routed.reply = {reply.status, std::move(reply.body), reply.retry_after_s};
     }
     co_return routed;
--- a/src/controller/request_router_peers.cpp
+++ b/src/controller/request_router_peers.cpp
@@ -1,4 +1,5 @@
-// Calls from other controllers, and pings: who leads, and which links stand.
+// RequestRouter: calls from other controllers, and the pings that exchange who leads and which
+// links work.
 #include <spdlog/spdlog.h>
 
 #include <boost/asio.hpp>
@@ -10,11 +11,12 @@
 namespace asio = boost::asio;
 
 namespace {
-constexpr double kPing_s = 1.0;
-constexpr double kWorkerCommand_s = 1.5;  // for commands that are passed on to a worker
+constexpr double kPingTimeout_s = 1.0;
+constexpr double kWorkerCommandTimeout_s = 1.5;  // for a command that is relayed to a worker
 }  // namespace
 
-// The answer to a ping: 200 from the leader itself, else whom this node takes for it.
+// Returns the reply to a ping: status 200 if this node leads with a valid lease, otherwise 503 with
+// the name of the leader that this node knows.
 PeerReply RequestRouter::ping_reply() const {
     PeerReply reply{503, leader_knowledge_->name(), 1, leader_knowledge_->fencing_token()};
     if (leader_ && leader_->lease_valid(steady_now()))
@@ -23,37 +25,37 @@
     return reply;
 }
 
-asio::awaitable<PeerReply> RequestRouter::from_peer(PeerCall call) {
+asio::awaitable<PeerReply> RequestRouter::handle_peer_call(PeerCall call) {
     if (call.op == PeerOp::Ping) {
         if (!call.sender.empty()) membership_->record_contact(call.sender, call.links);
         co_return ping_reply();
     }
-    if (call.op == PeerOp::Command) co_return co_await pass_command(std::move(call));
+    if (call.op == PeerOp::Command) co_return co_await relay_command(std::move(call));
     if (auto leader = leader_; leader && (leader->lease_valid(steady_now()) || !call.relay))
         co_return co_await leader->ask(std::move(call));
     if (call.relay) {
-        // The sender can't reach the leader, and may not reach the state service: this is the last
-        // hop, nobody relays it again.
+        // The sender can't reach the leader, and possibly not the state service either. A relayed
+        // call is not relayed again.
         if (call.op == PeerOp::Heartbeat) co_return co_await call_leader(std::move(call));
-        co_return co_await serve(std::move(call));
+        co_return co_await serve_user_request(std::move(call));
     }
     co_return PeerReply{503, "{}", 1, 0, true};
 }
 
-// Stop commands for a worker that the leader can't reach. Like any that it sends itself they name
-// the fencing token, agent epoch and attempt, so a late or second copy does no harm.
-asio::awaitable<PeerReply> RequestRouter::pass_command(PeerCall call) {
+// Relays stop commands to a worker that the leader can't reach. Every stop command names the
+// fencing token, the agent epoch and the attempt, so late or duplicate copies have no effect.
+asio::awaitable<PeerReply> RequestRouter::relay_command(PeerCall call) {
     metrics_.count("stops_passed_on_total");
     std::string body = call.body;
-    if (co_await send_commands(&io_, call.subject, std::move(body), kWorkerCommand_s))
+    if (co_await send_commands(&io_, call.subject, std::move(body), kWorkerCommandTimeout_s))
         co_return PeerReply{200, "{}"};
     if (!call.relay) {
-        auto from = call.sender;
+        auto original_sender = call.sender;
         call.relay = true;
-        for (auto& p : membership_->peer_views(steady_now())) {
-            if (!p.reachable || p.name == from) continue;
-            PeerCall again = call;
-            auto reply = co_await call_peer(p.name, std::move(again));
+        for (auto& peer : membership_->peer_views(steady_now())) {
+            if (!peer.reachable || peer.name == original_sender) continue;
+            PeerCall relayed = call;
+            auto reply = co_await call_peer(peer.name, std::move(relayed));
             if (reply.status == 200) co_return reply;
         }
     }
@@ -64,7 +66,7 @@
     PeerCall ping;
     ping.sender = settings_.name;
     if (membership_->enabled()) ping.links = membership_->own_links(steady_now());
-    auto reply = co_await peer_client(name)->call(std::move(ping), kPing_s);
+    auto reply = co_await peer_client(name)->call(std::move(ping), kPingTimeout_s);
     if (!reply) {
         if (name == leader_knowledge_->name())
             leader_knowledge_->record_timeout(leader_knowledge_->fencing_token());
@@ -73,11 +75,11 @@
     }
     membership_->record_contact(name, reply->links);
     if (leader_knowledge_->record_report(reply->body, reply->fencing_token))
-        spdlog::info("node: {} says that {} leads with token={}", name, reply->body,
+        spdlog::info("node: {} reports that {} leads with token={}", name, reply->body,
                      reply->fencing_token);
-    // A leader without a valid lease counts as one that answers: in an outage of the state service
-    // no other node would serve better, and nodes that leave the load balancer for it come back
-    // late.
+    // A leader without a valid lease counts as answering. During an outage of the state service no
+    // other node could serve users better, and nodes that fail their health check because of it
+    // return to the load balancer late.
     if (name == leader_knowledge_->name() && reply->body == name)
         leader_knowledge_->record_answer();
     co_return reply->status == 200;
@@ -87,25 +89,29 @@
     for (;;) {
         co_await sleep_s(settings_.ping_s);
         if (term_ && leader_knowledge_->reported_fencing_token() > term_->fencing_token) {
-            // The state service refuses this node alone, and another leads by now. Without this,
-            // the node would go on as a leader without a valid lease, and refuse its users for as
-            // long as that lasts.
-            spdlog::info("node: gives up token={}: {} leads", term_->fencing_token,
-                         leader_knowledge_->reported_leader());
+            // Another controller leads by now, and the state service refuses only this node.
+            // Without this check the node would stay a leader without a valid lease and refuse its
+            // users for as long as the state service refuses it.
+            spdlog::info("node: gives up the leadership with token={}, {} leads",
+                         term_->fencing_token, leader_knowledge_->reported_leader());
             term_->ended = true;
             continue;
         }
         if (membership_->enabled()) {
             if (!leader_client() && !leader_) leader_knowledge_->excuse_silence();
-            for (auto& p : settings_.peers) asio::co_spawn(io_, ping_peer(p.name), asio::detached);
+            for (auto& peer : settings_.peers)
+                asio::co_spawn(io_, ping_peer(peer.name), asio::detached);
             continue;
         }
         if (leader_ && leader_->lease_valid(steady_now())) continue;
-        // An election: soon over, and no other node would serve better.
+        // There is no leader during an election. It ends soon, and no other node could serve users
+        // better.
         if (!leader_client() && !leader_) leader_knowledge_->excuse_silence();
-        // The leader first; the others only where it can't be asked or does not say that it leads.
+        // Pings the leader first, and the others only if the leader can't be reached or does not
+        // confirm that it leads.
         if (!leader_ && leader_client() && co_await ping_peer(leader_knowledge_->name())) continue;
-        for (auto& p : settings_.peers) asio::co_spawn(io_, ping_peer(p.name), asio::detached);
+        for (auto& peer : settings_.peers)
+            asio::co_spawn(io_, ping_peer(peer.name), asio::detached);
     }
 }
 
--- a/src/controller/state_loader.cpp
+++ b/src/controller/state_loader.cpp
@@ -15,25 +15,26 @@
 
 constexpr int kItemsPerPage = 50;
 constexpr double kListTimeout_s = 3;
-// Of versions that kept a key for each job.
-const std::string kJobPrefix = "j/";
+// Key prefix of versions that stored each job under a key of its own.
+const std::string kLegacyJobPrefix = "j/";
 
 }  // namespace
 
-// Single records first, the head of the log among them, then its segments, page by page.
-asio::awaitable<std::optional<LoadedNotes>> StateLoader::load() {
+// Reads the single records first, including the head of the log, and then the log's segments.
+asio::awaitable<std::optional<LoadedMetadata>> StateLoader::load() {
     context_.cluster.clear_work();
     context_.state_log.clear();
     double started = steady_now();
-    segments_ = 0;
-    notes_ = {};
-    for (const std::string& prefix : {kRoundKey, kTypesKey, kLogKey, kSegmentPrefix, kJobPrefix}) {
+    segment_count_ = 0;
+    metadata_ = {};
+    for (const std::string& prefix :
+         {kRoundKey, kTypesKey, kLogKey, kSegmentPrefix, kLegacyJobPrefix}) {
         bool loaded = co_await load_prefix(prefix);
         if (!loaded) co_return std::nullopt;
     }
     context_.state_log.loaded(steady_now());
-    spdlog::info("leader: read {} segments in {:.2f}s", segments_, steady_now() - started);
-    co_return notes_;
+    spdlog::info("leader: read {} segments in {:.2f}s", segment_count_, steady_now() - started);
+    co_return metadata_;
 }
 
 asio::awaitable<bool> StateLoader::load_prefix(std::string prefix) {
@@ -43,7 +44,7 @@
         if (context_.stopped) co_return false;
         if (!page) {
             if (page.outcome == KvOutcome::Unknown)
-                spdlog::info("leader: loading waits for the state service");
+                spdlog::info("leader: no answer from the state service while loading; retrying");
             co_return false;
         }
         more = page.value.more && !page.value.items.empty();
@@ -52,7 +53,8 @@
             try {
                 load_item(prefix, item);
             } catch (const BadMessage& e) {
-                // Leading without a record could start a task twice: another try, never a guess.
+                // A leader that ignored the record could start a task twice, so loading fails and
+                // is retried.
                 spdlog::error("leader: malformed record {}: {}", item.key, e.what());
                 co_return false;
             }
@@ -61,23 +63,23 @@
     co_return true;
 }
 
-// Throws BadMessage.
+// Throws BadMessage if the record is malformed.
 void StateLoader::load_item(const std::string& prefix, const KvItem& item) {
     if (item.key == kRoundKey) {
         context_.state_log.load_note(item.key, item.version);
-        notes_.preemption_rounds = read::count(read::object(item.value), "number", 0);
+        metadata_.preemption_rounds = read::count(read::object(item.value), "number", 0);
     } else if (item.key == kTypesKey) {
         context_.state_log.load_note(item.key, item.version);
-        notes_.machine_types = boost::json::serialize(item.value);
+        metadata_.machine_types = boost::json::serialize(item.value);
         if (!context_.cluster.types_known)
-            context_.cluster.set_types(parse_machine_types(notes_.machine_types));
+            context_.cluster.set_types(parse_machine_types(metadata_.machine_types));
     } else if (item.key == kLogKey) {
         context_.state_log.load_head(item);
     } else if (prefix == kSegmentPrefix) {
         context_.state_log.load_segment(item, steady_now());
-        ++segments_;
-    } else if (prefix == kJobPrefix) {
-        throw BadMessage("of a version that kept a key for each job; see docs/operations.md");
+        ++segment_count_;
+    } else if (prefix == kLegacyJobPrefix) {
+        throw BadMessage("record of a version that stored one key per job; see docs/operations.md");
     }
 }
 
--- a/src/controller/state_log_writer.cpp
+++ b/src/controller/state_log_writer.cpp
@@ -13,61 +13,64 @@
 namespace {
 
 constexpr double kCallTimeout_s = 1.0;
-constexpr double kFlushPause_s = 0.04;  // changes gather between two transactions
-// A share of the rate is left to renewals of the lease and to what other controllers ask for.
-constexpr double kWriteShare = 0.9;
+constexpr double kMinFlushInterval_s = 0.04;  // changes are batched in the meantime
+// Share of the write rate. The rest is left to lease renewals and to requests of other controllers.
+constexpr double kWriteRateShare = 0.9;
 constexpr double kWriteBurst_s = 0.8;
-// The end of a job takes up to three changes (a final state, the open segment and one more); less
-// than that is left to users alone.
-constexpr double kMinChanges = 3;
-constexpr double kMinUrgentChanges = 1;
-// Between two copies of a transaction without an answer, and after one that was not executed.
-constexpr double kFirstPause_s = 0.1;
-constexpr double kMaxPause_s = 1.0;
-constexpr double kPauseGrowth = 1.7;
-constexpr double kMinRetryPause_s = 0.2;
-constexpr double kMaxRetryPause_s = 0.5;
+// The end of a job takes up to three changes (a final state, the open segment and one more). With
+// less budget than that, a transaction is sent only if a user waits for it.
+constexpr double kMinBatchChanges = 3;
+constexpr double kMinUrgentBatchChanges = 1;
+// Exponential backoff between two copies of a transaction that was not answered.
+constexpr double kInitialBackoff_s = 0.1;
+constexpr double kMaxBackoff_s = 1.0;
+constexpr double kBackoffFactor = 1.7;
+// Random delay after a transaction that was not executed.
+constexpr double kMinRetryDelay_s = 0.2;
+constexpr double kMaxRetryDelay_s = 0.5;
 
 double uniform(std::mt19937_64& random, double from, double to) {
     return std::uniform_real_distribution<double>(from, to)(random);
 }
 
-// The condition on the leadership is among those that failed.
-bool names_leader(const std::vector<std::string>& failed) {
+// Returns whether the condition on the leadership is among those that failed.
+bool leadership_condition_failed(const std::vector<std::string>& failed) {
     return std::ranges::find(failed, kLeaderKey) != failed.end();
 }
 
-// Where an earlier copy had no answer, this result of a later one does not say whether the
-// transaction was applied: its own keys may be what it conflicts with.
-bool leaves_open(const KvResult<uint64_t>& result) {
+// Returns whether this result of a repeated transaction leaves open if an earlier, unanswered copy
+// was applied. A conflict does, because the copy may conflict with what the earlier one wrote.
+bool is_inconclusive(const KvResult<uint64_t>& result) {
     switch (result.outcome) {
         case KvOutcome::Unknown:
         case KvOutcome::Refused:
         case KvOutcome::Invalid:
             return true;
         case KvOutcome::Conflict:
-            return !names_leader(result.failed);
+            return !leadership_condition_failed(result.failed);
         default:
             return false;
     }
 }
 
-// The change whose key says whether the transaction was applied: a write, if there is one.
+// Returns the change whose key shows whether the transaction was applied: the first write or, if
+// there is none, the first deletion.
 const auto& deciding_change(const CasTransaction& txn) {
     auto write =
         std::ranges::find_if(txn.changes, [](auto& change) { return !change.value.empty(); });
     return write == txn.changes.end() ? txn.changes.front() : *write;
 }
 
-// What the deciding key of a transaction without an answer says.
+// State of the deciding key of a transaction that was not answered.
 struct KeyState {
-    bool known = false;    // it could be read
-    bool applied = false;  // the transaction was
-    uint64_t version = 0;  // of the key, where it is there
+    bool known = false;    // the key could be read
+    bool applied = false;  // the transaction was applied
+    uint64_t version = 0;  // version of the key; 0: it does not exist
 };
 
-// The key decides, as nobody else may write it, or delete it.
-KeyState was_applied(const CasTransaction& txn, const KvResult<KvItem>& item) {
+// Interprets the read of the deciding key. The key is conclusive because only the leader writes or
+// deletes it.
+KeyState read_key_state(const CasTransaction& txn, const KvResult<KvItem>& item) {
     auto& change = deciding_change(txn);
     bool deletes = change.value.empty();
     if (!item) return {item.outcome == KvOutcome::Missing, deletes, 0};
@@ -83,14 +86,14 @@
 
 StateLogWriter::StateLogWriter(LeaderContext& context, UserRequests& users,
                                PendingAdoption& adoption, JobAdmission& admission,
-                               JobCallbacks jobs, std::function<void()> on_committed)
+                               JobCallbacks callbacks, std::function<void()> on_committed)
     : context_(context),
       users_(users),
       adoption_(adoption),
       admission_(admission),
-      jobs_(std::move(jobs)),
+      callbacks_(std::move(callbacks)),
       on_committed_(std::move(on_committed)),
-      rate_(context.settings.state_write_rps * kWriteShare, kWriteBurst_s) {}
+      rate_(context.settings.state_write_rps * kWriteRateShare, kWriteBurst_s) {}
 
 bool StateLogWriter::kv_unavailable() const {
     double renewed_at = context_.term->lease_valid_until - context_.properties.election_lease_s;
@@ -100,11 +103,11 @@
 // ---- transactions ----
 
 void StateLogWriter::flush() {
-    if (in_flight_ || context_.now < not_before_ || !context_.lease_valid() ||
+    if (in_flight_ || context_.now < flush_not_before_ || !context_.lease_valid() ||
         !context_.state_log.waiting())
         return;
     double budget = rate_.available(context_.now);
-    if (budget < (context_.state_log.urgent() ? kMinUrgentChanges : kMinChanges)) return;
+    if (budget < (context_.state_log.urgent() ? kMinUrgentBatchChanges : kMinBatchChanges)) return;
     auto batch = context_.state_log.next(static_cast<int>(budget));
     if (batch.empty()) return;
     rate_.take(static_cast<double>(batch.txn.changes.size()));
@@ -118,24 +121,24 @@
         if (entry.kind == EntryKind::Finish) context_.cluster.jobs[entry.job]->end_sent = sent;
 }
 
-// One transaction at a time, until its outcome is known.
+// Repeats the transaction until its outcome is known, and then posts the outcome.
 asio::awaitable<void> StateLogWriter::commit(std::shared_ptr<void> keep_alive,
                                              StateLogBatch batch) {
     (void)keep_alive;
-    bool copy_unanswered = false;  // a copy of it may have been applied, or may be later
-    double pause_s = kFirstPause_s;
+    bool any_copy_unanswered = false;  // that copy may be applied, now or later
+    double backoff_s = kInitialBackoff_s;
     while (!context_.stopped) {
         auto result = co_await context_.kv.txn(batch.txn, kCallTimeout_s);
         if (context_.stopped) co_return;
         bool unanswered = result.outcome == KvOutcome::Unknown ||
-                          (copy_unanswered && result.outcome == KvOutcome::Refused);
-        if (unanswered && !copy_unanswered) context_.post(TransactionOutcomeUnknown{});
-        copy_unanswered = copy_unanswered || unanswered;
+                          (any_copy_unanswered && result.outcome == KvOutcome::Refused);
+        if (unanswered && !any_copy_unanswered) context_.post(TransactionOutcomeUnknown{});
+        any_copy_unanswered = any_copy_unanswered || unanswered;
         auto reconciled = Reconciliation::Decided;
-        if (copy_unanswered && leaves_open(result)) {
-            // The keys are read after each copy without an answer, not only after a refused one:
-            // where no copy is answered, the first may have been applied long ago, and standby
-            // controllers report it to users.
+        if (any_copy_unanswered && is_inconclusive(result)) {
+            // The key is read after each inconclusive copy, also if the copy was not answered. If
+            // no copy is ever answered, the first may have been applied long ago, and standby
+            // controllers already report its effects to users.
             auto item = co_await context_.kv.get(deciding_change(batch.txn).key, kCallTimeout_s);
             if (context_.stopped) co_return;
             reconciled = reconcile(batch.txn, item, result);
@@ -145,17 +148,17 @@
             context_.post(TransactionFinished{std::move(batch), std::move(result)});
             co_return;
         }
-        co_await sleep_s(pause_s * uniform(context_.random, 0.7, 1.3));
-        pause_s = std::min(kMaxPause_s, pause_s * kPauseGrowth);
+        co_await sleep_s(backoff_s * uniform(context_.random, 0.7, 1.3));
+        backoff_s = std::min(kMaxBackoff_s, backoff_s * kBackoffFactor);
     }
 }
 
-// Replaces `result`, that of the last copy, by the outcome of all copies so far. `item`: as the
-// deciding key was read after that.
+// Replaces `result`, the result of the last copy, by the outcome of all copies so far. `item`: the
+// deciding key as it was read after the last copy.
 StateLogWriter::Reconciliation StateLogWriter::reconcile(const CasTransaction& txn,
                                                          const KvResult<KvItem>& item,
                                                          KvResult<uint64_t>& result) {
-    auto keys = was_applied(txn, item);
+    auto keys = read_key_state(txn, item);
     bool answered = result.outcome != KvOutcome::Unknown && result.outcome != KvOutcome::Refused;
     if (!keys.known || (!answered && !keys.applied)) return Reconciliation::Repeat;
     if (keys.applied) {
@@ -165,10 +168,12 @@
         return Reconciliation::Decided;
     }
     if (result.outcome != KvOutcome::Invalid) return Reconciliation::Decided;
-    // The limits fell between two copies: this one was not executed, but the earlier one may still
-    // be. Taken for not executed, its entries would be recorded again by another transaction, and
-    // it would put older ones behind them. A later leader's fencing token makes it void.
-    spdlog::error("state: no answer, then refused as malformed: starting over");
+    // The store's limits were lowered between two copies: this copy was not executed, but an
+    // earlier one may still be. If its entries were recorded again by another transaction, the
+    // late copy could append the older entries after the newer ones. Ending the term prevents that:
+    // the fencing token of the next leader makes the conditions of the late copy fail.
+    spdlog::error(
+        "state: transaction rejected as invalid after an unanswered copy; ending the term");
     context_.term->ended = true;
     return Reconciliation::Abandoned;
 }
@@ -180,12 +185,12 @@
     users_.outcome_unknown();
 }
 
-void StateLogWriter::finished(TransactionFinished& transaction) {
+void StateLogWriter::transaction_finished(TransactionFinished& transaction) {
     in_flight_ = false;
     auto& result = transaction.result;
     if (result.outcome == KvOutcome::Ok) return committed(transaction);
-    if (names_leader(result.failed)) {
-        spdlog::info("leader: deposed, a transaction found another leader");
+    if (leadership_condition_failed(result.failed)) {
+        spdlog::info("leader: leadership lost, a transaction found another leader");
         context_.term->ended = true;
         return;
     }
@@ -195,9 +200,10 @@
 
 void StateLogWriter::committed(const TransactionFinished& transaction) {
     kv_succeeded_at_ = context_.now;
-    // What one transaction could not take of a burst of submissions goes with the next at once.
+    // During a burst of submissions that do not fit into one transaction, the next one is sent
+    // without delay.
     bool burst = context_.state_log.submissions() >= static_cast<size_t>(context_.settings.txn_ops);
-    not_before_ = context_.now + (burst ? 0 : kFlushPause_s);
+    flush_not_before_ = context_.now + (burst ? 0 : kMinFlushInterval_s);
     context_.metrics.count("transactions_total");
     context_.state_log.committed(transaction.batch, transaction.result.value);
     for (auto& entry : transaction.batch.entries) {
@@ -230,20 +236,21 @@
                   context_.cluster.dependencies().of(entry.job).size());
     context_.scheduling_needed = true;
     if (!job.cancelled) return;
-    jobs_.check_job(entry.job);
-    jobs_.check_cancelled(context_.cluster.dependencies().of(entry.job));
+    callbacks_.check_job(entry.job);
+    callbacks_.check_cancelled(context_.cluster.dependencies().of(entry.job));
 }
 
 void StateLogWriter::cancellation_recorded(const StateLogEntry& entry) {
     auto& job = *context_.cluster.jobs[entry.job];
-    // Before the user is answered: from then on the dependants are cancelled too.
+    // Dependants are cancelled before the user is answered, so that the answer covers them.
     for (auto dependant : context_.cluster.cancel_dependants(entry.job))
         if (context_.cluster.jobs[dependant]->version != 0)
-            context_.state_log.cancel(dependant);  // a new one's record says so itself
+            context_.state_log.cancel(
+                dependant);  // the record of a new job includes the cancellation
     spdlog::debug("job: {} cancellation recorded, {} tasks placed", job.spec.id, job.placed);
     users_.cancellation_recorded(job);
-    jobs_.check_job(entry.job);
-    jobs_.check_cancelled(context_.cluster.dependencies().of(entry.job));
+    callbacks_.check_job(entry.job);
+    callbacks_.check_cancelled(context_.cluster.dependencies().of(entry.job));
 }
 
 void StateLogWriter::end_recorded(const StateLogEntry& entry) {
@@ -257,28 +264,29 @@
         auto& job = *context_.cluster.jobs[dependant];
         if (!job.waits && !job.cancelled) spdlog::debug("job: {} ready", job.spec.id);
     }
-    jobs_.check_cancelled(dependencies);
+    callbacks_.check_cancelled(dependencies);
     spdlog::debug("job: {} {}", id, entry.ended.state == JobState::Done ? "done" : "cancelled");
 }
 
-// Only a job that has ended already may stand in the way, or one that a standby controller has
-// accepted, or cancelled, meanwhile.
+// A conflict is expected only at the keys of a job that has already ended, or that a standby
+// controller has accepted or cancelled meanwhile. Any other conflict ends the term.
 void StateLogWriter::conflicted(TransactionFinished& transaction) {
     auto& failed = transaction.result.failed;
     std::vector<RetriedJob> retried;
     for (auto& entry : transaction.batch.entries) {
         if (entry.kind == EntryKind::Forget && std::erase(failed, entry.key) > 0) {
-            // Changed by a standby controller, or gone: what it is now comes with the watch.
+            // The record was changed by a standby controller or deleted; the watch reports its
+            // current state.
             adoption_.deletion_finished(entry);
             entry.key.clear();
         }
-        if (entry.kind == EntryKind::NewJob && submission_conflicted(entry, failed)) {
+        if (entry.kind == EntryKind::NewJob && resolve_submission_conflict(entry, failed)) {
             auto& id = context_.cluster.jobs[entry.job]->spec.id;
             retried.push_back({entry.job, adoption_.adopted_version(id)});
         }
     }
     if (!failed.empty()) {
-        spdlog::error("leader: records differ from the tables at {}: starting over",
+        spdlog::error("leader: stored record {} differs from the cluster state; ending the term",
                       failed.front());
         context_.term->ended = true;
         return;
@@ -286,8 +294,8 @@
     reject(transaction.batch, retried);
 }
 
-bool StateLogWriter::submission_conflicted(const StateLogEntry& entry,
-                                           std::vector<std::string>& failed) {
+bool StateLogWriter::resolve_submission_conflict(const StateLogEntry& entry,
+                                                 std::vector<std::string>& failed) {
     std::string id = context_.cluster.jobs[entry.job]->spec.id;
     bool has_ended = std::erase(failed, final_key(id)) > 0;
     bool is_pending = std::erase(failed, pending_key(id)) > 0;
@@ -302,7 +310,7 @@
     return false;
 }
 
-// Users are answered at once; all the rest is tried again.
+// Users are told at once to repeat their requests; all other entries are queued again.
 void StateLogWriter::not_executed(TransactionFinished& transaction) {
     kv_failed_at_ = context_.now;
     for (auto& entry : transaction.batch.entries) {
@@ -313,15 +321,15 @@
         admission_.drop(entry.job);
         adoption_.adoption_finished(id, false);
     }
-    // Malformed, as it is well-formed: larger than the key-value store takes. The same text would
-    // be refused for ever, and with it all that waits to be recorded.
+    // The transaction is well-formed, so the key-value store rejected it for its size. Repeating it
+    // unchanged would block all records that wait to be written.
     if (transaction.result.outcome == KvOutcome::Invalid && context_.state_log.shrink())
-        spdlog::error("state: a transaction was refused as malformed, the next ones are smaller");
+        spdlog::error("state: transaction rejected as invalid; reducing the transaction size");
     if (transaction.result.too_fast)
         rate_.too_fast();
     else
         rate_.drain();
-    not_before_ = context_.now + uniform(context_.random, kMinRetryPause_s, kMaxRetryPause_s);
+    flush_not_before_ = context_.now + uniform(context_.random, kMinRetryDelay_s, kMaxRetryDelay_s);
     reject(transaction.batch, {});
 }
 
--- a/src/controller/state_log_writer.h
+++ b/src/controller/state_log_writer.h
@@ -1,8 +1,9 @@
-// Writes the state log to the key-value store, one transaction at a time, and applies the outcomes.
+// Writes the state log to the key-value store, one transaction at a time, and applies the outcomes
+// to the cluster state.
 //
-// A transaction is repeated until its outcome is known (docs/design.md has the argument why late or
-// repeated copies do nothing). Whether one without an answer was applied is found out by reading
-// its keys: reconciliation.
+// A transaction is repeated until its outcome is known; docs/design.md explains why late or
+// repeated copies have no effect. If a transaction was not answered, reconciliation reads one of
+// its keys to find out whether it was applied.
 #pragma once
 #include <boost/asio/awaitable.hpp>
 #include <cstdint>
@@ -19,35 +20,38 @@
 
 namespace weirmill {
 
-// Used on the leader's executor only.
+// Sends the transactions of one leadership term. Used on the leader's executor only.
 class StateLogWriter {
   public:
-    // `on_committed` is called once all that waited for a transaction was brought up to date.
+    // The references must outlive this object. `on_committed` is called after the cluster state and
+    // all waiting users were updated for a committed transaction.
     StateLogWriter(LeaderContext& context, UserRequests& users, PendingAdoption& adoption,
-                   JobAdmission& admission, JobCallbacks jobs, std::function<void()> on_committed);
+                   JobAdmission& admission, JobCallbacks callbacks,
+                   std::function<void()> on_committed);
 
     // Starts the next transaction if one is due.
     void flush();
-    // Outcomes of what `flush` started.
-    void finished(TransactionFinished& transaction);
+    // Handles the outcome of the transaction that `flush` started.
+    void transaction_finished(TransactionFinished& transaction);
+    // Handles a transaction that was not answered; it is still being repeated.
     void outcome_unknown();
 
-    // Records are under way, or wait to be written.
+    // Returns whether a transaction is in flight or records wait to be written.
     [[nodiscard]] bool busy() const { return in_flight_ || context_.state_log.waiting(); }
-    // The last call to the key-value store failed: neither a transaction nor a renewal of the lease
-    // has succeeded since.
+    // Returns whether a transaction has failed and no transaction or lease renewal has succeeded
+    // since.
     [[nodiscard]] bool kv_unavailable() const;
 
   private:
     enum class Reconciliation : uint8_t {
-        Decided,   // the result stands
+        Decided,   // the result is the transaction's outcome
         Repeat,    // the outcome is still unknown
-        Abandoned  // the term is over
+        Abandoned  // the outcome can't be found out, and the term was ended
     };
-    // A job whose transaction conflicted, but not at its own keys.
+    // A new job whose transaction conflicted at keys of other jobs.
     struct RetriedJob {
         Index job = kNone;
-        uint64_t pending_version = 0;  // of its pending record; 0: it has none
+        uint64_t pending_version = 0;  // version of its pending record; 0: none
     };
 
     boost::asio::awaitable<void> commit(std::shared_ptr<void> keep_alive, StateLogBatch batch);
@@ -61,8 +65,10 @@
     void end_recorded(const StateLogEntry& entry);
 
     void conflicted(TransactionFinished& transaction);
-    // Whether the entry may be recorded by another transaction.
-    bool submission_conflicted(const StateLogEntry& entry, std::vector<std::string>& failed);
+    // Removes the job's own keys from `failed`. If one of them is there, drops the job, answers its
+    // users from its final state and returns false. Otherwise returns true: the job is to be
+    // recorded by another transaction.
+    bool resolve_submission_conflict(const StateLogEntry& entry, std::vector<std::string>& failed);
     void not_executed(TransactionFinished& transaction);
     void reject(const StateLogBatch& batch, const std::vector<RetriedJob>& retried);
 
@@ -70,12 +76,12 @@
     UserRequests& users_;
     PendingAdoption& adoption_;
     JobAdmission& admission_;
-    JobCallbacks jobs_;
+    JobCallbacks callbacks_;
     std::function<void()> on_committed_;
     RateLimiter rate_;
     bool in_flight_ = false;
-    // Steady clock, seconds.
-    double not_before_ = 0;
+    // Times of the steady clock in seconds.
+    double flush_not_before_ = 0;
     double kv_failed_at_ = -1e9;
     double kv_succeeded_at_ = 0;
 };
--- a/src/controller/user_requests.cpp
+++ b/src/controller/user_requests.cpp
@@ -14,11 +14,11 @@
 namespace {
 
 const PeerReply kNotFound{404, "{}"};
-const PeerReply kNeverRuns{422, R"({"error":"can never run"})"};
-const PeerReply kTooLong{400, R"({"error":"the job's description is too long"})"};
+const PeerReply kCannotRun{422, R"({"error":"can never run"})"};
+const PeerReply kDescriptionTooLong{400, R"({"error":"the job's description is too long"})"};
 
 constexpr double kReadTimeout_s = 0.8;
-// Submissions that wait to be recorded: what so many seconds of writes take, one for each.
+// Maximum queue of submissions that wait to be recorded, in seconds at one write per submission.
 constexpr double kMaxBacklog_s = 4;
 constexpr int kTypesUnknownRetry_s = 2;
 constexpr int kTooManyTasksRetry_s = 10;
@@ -57,13 +57,13 @@
     if (!context_.lease_valid()) return reply.set(undecided(context_));
     auto [spec, malformed] = parse(call);
     if (malformed && spec.id.empty()) return reply.set(std::move(*malformed));
-    if (answer_repeated(spec.id, call, reply)) return;
+    if (answer_duplicate(spec.id, call, reply)) return;
     if (malformed) return refuse_unless_ended(call, reply, spec.id, std::move(*malformed));
     if (!context_.cluster.types_known)
         return reply.set(retry_later(context_, kTypesUnknownRetry_s));
     if (context_.cluster.never_runs(spec))
-        return refuse_unless_ended(call, reply, spec.id, kNeverRuns);
-    if (answer_overload(spec, reply)) return;
+        return refuse_unless_ended(call, reply, spec.id, kCannotRun);
+    if (refuse_overload(spec, reply)) return;
     auto dependencies = resolve(spec, call, reply);
     if (dependencies) accept(std::move(spec), *dependencies, call, reply);
 }
@@ -75,14 +75,14 @@
     } catch (const BadMessage& e) {
         out.malformed =
             PeerReply{400, boost::json::serialize(boost::json::object{{"error", e.what()}})};
-        // What was accepted under that id is not refused for good, whatever its repetition holds.
+        // If a job was accepted under this id, a malformed repetition gets the answer of that job.
         out.spec.id = submission_id(call.body);
     }
     return out;
 }
 
-bool UserRequests::answer_repeated(const std::string& id, PeerCall& call, ReplyPromise& reply) {
-    // Accepted by a standby controller: from its record, never anew.
+bool UserRequests::answer_duplicate(const std::string& id, PeerCall& call, ReplyPromise& reply) {
+    // A job that a standby controller accepted is created from its pending record only.
     if (adoption_.has_record(id)) adoption_.adopt_due();
     if (auto* job = context_.cluster.find_job(id)) {
         if (is_recorded(*job))
@@ -102,9 +102,9 @@
     return true;
 }
 
-bool UserRequests::answer_overload(const JobSpec& spec, ReplyPromise& reply) const {
-    // The key-value store can't record it now, which is answered at once: a standby controller may
-    // reach the store.
+bool UserRequests::refuse_overload(const JobSpec& spec, ReplyPromise& reply) const {
+    // If the key-value store can't record the job now, the user is answered at once, because a
+    // standby controller may reach the store.
     if (kv_unavailable_()) {
         reply.set(undecided(context_));
         return true;
@@ -125,7 +125,7 @@
                                                           ReplyPromise& reply) {
     auto out = admission_.resolve(spec);
     if (out.invalid) {
-        refuse_unless_ended(call, reply, spec.id, kNeverRuns);
+        refuse_unless_ended(call, reply, spec.id, kCannotRun);
         return {};
     }
     if (out.undecided) {
@@ -145,9 +145,9 @@
     std::string id = spec.id;
     auto index = admission_.add(std::move(spec), dependencies, wall_now());
     if (!context_.state_log.can_hold(index)) {
-        // A version that recorded longer ones may have accepted it.
+        // An earlier version that recorded longer descriptions may have accepted the job.
         context_.cluster.remove_job(index, context_.now);
-        return refuse_unless_ended(call, reply, id, kTooLong);
+        return refuse_unless_ended(call, reply, id, kDescriptionTooLong);
     }
     waiters_[id].push_back({PeerOp::Submit, reply});
     context_.state_log.new_job(index);
@@ -156,11 +156,11 @@
 void UserRequests::dependencies_read(DependenciesRead& read) {
     if (!context_.lease_valid()) return read.reply.set(retry_later(context_));
     if (!read.missing.empty()) {
-        // What was read is as old as the read: the job may have come, or ended, meanwhile.
+        // The read may be outdated: the dependency may have been added or may have ended meanwhile.
         if (context_.cluster.find_job(read.missing) || final_states_.contains(read.missing))
             return read.reply.set(retry_later(context_));
         std::string id = read.call.subject;
-        return refuse_unless_ended(read.call, read.reply, id, kNeverRuns);
+        return refuse_unless_ended(read.call, read.reply, id, kCannotRun);
     }
     if (!read.all) return read.reply.set(retry_later(context_));
     submit(read.call, read.reply);
@@ -174,9 +174,10 @@
 
 // ---- status and cancellation ----
 
-// Nothing is answered before it is recorded, and nothing older than what may be recorded: standby
-// controllers answer from the records. One that reported an end from a transaction that this leader
-// had no answer for was once followed by "running" from here.
+// The leader reports a job's state only if it is recorded and no transaction that changes it is in
+// flight, because standby controllers answer from the records. Otherwise a standby controller could
+// report an end from a transaction whose answer the leader has not received, and the leader could
+// report the job as running after that.
 bool UserRequests::is_recorded(const Job& job) const {
     return job.version != 0 &&
            context_.cluster.state_confirmed(context_.cluster.job_index.at(job.spec.id));
@@ -186,16 +187,16 @@
     if (!valid_job_id(call.subject)) return reply.set(kNotFound);
     if (!context_.lease_valid()) return reply.set(undecided(context_));
     if (auto* job = context_.cluster.find_job(call.subject)) {
-        // What is on its way to be recorded may be answered by a standby controller, which reads
-        // the records: polls of a job whose cancellation was asked for, in a minute without answers
-        // to transactions, once all failed here.
+        // A standby controller reads the records and may answer while a transaction is in flight.
+        // Without that, all status queries of a job with a pending cancellation fail for as long as
+        // transactions are not answered.
         return reply.set(is_recorded(*job) ? job_reply(*job, PeerOp::Status, 200)
                                            : undecided(context_));
     }
     if (auto* ended = final_states_.find(call.subject))
         return reply.set(final_reply(call.subject, *ended, PeerOp::Status));
     if (adoption_.is_pending(call.subject))
-        return reply.set(retry_later(context_));  // soon adopted
+        return reply.set(retry_later(context_));  // the record is about to be adopted
     start_read(std::move(call), reply, kNotFound);
 }
 
@@ -212,7 +213,7 @@
     auto& job = *context_.cluster.jobs[it->second];
     if (job.cancel_recorded) return reply.set(job_reply(job, PeerOp::Cancel, 200));
     if (job.version == 0 || kv_unavailable_()) return reply.set(retry_later(context_));
-    // Answered once the cancellation, or the end that came before it, is recorded.
+    // The user is answered once the cancellation, or an end that precedes it, is recorded.
     waiters_[call.subject].push_back({PeerOp::Cancel, reply});
     if (job.cancelled || job.ending) return;
     admission_.request_cancellation(it->second);
@@ -241,10 +242,10 @@
     if (read.result) {
         auto ended = decode_final_state(read.result.value);
         if (!ended) return read.reply.set(retry_later(context_));
-        final_states_.remember(id, *ended);
+        final_states_.insert(id, *ended);
         return read.reply.set(final_reply(id, *ended, read.call.op));
     }
-    // What was read is as old as the read: the job may have come, or ended, meanwhile.
+    // The read may be outdated: the job may have been added or may have ended meanwhile.
     bool is_known = context_.cluster.find_job(id) || final_states_.contains(id);
     if (read.result.outcome == KvOutcome::Missing && !is_known)
         return read.reply.set(std::move(read.refusal));
@@ -269,7 +270,7 @@
 }
 
 void UserRequests::end_recorded(const std::string& id, const FinalState& state) {
-    final_states_.remember(id, state);
+    final_states_.insert(id, state);
     answer_waiters(id, final_reply(id, state, PeerOp::Cancel));
 }
 
--- a/src/controller/user_requests.h
+++ b/src/controller/user_requests.h
@@ -1,6 +1,6 @@
-// What users ask the leader for: to submit a job, to tell its state, to cancel it. Submissions and
-// cancellations are answered once they are recorded; a repeated submission has the answer of the
-// first.
+// User requests at the leader: submissions, status queries and cancellations of jobs. Submissions
+// and cancellations are answered once they are recorded. Submissions are idempotent: a repeated one
+// gets the answer of the existing job.
 #pragma once
 #include <boost/asio/awaitable.hpp>
 #include <functional>
@@ -17,7 +17,8 @@
 
 namespace weirmill {
 
-// Used on the leader's executor only.
+// Answers user requests from the cluster state and from final states. Used on the leader's executor
+// only.
 class UserRequests {
   public:
     // A request that waits until its outcome is recorded.
@@ -26,51 +27,57 @@
         ReplyPromise reply;
     };
 
-    // `kv_unavailable`: the key-value store can't record anything now.
+    // The references must outlive this object. `kv_unavailable` returns whether the key-value store
+    // can't record anything now.
     UserRequests(LeaderContext& context, FinalStateCache& final_states, JobAdmission& admission,
                  PendingAdoption& adoption, std::function<bool()> kv_unavailable);
 
+    // Each of these answers the request, now or later.
     void submit(PeerCall& call, ReplyPromise& reply);
     void status(PeerCall& call, ReplyPromise& reply);
     void cancel(PeerCall& call, ReplyPromise& reply);
 
-    // Outcomes of the reads that the requests above start.
+    // Handle the results of reads that the requests above have started.
     void final_state_read(FinalStateRead& read);
     void dependencies_read(DependenciesRead& read);
 
-    // Outcomes of state log transactions.
+    // Handle the outcomes of state log transactions.
     void submission_recorded(const Job& job);
     void cancellation_recorded(const Job& job);
     void end_recorded(const std::string& id, const FinalState& state);
-    // The submission or cancellation was not recorded: the user repeats it.
+    // Tells the users that wait for this job to repeat the request, because it was not recorded.
     void not_recorded(const std::string& id);
-    // A transaction had no answer. Users are not kept waiting for an outcome that may take long.
+    // Answers all waiting users after a transaction was not answered, because its outcome may stay
+    // unknown for long.
     void outcome_unknown();
-    // Those who wait for this job, who are then answered by `answer_from_final_state`.
+    // Removes and returns the requests that wait for this job. The caller passes them to
+    // `answer_from_final_state`.
     [[nodiscard]] std::vector<Waiter> take_waiters(const std::string& id);
     void answer_from_final_state(const std::string& id, const std::vector<Waiter>& waiters);
 
-    // The term is over: answers all who wait.
+    // Answers all waiting users at the end of the term.
     void stop();
 
   private:
-    // A submission as it was parsed.
+    // A parsed submission.
     struct Submission {
-        JobSpec spec;                        // the id alone, where it is malformed
-        std::optional<PeerReply> malformed;  // the answer, unless its id was accepted before
+        JobSpec spec;                        // only the id is set if the submission is malformed
+        std::optional<PeerReply> malformed;  // the reply, unless the id was accepted before
     };
     Submission parse(const PeerCall& call) const;
-    // Whether the submission was answered, or will be, by what is known of its id.
-    bool answer_repeated(const std::string& id, PeerCall& call, ReplyPromise& reply);
-    // Whether there is room for one more.
-    bool answer_overload(const JobSpec& spec, ReplyPromise& reply) const;
-    // Nothing: the submission is answered, now or later.
+    // Answers a submission whose id is already known. Returns false if the id is not known.
+    bool answer_duplicate(const std::string& id, PeerCall& call, ReplyPromise& reply);
+    // Refuses the submission if no further job can be recorded or held now. Returns whether it was
+    // refused.
+    bool refuse_overload(const JobSpec& spec, ReplyPromise& reply) const;
+    // Resolves the dependencies. Returns nothing if the submission was answered or will be answered
+    // after final states were read.
     std::optional<DependencyResolution> resolve(const JobSpec& spec, PeerCall& call,
                                                 ReplyPromise& reply);
     void accept(JobSpec spec, const DependencyResolution& dependencies, PeerCall& call,
                 ReplyPromise& reply);
-    // The job may have been accepted when more was on offer, and have ended: then its final state
-    // is the answer.
+    // Sends the refusal unless the job has a final state, which is the answer then: the job may
+    // have been accepted earlier under other limits and may have ended.
     void refuse_unless_ended(PeerCall& call, ReplyPromise& reply, const std::string& id,
                              PeerReply refusal);
     void start_read(PeerCall call, const ReplyPromise& reply, PeerReply refusal);
