--- a/src/controller/pending_adoption.cpp
+++ b/src/controller/pending_adoption.cpp
@@ -80,7 +80,7 @@
     try {
         entries_[id] = {item.version, parse_pending_record(item.value)};
     } catch (const BadMessage& e) {
-        // The record stays in the store, and its user is answered to retry, which is always safe.
+        // The record stays in the store, and its user is told to retry, which is always safe.
         spdlog::error("leader: malformed record {}: {}", item.key, e.what());
     }
 }
@@ -105,7 +105,7 @@
 }
 
 // A record whose deletion is queued does not count: the state log or a final state has replaced it.
-// If it counted, users of an ended job would be answered to retry until the record is deleted,
+// If it counted, users of an ended job would be told to retry until the record is deleted,
 // which takes minutes under high load.
 bool PendingAdoption::is_pending(const std::string& id) const {
     auto it = entries_.find(id);
--- a/src/controller/request_router.h
+++ b/src/controller/request_router.h
@@ -39,28 +39,35 @@
     HttpReply metrics_page() const;
     boost::asio::awaitable<HttpReply> handle_heartbeat(HttpRequest request);
     boost::asio::awaitable<PeerReply> handle_peer_call(PeerCall call);
+    // Calls the leader, through a peer if this controller can't reach it.
     boost::asio::awaitable<PeerReply> call_leader(PeerCall call);
+    // Calls the peer with this name. Status 503 with `undecided` set: the peer did not answer.
     boost::asio::awaitable<PeerReply> call_peer(std::string name, PeerCall call);
     // Returns whether the peer answered with status 200.
     boost::asio::awaitable<bool> forward_to_peer(std::string name, PeerCall call);
     // Returns the peer through which the call may reach the leader, if this controller can't reach
     // it. Nothing: there is no such peer, or the call has already been relayed.
     std::optional<std::string> find_relay(const PeerCall& call) const;
+    // Sends the commands to a worker on behalf of the leader, directly or through another peer.
     boost::asio::awaitable<PeerReply> relay_command(PeerCall call);
     void set_up_membership();
-    // Returns whether less than half of the known workers reach the leader directly. Workers that
+    // Returns whether fewer than half of the known workers reach the leader directly. Workers that
     // contact this controller are then relayed and not redirected.
     bool leader_uplink_lost() const;
+    // Calls the leader and stores the reply in `result`.
     boost::asio::awaitable<void> forward_to_leader(PeerCall call, OneShot<PeerReply> result);
     boost::asio::awaitable<std::optional<PeerReply>> await_leader_reply(
         OneShot<PeerReply> forwarded, double started, double max_wait_s);
-    // Serves a user request by the leader or, if no leader answers, by this node's standby service.
+    // Serves a user request through the leader or, if no leader answers, by this node's standby
+    // service.
     boost::asio::awaitable<PeerReply> serve_user_request(PeerCall call);
     boost::asio::awaitable<void> ping_loop();
     // Pings the peer and returns whether it reports that it leads.
     boost::asio::awaitable<bool> ping_peer(std::string name);
     PeerReply ping_reply() const;
+    // Returns the result of the health check.
     bool is_healthy() const;
+    // Null: there is no controller with this name, or no known leader.
     PeerClient* peer_client(const std::string& name);
     PeerClient* leader_client();
 
--- a/src/controller/request_router_heartbeats.cpp
+++ b/src/controller/request_router_heartbeats.cpp
@@ -24,15 +24,15 @@
         auto reply = co_await leader->ask(std::move(call));
         co_return HttpReply{reply.status, std::move(reply.body)};
     }
-    HeartbeatHeader head;
+    HeartbeatHeader header;
     try {
-        head = parse_heartbeat_header(request.body);
+        header = parse_heartbeat_header(request.body);
     } catch (const BadMessage& e) {
         spdlog::error("worker: malformed heartbeat from {} rejected: {}", request.from, e.what());
         co_return HttpReply{400, "{}"};
     }
     double now = steady_now();
-    bool relay = roster_.should_relay(head.machine, head.fencing_token,
+    bool relay = roster_.should_relay(header.machine, header.fencing_token,
                                       leader_knowledge_->fencing_token(), now);
     if (!leader_client()) co_return HttpReply{421, redirect_answer("")};
     relay = relay || leader_uplink_lost();
@@ -41,9 +41,9 @@
         auto reply = co_await call_leader(std::move(call));
         // A worker ignores the response of a leader that is older than the one it knows. If such
         // responses were relayed, the worker would stay here until its lease expires.
-        if (reply.status == 200 && reply.fencing_token >= head.fencing_token)
+        if (reply.status == 200 && reply.fencing_token >= header.fencing_token)
             co_return HttpReply{200, std::move(reply.body)};
-        roster_.end_relay(head.machine);
+        roster_.end_relay(header.machine);
         co_return HttpReply{421, redirect_answer("")};
     }
     co_return HttpReply{421, redirect_answer(leader_knowledge_->name())};
--- a/src/controller/state_loader.cpp
+++ b/src/controller/state_loader.cpp
@@ -20,7 +20,8 @@
 
 }  // namespace
 
-// Reads the single records first, including the head of the log, and then the log's segments.
+// Reads the records with fixed keys first, including the head of the log, and then the log's
+// segments.
 asio::awaitable<std::optional<LoadedMetadata>> StateLoader::load() {
     context_.cluster.clear_work();
     context_.state_log.clear();
--- a/src/controller/state_log_writer.cpp
+++ b/src/controller/state_log_writer.cpp
@@ -68,9 +68,9 @@
     uint64_t version = 0;  // version of the key; 0: it does not exist
 };
 
-// Interprets the read of the deciding key. The key is conclusive because only the leader writes or
-// deletes it.
-KeyState read_key_state(const CasTransaction& txn, const KvResult<KvItem>& item) {
+// Interprets the read of the deciding key. The key is conclusive because no other controller may
+// write or delete it.
+KeyState deciding_key_state(const CasTransaction& txn, const KvResult<KvItem>& item) {
     auto& change = deciding_change(txn);
     bool deletes = change.value.empty();
     if (!item) return {item.outcome == KvOutcome::Missing, deletes, 0};
@@ -111,12 +111,12 @@
     auto batch = context_.state_log.next(static_cast<int>(budget));
     if (batch.empty()) return;
     rate_.take(static_cast<double>(batch.txn.changes.size()));
-    mark_ends(batch, true);
+    set_end_sent(batch, true);
     in_flight_ = true;
     asio::co_spawn(context_.io, commit(context_.keep_alive(), std::move(batch)), asio::detached);
 }
 
-void StateLogWriter::mark_ends(const StateLogBatch& batch, bool sent) {
+void StateLogWriter::set_end_sent(const StateLogBatch& batch, bool sent) {
     for (auto& entry : batch.entries)
         if (entry.kind == EntryKind::Finish) context_.cluster.jobs[entry.job]->end_sent = sent;
 }
@@ -158,12 +158,12 @@
 StateLogWriter::Reconciliation StateLogWriter::reconcile(const CasTransaction& txn,
                                                          const KvResult<KvItem>& item,
                                                          KvResult<uint64_t>& result) {
-    auto keys = read_key_state(txn, item);
+    auto key_state = deciding_key_state(txn, item);
     bool answered = result.outcome != KvOutcome::Unknown && result.outcome != KvOutcome::Refused;
-    if (!keys.known || (!answered && !keys.applied)) return Reconciliation::Repeat;
-    if (keys.applied) {
+    if (!key_state.known || (!answered && !key_state.applied)) return Reconciliation::Repeat;
+    if (key_state.applied) {
         result.outcome = KvOutcome::Ok;
-        result.value = keys.version;
+        result.value = key_state.version;
         result.failed.clear();
         return Reconciliation::Decided;
     }
@@ -334,7 +334,7 @@
 }
 
 void StateLogWriter::reject(const StateLogBatch& batch, const std::vector<RetriedJob>& retried) {
-    mark_ends(batch, false);
+    set_end_sent(batch, false);
     context_.state_log.rejected(batch);
     for (auto& job : retried) context_.state_log.new_job(job.job, job.pending_version);
 }
--- a/src/controller/state_log_writer.h
+++ b/src/controller/state_log_writer.h
@@ -57,7 +57,7 @@
     boost::asio::awaitable<void> commit(std::shared_ptr<void> keep_alive, StateLogBatch batch);
     Reconciliation reconcile(const CasTransaction& txn, const KvResult<KvItem>& item,
                              KvResult<uint64_t>& result);
-    void mark_ends(const StateLogBatch& batch, bool sent);
+    void set_end_sent(const StateLogBatch& batch, bool sent);
 
     void committed(const TransactionFinished& transaction);
     void new_job_recorded(const StateLogEntry& entry);
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,4 +1,5 @@
-// Limits at 4,000 machines that all report within the same second; see docs/limits.md.
+// Capacity limits with 4000 machines that all send a heartbeat within the same second; see
+// docs/limits.md.
 #include <gtest/gtest.h>
 
 #include <boost/asio.hpp>
@@ -17,29 +18,30 @@
 namespace {
 
 constexpr int kMachines = 4000;
-constexpr size_t kReportBytes = 1000;
-constexpr double kPatienceOfWorker_s = 4;  // Settings::worker_patience_s
+constexpr size_t kHeartbeatBytes = 1000;
+constexpr double kWorkerReplyTimeout_s = 4;  // the default worker timeout in Settings
 
-bool turn_until(asio::io_context& io, const std::function<bool()>& condition, double patience_s) {
-    for (double end = steady_now() + patience_s; steady_now() < end;) {
+// Runs the io_context until the condition holds. Returns false after `timeout_s` seconds.
+bool run_until(asio::io_context& io, const std::function<bool()>& condition, double timeout_s) {
+    for (double end = steady_now() + timeout_s; steady_now() < end;) {
         if (condition()) return true;
         io.run_one_for(std::chrono::milliseconds(10));
     }
     return condition();
 }
 
-// Answers of a burst, by status; 0: none came.
-struct Burst {
-    int over = 0;
+// Counts the replies to a burst of requests by status; 0: there was no reply.
+struct BurstReplies {
+    int completed = 0;
     std::map<int, int> statuses;
     void count(int status) {
-        ++over;
+        ++completed;
         ++statuses[status];
     }
 };
 
-// As a worker sends it whose last answer came from the leader with this token.
-std::string report_of(int machine, uint64_t fencing_token) {
+// Returns the heartbeat of a worker that last heard from the leader with this fencing token.
+std::string heartbeat_json(int machine, uint64_t fencing_token) {
     json::object report{{"millstone", "machine-" + std::to_string(machine)},
                         {"addr", "127.0.0.1:1"},
                         {"rig", "std"},
@@ -53,36 +55,36 @@
     return json::serialize(report);
 }
 
-asio::awaitable<void> relay_report(PeerClient& link, Burst& burst) {
-    PeerCall call{PeerOp::Heartbeat, "machine", std::string(kReportBytes, 'r')};
+asio::awaitable<void> relay_heartbeat(PeerClient& link, BurstReplies& burst) {
+    PeerCall call{PeerOp::Heartbeat, "machine", std::string(kHeartbeatBytes, 'r')};
     auto reply = co_await link.call(std::move(call), 5);
     burst.count(reply ? reply->status : 0);
 }
 
-asio::awaitable<void> send_report(asio::io_context& io, Endpoint to, std::string body,
-                                  Burst& burst) {
+asio::awaitable<void> send_heartbeat(asio::io_context& io, Endpoint to, std::string body,
+                                     BurstReplies& burst) {
     HttpClient client(io, to, 1024 * 1024);
     auto answer = co_await client.request("POST", std::string(paths::kReport), std::move(body),
-                                          kPatienceOfWorker_s);
+                                          kWorkerReplyTimeout_s);
     burst.count(answer ? answer->status : 0);
 }
 
-const std::map<int, int> kAllTaken{{200, kMachines}};
+const std::map<int, int> kAllAccepted{{200, kMachines}};
 
-TEST(Limits, AFollowerRelaysReportsOfFourThousandMachinesAtOnce) {
+TEST(PeerLink, CarriesHeartbeatsOf4000MachinesAtOnce) {
     asio::io_context io{1};
     PeerServer server(io, {"127.0.0.1", 0}, [](PeerCall) -> asio::awaitable<PeerReply> {
         co_return PeerReply{200, std::string(200, 'a')};
     });
     PeerClient link(io, {"127.0.0.1", server.port()});
-    Burst burst;
+    BurstReplies burst;
     for (int i = 0; i < kMachines; ++i)
-        asio::co_spawn(io, relay_report(link, burst), asio::detached);
-    ASSERT_TRUE(turn_until(io, [&] { return burst.over == kMachines; }, 10));
-    EXPECT_EQ(burst.statuses, kAllTaken);
+        asio::co_spawn(io, relay_heartbeat(link, burst), asio::detached);
+    ASSERT_TRUE(run_until(io, [&] { return burst.completed == kMachines; }, 10));
+    EXPECT_EQ(burst.statuses, kAllAccepted);
 }
 
-TEST(Limits, ABurstOfCallsOpensOneLink) {
+TEST(PeerLink, OpensOneConnectionForBurstOfCalls) {
     asio::io_context io{1};
     asio::ip::tcp::acceptor acceptor(io, {asio::ip::make_address("127.0.0.1"), 0});
     std::vector<asio::ip::tcp::socket> accepted;
@@ -93,13 +95,13 @@
         },
         asio::detached);
     PeerClient link(io, {"127.0.0.1", acceptor.local_endpoint().port()});
-    Burst burst;
-    for (int i = 0; i < 400; ++i) asio::co_spawn(io, relay_report(link, burst), asio::detached);
-    turn_until(io, [] { return false; }, 0.5);
+    BurstReplies burst;
+    for (int i = 0; i < 400; ++i) asio::co_spawn(io, relay_heartbeat(link, burst), asio::detached);
+    run_until(io, [] { return false; }, 0.5);
     EXPECT_EQ(accepted.size(), 1u);
 }
 
-TEST(Limits, AnAnswerThatIsLateLeavesTheLinkUpWhileOthersAreAnswered) {
+TEST(PeerLink, CallTimeoutKeepsConnectionOfOtherCalls) {
     asio::io_context io{1};
     PeerServer server(io, {"127.0.0.1", 0}, [](PeerCall call) -> asio::awaitable<PeerReply> {
         if (call.op == PeerOp::Submit) co_await sleep_s(1);
@@ -108,23 +110,23 @@
     });
     PeerClient link(io, {"127.0.0.1", server.port()});
     std::optional<PeerReply> status;
-    bool over = false;
+    bool status_call_done = false;
     auto call = [&](PeerOp op, double timeout_s) -> asio::awaitable<void> {
-        PeerCall c{op, "", ""};
-        auto reply = co_await link.call(std::move(c), timeout_s);
+        PeerCall peer_call{op, "", ""};
+        auto reply = co_await link.call(std::move(peer_call), timeout_s);
         if (op != PeerOp::Status) co_return;
         status = reply;
-        over = true;
+        status_call_done = true;
     };
     asio::co_spawn(io, call(PeerOp::Submit, 0.4), asio::detached);
     asio::co_spawn(io, call(PeerOp::Status, 3), asio::detached);
     asio::co_spawn(io, call(PeerOp::Heartbeat, 3), asio::detached);
-    ASSERT_TRUE(turn_until(io, [&] { return over; }, 5));
+    ASSERT_TRUE(run_until(io, [&] { return status_call_done; }, 5));
     EXPECT_TRUE(status.has_value());
 }
 
-// As after an outage: all come within a second, each with a connection of its own.
-TEST(Limits, FourThousandMachinesConnectAtOnceWithFewerSocketsThanMachines) {
+// After an outage all machines connect within a second, each over a new connection.
+TEST(HttpServer, Serves4000MachinesOver400Connections) {
     constexpr int kConnections = 400;
     asio::io_context server_io{1}, io{1};
     HttpServer server(server_io, {"127.0.0.1", 0}, kConnections,
@@ -134,25 +136,25 @@
                           co_return reply;
                       });
     Endpoint at{"127.0.0.1", server.port()};
-    Burst burst;
+    BurstReplies burst;
     for (int i = 0; i < kMachines; ++i)
-        asio::co_spawn(io, send_report(io, at, std::string(kReportBytes, 'r'), burst),
+        asio::co_spawn(io, send_heartbeat(io, at, std::string(kHeartbeatBytes, 'r'), burst),
                        asio::detached);
-    for (double end = steady_now() + 9; burst.over < kMachines && steady_now() < end;) {
+    for (double end = steady_now() + 9; burst.completed < kMachines && steady_now() < end;) {
         server_io.poll();
         io.run_one_for(std::chrono::milliseconds(1));
     }
-    EXPECT_EQ(burst.statuses, kAllTaken);
+    EXPECT_EQ(burst.statuses, kAllAccepted);
 }
 
-// The leader's actor alone: all reports wait before it takes in the first.
-TEST(Limits, ANewLeaderHasRoomForReportsOfFourThousandMachines) {
+// Tests the mailbox of the leader: all heartbeats are queued before the first one is handled.
+TEST(Leader, QueuesHeartbeatsOf4000MachinesAtOnce) {
     asio::io_context io{1};
     auto settings = small_settings();
-    settings.heartbeat_interval_s = 60;  // nothing but this burst
-    fakes::State state_service(io);
+    settings.heartbeat_interval_s = 60;  // avoids further heartbeats during the burst
+    fakes::State key_value_store(io);
     fakes::Cloud cloud(io, settings);
-    settings.state = state_service.endpoint_for(0);
+    settings.state = key_value_store.endpoint_for(0);
     settings.cloud = cloud.at();
     Properties properties;
     Metrics metrics;
@@ -163,30 +165,29 @@
     term->lease_valid_until = steady_now() + 60;
     auto leader = std::make_shared<Leader>(io, settings, properties, state, metrics, term);
     leader->start();
-    ASSERT_TRUE(turn_until(io, [&] { return leader->ready(); }, 5));
-    Burst burst;
+    ASSERT_TRUE(run_until(io, [&] { return leader->ready(); }, 5));
+    BurstReplies burst;
     auto report = [&](int machine) -> asio::awaitable<void> {
-        PeerCall call{PeerOp::Heartbeat, "machine", report_of(machine, 0)};
+        PeerCall call{PeerOp::Heartbeat, "machine", heartbeat_json(machine, 0)};
         auto reply = co_await leader->ask(std::move(call));
         burst.count(reply.status);
     };
     for (int i = 0; i < kMachines; ++i) asio::co_spawn(io, report(i), asio::detached);
-    ASSERT_TRUE(turn_until(io, [&] { return burst.over == kMachines; }, 5));
-    EXPECT_EQ(burst.statuses, kAllTaken);
+    ASSERT_TRUE(run_until(io, [&] { return burst.completed == kMachines; }, 5));
+    EXPECT_EQ(burst.statuses, kAllAccepted);
     EXPECT_FALSE(term->ended);
     leader->stop();
-    turn_until(io, [] { return false; }, 0.3);
+    run_until(io, [] { return false; }, 0.3);
 }
 
-// Every machine reports to this controller within the same second, each over a connection of its
-// own.
-Burst report_all(Service& s, size_t node, uint64_t fencing_token) {
-    Burst burst;
+// Sends a heartbeat of every machine to this controller at once, each over a connection of its own.
+BurstReplies send_all_heartbeats(Service& s, size_t node, uint64_t fencing_token) {
+    BurstReplies burst;
     Endpoint at{"127.0.0.1", s.nodes[node]->api_port()};
     for (int i = 0; i < kMachines; ++i)
-        asio::co_spawn(s.io, send_report(s.io, at, report_of(i, fencing_token), burst),
+        asio::co_spawn(s.io, send_heartbeat(s.io, at, heartbeat_json(i, fencing_token), burst),
                        asio::detached);
-    for (double end = steady_now() + 8; burst.over < kMachines && steady_now() < end;) {
+    for (double end = steady_now() + 8; burst.completed < kMachines && steady_now() < end;) {
         for (size_t i = 0; i < s.node_io.size(); ++i)
             if (s.alive[i]) s.node_io[i]->poll();
         s.io.poll();
@@ -194,40 +195,42 @@
     return burst;
 }
 
-bool ready(Service& s) { return s.submit("req-1", "array", 1) == 201; }
+bool accepts_submission(Service& s) { return s.submit("req-1", "array", 1) == 201; }
 
-TEST(Limits, ANewLeaderAnswersFourThousandMachinesAtOnce) {
+TEST(RequestRouter, NewLeaderAnswers4000MachinesAtOnce) {
     Service s(2);
     ASSERT_TRUE(s.until([&] { return !s.leader().empty(); }));
     s.crash_leader();
-    ASSERT_TRUE(ready(s));
-    EXPECT_EQ(report_all(s, static_cast<size_t>(s.leader().back() - '0'), 0).statuses, kAllTaken);
+    ASSERT_TRUE(accepts_submission(s));
+    EXPECT_EQ(send_all_heartbeats(s, static_cast<size_t>(s.leader().back() - '0'), 0).statuses,
+              kAllAccepted);
 }
 
-TEST(Limits, AFollowerPassesOnWhatFourThousandMachinesReportAtOnce) {
+TEST(RequestRouter, FollowerRelays4000HeartbeatsAtOnce) {
     Service s(2);
     ASSERT_TRUE(s.until([&] { return !s.leader().empty(); }));
-    ASSERT_TRUE(ready(s));
+    ASSERT_TRUE(accepts_submission(s));
     size_t follower = s.leader() == "node-0" ? 1 : 0;
     auto first =
-        s.ask_node(1 - follower, "POST", std::string(paths::kReport), report_of(kMachines, 0));
+        s.ask_node(1 - follower, "POST", std::string(paths::kReport), heartbeat_json(kMachines, 0));
     ASSERT_TRUE(first && first->status == 200);
     auto fencing_token = json::parse(first->body).at("gavel").to_number<uint64_t>();
-    bool relays = false;  // once it has learnt who leads
+    bool relays = false;  // true once the follower knows the leader
     double end = steady_now() + 5;
     for (int i = 1; !relays && steady_now() < end; ++i) {
         auto reply = s.ask_node(follower, "POST", std::string(paths::kReport),
-                                report_of(kMachines + i, fencing_token));
+                                heartbeat_json(kMachines + i, fencing_token));
         relays = reply && reply->status == 200;
         for (int k = 0; k < 50; ++k) s.turn();
     }
     ASSERT_TRUE(relays);
-    EXPECT_EQ(report_all(s, follower, fencing_token).statuses, kAllTaken);
+    EXPECT_EQ(send_all_heartbeats(s, follower, fencing_token).statuses, kAllAccepted);
 }
 
-// A cancelled job with a task on each of 200 machines, all at one address. The time is the test's.
+// A cancelled job with a task on each of 200 machines, all at one address. Tests set the time in
+// context.now.
 struct StopFixture {
-    static constexpr int kStopMachines = 200;
+    static constexpr int kMachineCount = 200;
     asio::io_context io;
     asio::executor_work_guard<asio::io_context::executor_type> work{io.get_executor()};
     Settings settings = small_settings();
@@ -238,13 +241,13 @@
     LeaderContext context{io, settings, properties, kv, metrics, term};
     StopSender sender{context};
     asio::ip::tcp::acceptor worker{io, {asio::ip::make_address("127.0.0.1"), 0}};
-    std::vector<asio::ip::tcp::socket> accepted;  // and never answered
+    std::vector<asio::ip::tcp::socket> accepted;  // connections that are never answered
 
-    explicit StopFixture(bool listens) {
-        settings.max_sockets = 1000;  // 62 sockets for each kind of stops
+    explicit StopFixture(bool listening) {
+        settings.max_sockets = 1000;  // 62 sockets each for first and for repeated stops
         context.keep_alive = [] { return std::shared_ptr<void>(); };
         auto addr = "127.0.0.1:" + std::to_string(worker.local_endpoint().port());
-        if (listens)
+        if (listening)
             asio::co_spawn(io, accept(), asio::detached);
         else
             worker.close();
@@ -252,14 +255,14 @@
         cluster.set_types({{"std", {8000, 0, 64000}, 50, 1, 1.0, 0.4, 30, {"a", "b"}}});
         JobSpec spec;
         spec.id = "cancelled";
-        spec.tasks = kStopMachines;
+        spec.tasks = kMachineCount;
         spec.demand = {1000, 0, 1000};
         spec.team = cluster.names.teams.find("blue");
         spec.job_class = cluster.names.classes.intern("class");
         spec.image = cluster.names.images.intern("image");
         auto job = cluster.add_job(spec, 1000, 0);
         cluster.jobs[job]->version = 1;
-        for (uint32_t t = 0; t < kStopMachines; ++t) {
+        for (uint32_t t = 0; t < kMachineCount; ++t) {
             auto index = cluster.add_machine("machine-" + std::to_string(t), 0);
             auto& machine = *cluster.machines[index];
             cluster.describe_machine(machine, "std", "a", false);
@@ -274,66 +277,71 @@
     asio::awaitable<void> accept() {
         for (;;) accepted.push_back(co_await worker.async_accept(asio::use_awaitable));
     }
-    void turn(double seconds) {
-        turn_until(io, [] { return false; }, seconds);
+    void run_for(double seconds) {
+        run_until(io, [] { return false; }, seconds);
     }
-    // Machines that were told again, after a check at this time.
-    uint64_t repeated_at(double now) {
+    // Repeats the stops that are due at this time. Returns the number of machines that were sent
+    // repeated stops so far, each counted once per repetition.
+    uint64_t repeated_stops_at(double now) {
         context.now = now;
         sender.repeat_stops();
-        turn(0.2);
+        run_for(0.2);
         auto text = metrics.text({});
         auto at = text.rfind("stops_repeated_total ");
         return at == std::string::npos ? 0 : std::stoull(text.substr(at + 21));
     }
-    // Sockets opened so far, after stops for all machines were queued or not, and sent.
-    size_t opened_after_flush(double now, bool queue) {
+    // Sends the queued stops, after queuing one for each machine if `queue` is set. Returns the
+    // number of sockets opened so far.
+    size_t sockets_opened_at(double now, bool queue) {
         context.now = now;
-        for (Index i = 0; queue && i < kStopMachines; ++i)
+        for (Index i = 0; queue && i < kMachineCount; ++i)
             sender.queue_stop(i, {CommandOp::Stop, "cancelled", i, 1, 0});
         sender.flush_stops();
-        turn(0.2);
+        run_for(0.2);
         return accepted.size();
     }
 };
 
-TEST(Limits, RepeatedStopsReachAllMachinesWithinAnIntervalAndNoneTwice) {
-    StopFixture f(false);  // each connection is refused, so its socket is free at the next check
+TEST(StopSender, RepeatsEachStopOncePerHeartbeatInterval) {
+    StopFixture f(false);  // connections are refused, so their sockets are free at the next check
     struct {
         double now;
         uint64_t repeated;
     } steps[] = {{100, 62},    {100.5, 124}, {101, 186},   {101.5, 200}, {101.9, 200}, {102, 262},
                  {102.5, 324}, {103, 386},   {103.4, 386}, {103.5, 400}, {103.9, 400}, {104, 462}};
     ASSERT_EQ(stop_sockets(f.settings), 62);
-    for (auto& step : steps) EXPECT_EQ(f.repeated_at(step.now), step.repeated) << step.now;
+    for (auto& step : steps) EXPECT_EQ(f.repeated_stops_at(step.now), step.repeated) << step.now;
 }
 
-TEST(Limits, RepeatedStopsThatNobodyAnswersKeepTheirSocketsAndTheFormerRate) {
+// Unanswered stops hold their sockets until they time out, and 62 machines are served in each
+// heartbeat interval.
+TEST(StopSender, UnansweredRepeatedStopsKeepTheirSockets) {
     StopFixture f(true);
-    EXPECT_EQ(f.repeated_at(100), 62u);
-    EXPECT_EQ(f.repeated_at(100.5), 62u);
-    EXPECT_EQ(f.repeated_at(101.5), 62u);
-    EXPECT_EQ(f.repeated_at(102), 124u);
-    EXPECT_EQ(f.repeated_at(102.5), 124u);
+    EXPECT_EQ(f.repeated_stops_at(100), 62u);
+    EXPECT_EQ(f.repeated_stops_at(100.5), 62u);
+    EXPECT_EQ(f.repeated_stops_at(101.5), 62u);
+    EXPECT_EQ(f.repeated_stops_at(102), 124u);
+    EXPECT_EQ(f.repeated_stops_at(102.5), 124u);
     EXPECT_EQ(f.accepted.size(), 124u);
-    f.turn(2.2);  // their time-out
-    EXPECT_EQ(f.repeated_at(103), 186u);
+    f.run_for(2.2);  // longer than the timeout of the stops
+    EXPECT_EQ(f.repeated_stops_at(103), 186u);
 }
 
-TEST(Limits, FirstStopsAreSentOverSoManySocketsAtATimeAndTheRestFollows) {
+// The stops that found no free socket are sent by a later flush.
+TEST(StopSender, LimitsSocketsOfFirstStops) {
     StopFixture f(true);
     for (auto& machine : f.context.cluster.machines) machine->last_heartbeat = 100;
-    EXPECT_EQ(f.opened_after_flush(100, true), 62u);
-    EXPECT_EQ(f.opened_after_flush(100.3, false), 62u);
-    f.turn(2.2);
-    EXPECT_EQ(f.opened_after_flush(100.6, false), 124u);
+    EXPECT_EQ(f.sockets_opened_at(100, true), 62u);
+    EXPECT_EQ(f.sockets_opened_at(100.3, false), 62u);
+    f.run_for(2.2);
+    EXPECT_EQ(f.sockets_opened_at(100.6, false), 124u);
 }
 
-TEST(Limits, FirstStopsForSilentMachinesLeaveSocketsToTheOthers) {
+TEST(StopSender, SilentMachinesUseHalfOfTheSockets) {
     StopFixture f(true);
-    EXPECT_EQ(f.opened_after_flush(100, true), 31u);
+    EXPECT_EQ(f.sockets_opened_at(100, true), 31u);
     for (Index i = 150; i < 200; ++i) f.context.cluster.machines[i]->last_heartbeat = 100;
-    EXPECT_EQ(f.opened_after_flush(100, false), 62u);
+    EXPECT_EQ(f.sockets_opened_at(100, false), 62u);
 }
 
 }  // namespace
