--- a/src/controller/state_log_writer.cpp
+++ b/src/controller/state_log_writer.cpp
@@ -242,11 +242,11 @@
 
 void StateLogWriter::cancellation_recorded(const StateLogEntry& entry) {
     auto& job = *context_.cluster.jobs[entry.job];
-    // Dependants are cancelled before the user is answered, so that the answer covers them.
+    // Dependants are cancelled before the user is answered, so that the answer covers them. Those
+    // that are not recorded yet need no entry, as the record of a new job includes its
+    // cancellation.
     for (auto dependant : context_.cluster.cancel_dependants(entry.job))
-        if (context_.cluster.jobs[dependant]->version != 0)
-            context_.state_log.cancel(
-                dependant);  // the record of a new job includes the cancellation
+        if (context_.cluster.jobs[dependant]->version != 0) context_.state_log.cancel(dependant);
     spdlog::debug("job: {} cancellation recorded, {} tasks placed", job.spec.id, job.placed);
     users_.cancellation_recorded(job);
     callbacks_.check_job(entry.job);
--- a/src/controller/user_requests.cpp
+++ b/src/controller/user_requests.cpp
@@ -85,7 +85,7 @@
     // A job that a standby controller accepted is created from its pending record only.
     if (adoption_.has_record(id)) adoption_.adopt_due();
     if (auto* job = context_.cluster.find_job(id)) {
-        if (is_recorded(*job))
+        if (has_confirmed_state(*job))
             reply.set(job_reply(*job, PeerOp::Submit, 200));
         else if (job->version != 0 || kv_unavailable_())
             reply.set(undecided(context_));
@@ -178,7 +178,7 @@
 // flight, because standby controllers answer from the records. Otherwise a standby controller could
 // report an end from a transaction whose answer the leader has not received, and the leader could
 // report the job as running after that.
-bool UserRequests::is_recorded(const Job& job) const {
+bool UserRequests::has_confirmed_state(const Job& job) const {
     return job.version != 0 &&
            context_.cluster.state_confirmed(context_.cluster.job_index.at(job.spec.id));
 }
@@ -190,8 +190,8 @@
         // A standby controller reads the records and may answer while a transaction is in flight.
         // Without that, all status queries of a job with a pending cancellation fail for as long as
         // transactions are not answered.
-        return reply.set(is_recorded(*job) ? job_reply(*job, PeerOp::Status, 200)
-                                           : undecided(context_));
+        return reply.set(has_confirmed_state(*job) ? job_reply(*job, PeerOp::Status, 200)
+                                                   : undecided(context_));
     }
     if (auto* ended = final_states_.find(call.subject))
         return reply.set(final_reply(call.subject, *ended, PeerOp::Status));
--- a/src/controller/user_requests.h
+++ b/src/controller/user_requests.h
@@ -84,7 +84,7 @@
     boost::asio::awaitable<void> read_final_state(std::shared_ptr<void> keep_alive, PeerCall call,
                                                   ReplyPromise reply, PeerReply refusal);
     void answer_waiters(const std::string& id, const PeerReply& reply);
-    [[nodiscard]] bool is_recorded(const Job& job) const;
+    [[nodiscard]] bool has_confirmed_state(const Job& job) const;
 
     LeaderContext& context_;
     FinalStateCache& final_states_;
