--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -113,9 +113,9 @@
 }
 
 void Leader::handle(DependenciesRead& message) {
-    for (auto& [id, final_state] : message.final_states) final_states_.remember(id, final_state);
+    for (auto& [id, final_state] : message.final_states) final_states_.insert(id, final_state);
     if (message.for_adoption)
-        adoption_.resume(message);
+        adoption_.dependencies_read(message);
     else
         users_.dependencies_read(message);
 }
@@ -213,7 +213,7 @@
     context_.cluster.propagate_demands();
     if (!pending.events.empty())
         spdlog::info("leader: adopting {} pending records", pending.events.size());
-    adoption_.receive(pending);
+    adoption_.apply_changes(pending);
 }
 
 asio::awaitable<void> Leader::tick_loop(std::shared_ptr<Leader> self) {
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -69,9 +69,9 @@
     void handle(RequestReceived& message);
     void handle(FinalStateRead& message) { users_.final_state_read(message); }
     void handle(DependenciesRead& message);
-    void handle(TransactionFinished& message) { log_writer_.finished(message); }
+    void handle(TransactionFinished& message) { log_writer_.transaction_finished(message); }
     void handle(TransactionOutcomeUnknown&) { log_writer_.outcome_unknown(); }
-    void handle(PendingRecordsChanged& message) { adoption_.receive(message); }
+    void handle(PendingRecordsChanged& message) { adoption_.apply_changes(message); }
     void handle(MachineTypesRead& message) { instance_manager_.handle(message); }
     void handle(MachineListRead& message) { instance_manager_.handle(message); }
     void handle(MachinesProvisioned& message) { instance_manager_.handle(message); }
