--- a/src/controller/pending_adoption.cpp
+++ b/src/controller/pending_adoption.cpp
@@ -185,8 +185,8 @@
     }
     // This is not expected, because the standby controller verified that the dependency was
     // accepted. An accepted job is never refused, so the adoption is retried.
-    spdlog::error("leader: dependency {} of accepted job {} was never accepted", read.missing,
-                  read.call.subject);
+    spdlog::error("leader: dependency {} of accepted job {} was never accepted",
+                  read.never_accepted_id, read.call.subject);
     entry.not_before = context_.now + kMissingDependencyDelay_s;
 }
 
--- a/src/controller/request_router_peers.cpp
+++ b/src/controller/request_router_peers.cpp
@@ -92,8 +92,7 @@
             // Without this check the node would stay a leader without a valid lease and refuse its
             // users for as long as the state service refuses it.
             spdlog::info("node: gives up the leadership with token={}, {} leads",
-                         term_->fencing_token,
-                         leader_tracker_->reported_leader());
+                         term_->fencing_token, leader_tracker_->reported_leader());
             term_->ended = true;
             continue;
         }
