--- a/bench/pass_bench.cpp
+++ b/bench/pass_bench.cpp
@@ -4,7 +4,7 @@
 //       times, on google-benchmark
 //   pass_bench count WHAT MACHINES [JOBS]
 //       one decision alone, for instruction counts (docs/measurements.md), for instance under
-//       valgrind --tool=callgrind --toggle-collect='weirmill::place_waiting*'
+//       valgrind --tool=callgrind --toggle-collect='weirmill::place_waiting_jobs*'
 #include <benchmark/benchmark.h>
 
 #include <functional>
@@ -76,7 +76,7 @@
             s.one_zone = gang;
             auto index = cluster.add_job(std::move(s), 1000, kNow);
             cluster.jobs[index]->version = 1;
-            if (j == jobs * 5 / 8 - 1) place_waiting(cluster, up, kNow, 100000);
+            if (j == jobs * 5 / 8 - 1) place_waiting_jobs(cluster, up, kNow, 100000);
         }
     }
 };
@@ -131,15 +131,15 @@
     size_t (*decide)(ClusterState&);
 };
 const Decision kDecisions[] = {
-    {"place", [](ClusterState& t) { return place_waiting(t, up, kNow).size(); }},
+    {"place", [](ClusterState& t) { return place_waiting_jobs(t, up, kNow).size(); }},
     {"rent", [](ClusterState& t) { return plan_scale_out(t, up, {0.3, 8}, kNow).size(); }},
     {"rent_distinct",  // as where every job's tasks are of another size
      [](ClusterState& t) { return plan_scale_out(t, up, {0.3, 8, 0}, kNow).size(); }},
-    {"preempt", [](ClusterState& t) { return plan_preemption(t, up, kNow).clearings.size(); }},
+    {"preempt", [](ClusterState& t) { return plan_preemption(t, up, kNow).evictions.size(); }},
     {"close", [](ClusterState& t) { return size_t{plan_drain(t, up, kNow) != kNone}; }},
     {"forecast",
      [](ClusterState& t) {
-         Forecast f;
+         OverloadForecast f;
          f.observe(t, kNow);
          return f.queues().size();
      }},
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -36,16 +36,17 @@
 
 // By zone index: whether most machines there that have reported before are silent. Such a zone is
 // partitioned off: its machines are sound, but one requested there could not be used.
-std::vector<bool> silent_zones(const ClusterState& cluster, const Usable& usable);
+std::vector<bool> silent_zones(const ClusterState& cluster, const MachineFilter& usable);
 
 // The machines that waiting work needs beyond those that are up or booting.
-std::vector<ScaleOutRequest> plan_scale_out(const ClusterState& cluster, const Usable& usable,
+std::vector<ScaleOutRequest> plan_scale_out(const ClusterState& cluster,
+                                            const MachineFilter& usable,
                                             const AutoscalerSettings& settings, double now);
 
 // The machine whose drain saves most: all its tasks can write a checkpoint and continue where there
 // is room already, and moving them costs less than the machine would until they end. kNone: there
 // is none.
-Index plan_drain(const ClusterState& cluster, const Usable& usable, double now);
+Index plan_drain(const ClusterState& cluster, const MachineFilter& usable, double now);
 
 // The machines to terminate: failed, abandoned or draining ones, and idle ones past their keep
 // time.
--- a/src/autoscaler/drain.cpp
+++ b/src/autoscaler/drain.cpp
@@ -33,7 +33,7 @@
            now - task.running_at >= kMinRunBeforeMove_s;
 }
 
-bool drainable(const ClusterState& cluster, const Machine& m, const Usable& usable,
+bool drainable(const ClusterState& cluster, const Machine& m, const MachineFilter& usable,
                const std::vector<Index>& waiting, double now) {
     if (m.tasks.empty() || !usable(m) || m.reserved_for != kNone) return false;
     if (!std::ranges::all_of(m.tasks,
@@ -45,7 +45,7 @@
 
 // Machines that stay in use anyway.
 std::vector<Destination> destinations(const ClusterState& cluster, const Machine& from,
-                                      const Usable& usable) {
+                                      const MachineFilter& usable) {
     std::vector<Destination> out;
     for (const auto& m : cluster.machines) {
         if (!m || m.get() == &from || !usable(*m)) continue;
@@ -70,7 +70,7 @@
 // What the drain saves, in the price's unit times seconds; nothing: the tasks can't all move, or
 // are soon over.
 std::optional<double> drain_savings(const ClusterState& cluster, const Machine& m,
-                                    const Usable& usable, double now) {
+                                    const MachineFilter& usable, double now) {
     auto to = destinations(cluster, m, usable);
     double longest_run_s = 0, longest_move_s = 0;
     for (const auto& ref : m.tasks) {
@@ -89,7 +89,7 @@
 
 }  // namespace
 
-Index plan_drain(const ClusterState& cluster, const Usable& usable, double now) {
+Index plan_drain(const ClusterState& cluster, const MachineFilter& usable, double now) {
     Index best = kNone;
     double best_savings = 0;
     const auto waiting = waiting_jobs(cluster, now);
--- a/src/autoscaler/expected_capacity.cpp
+++ b/src/autoscaler/expected_capacity.cpp
@@ -88,8 +88,8 @@
     return std::max(kMinRemainingShare * std::max(expected_s, ran_s), expected_s - ran_s);
 }
 
-std::vector<ExpectedCapacity> expected_capacity(const ClusterState& cluster, const Usable& usable,
-                                                double now) {
+std::vector<ExpectedCapacity> expected_capacity(const ClusterState& cluster,
+                                                const MachineFilter& usable, double now) {
     std::vector<ExpectedCapacity> out;
     for (const auto& m : cluster.machines) {
         if (!m || m->type == kNone || m->abandoned || m->terminating) continue;
@@ -103,7 +103,7 @@
     return out;
 }
 
-std::vector<bool> silent_zones(const ClusterState& cluster, const Usable& usable) {
+std::vector<bool> silent_zones(const ClusterState& cluster, const MachineFilter& usable) {
     std::vector<int> silent_excess(cluster.names.zones.size(), 0);
     for (const auto& m : cluster.machines) {
         if (!m || m->zone == kNone || m->abandoned || m->terminating) continue;
--- a/src/autoscaler/expected_capacity.h
+++ b/src/autoscaler/expected_capacity.h
@@ -46,7 +46,7 @@
 double remaining_run_s(double expected_s, double ran_s);
 
 // The machines that are up and usable, and those that boot.
-std::vector<ExpectedCapacity> expected_capacity(const ClusterState& cluster, const Usable& usable,
-                                                double now);
+std::vector<ExpectedCapacity> expected_capacity(const ClusterState& cluster,
+                                                const MachineFilter& usable, double now);
 
 }  // namespace weirmill
--- a/src/autoscaler/headroom.cpp
+++ b/src/autoscaler/headroom.cpp
@@ -52,7 +52,7 @@
 int64_t tasks_on_empty_fleet(const ClusterState& cluster, const JobSpec& spec) {
     int64_t tasks = 0;
     for (const auto& m : cluster.machines) {
-        if (!m || !m->up || !machine_suits(cluster, spec, *m)) continue;
+        if (!m || !m->up || !machine_eligible(cluster, spec, *m)) continue;
         tasks += spec.demand.times_in(m->size);
     }
     return tasks;
--- a/src/autoscaler/job_planner.h
+++ b/src/autoscaler/job_planner.h
@@ -88,7 +88,7 @@
     const ShapeIndex& index_;
     const JobSpec& spec_;
     JobRequest request_;
-    ZoneRule rule_;
+    ZoneConstraint rule_;
     bool zones_ruled_;
     double run_s_;
     int64_t max_tasks_per_machine_;
--- a/src/autoscaler/offers.cpp
+++ b/src/autoscaler/offers.cpp
@@ -31,7 +31,8 @@
 }  // namespace
 
 std::optional<ExpectedCapacity> cheapest_offer(const ClusterState& cluster, const JobSpec& spec,
-                                               size_t tasks, Index only_zone, const ZoneRule& rule,
+                                               size_t tasks, Index only_zone,
+                                               const ZoneConstraint& rule,
                                                const std::vector<bool>& silent_zones, double now) {
     const auto zone_allowed = [&](Index z) {
         if (z == kNone || (only_zone != kNone && z != only_zone)) return false;
--- a/src/autoscaler/offers.h
+++ b/src/autoscaler/offers.h
@@ -23,7 +23,8 @@
 // The new machine that costs least for each of at most `tasks` tasks of the job, a spot instance
 // where it may use one; nothing: no offer suits. `only_zone`: kNone for any.
 std::optional<ExpectedCapacity> cheapest_offer(const ClusterState& cluster, const JobSpec& spec,
-                                               size_t tasks, Index only_zone, const ZoneRule& rule,
+                                               size_t tasks, Index only_zone,
+                                               const ZoneConstraint& rule,
                                                const std::vector<bool>& silent_zones, double now);
 
 inline Offer offer_of(const ExpectedCapacity& c) { return {c.type, c.zone, c.spot}; }
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -45,8 +45,8 @@
 bool keep_for_headroom(const ClusterState& cluster, const Machine& m,
                        std::vector<Headroom>& headroom) {
     for (auto& h : headroom) {
-        if (h.tasks <= 0 || !machine_suits(cluster, *h.like, m)) continue;
-        h.tasks -= h.like->demand.times_in(m.room());
+        if (h.tasks <= 0 || !machine_eligible(cluster, *h.spec, m)) continue;
+        h.tasks -= h.spec->demand.times_in(m.room());
         return true;
     }
     return false;
--- a/src/autoscaler/scale_out.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -45,7 +45,7 @@
 
 class ScaleOutPlanner {
   public:
-    ScaleOutPlanner(const ClusterState& cluster, const Usable& usable, size_t max_shapes,
+    ScaleOutPlanner(const ClusterState& cluster, const MachineFilter& usable, size_t max_shapes,
                     double now)
         : context_{cluster, now, silent_zones(cluster, usable), highest_price(cluster), {}},
           cluster_(cluster),
@@ -60,7 +60,7 @@
     // Of the pending tasks, those that the team's limit leaves room for.
     [[nodiscard]] size_t tasks_within_limit(const Job& job) const;
     [[nodiscard]] std::vector<Index> zones_by_room(const ShapeIndex& index,
-                                                   const ZoneRule& rule) const;
+                                                   const ZoneConstraint& rule) const;
     [[nodiscard]] std::optional<JobPlan> best_plan(const Job& job, size_t tasks);
     [[nodiscard]] int64_t tasks_in_present_room(const JobSpec& spec) const;
 
@@ -84,7 +84,7 @@
 
 // The zones that the rule allows, the one with the most room first.
 std::vector<Index> ScaleOutPlanner::zones_by_room(const ShapeIndex& index,
-                                                  const ZoneRule& rule) const {
+                                                  const ZoneConstraint& rule) const {
     std::vector<Index> zones;
     for (Index z = 0; z < cluster_.names.zones.size(); ++z)
         if (rule.allows(z)) zones.push_back(z);
@@ -99,7 +99,7 @@
     const auto& index = forecast_.index_for(job.spec);
     const double slack = slack_s(cluster_, job, context_.now);
     const auto zones =
-        one_zone ? zones_by_room(index, ZoneRule(cluster_, job)) : std::vector<Index>{kNone};
+        one_zone ? zones_by_room(index, ZoneConstraint(cluster_, job)) : std::vector<Index>{kNone};
     std::optional<JobPlan> best;
     for (const Index zone : zones) {
         auto plan =
@@ -128,10 +128,10 @@
 }
 
 void ScaleOutPlanner::add_headroom(const Headroom& headroom) {
-    const auto& spec = *headroom.like;
+    const auto& spec = *headroom.spec;
     Job unplaced;
     unplaced.spec = spec;
-    const ZoneRule any_zone(cluster_, unplaced);
+    const ZoneConstraint any_zone(cluster_, unplaced);
     auto room = tasks_in_present_room(spec);
     while (room < headroom.tasks) {
         const auto missing = static_cast<size_t>(headroom.tasks - room);
@@ -154,7 +154,8 @@
 
 }  // namespace
 
-std::vector<ScaleOutRequest> plan_scale_out(const ClusterState& cluster, const Usable& usable,
+std::vector<ScaleOutRequest> plan_scale_out(const ClusterState& cluster,
+                                            const MachineFilter& usable,
                                             const AutoscalerSettings& settings, double now) {
     ScaleOutPlanner planner(cluster, usable, settings.max_cached_shapes, now);
     for (const auto j : waiting_jobs(cluster, now)) planner.add_job(*cluster.jobs[j]);
--- a/src/autoscaler/suitability.h
+++ b/src/autoscaler/suitability.h
@@ -17,7 +17,7 @@
 
 // The machine suits the job, and its team's limit leaves room for a task.
 inline bool could_use(const ClusterState& cluster, const Job& job, const Machine& m) {
-    return machine_suits(cluster, job.spec, m) &&
+    return machine_eligible(cluster, job.spec, m) &&
            cluster.within_limit(cluster.teams[job.spec.team], job.spec.demand);
 }
 
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -138,12 +138,12 @@
     out["machines_deaf"] = static_cast<double>(downlink_lost);
     out["tasks_placed"] = static_cast<double>(placed);
     out["tasks_pending"] = static_cast<double>(pending);
-    out["queues_pressed"] = static_cast<double>(forecast_.overloaded());
+    out["queues_pressed"] = static_cast<double>(forecast_.overloaded_queues());
     auto can_use = usable_now(context_);
     for (auto& gauge : capacity_gauges(capacity_breakdown(context_.cluster, can_use, context_.now)))
         out[gauge.name] = gauge.value;
-    for (auto& gauge :
-         starved_gauges(starved_jobs(context_.cluster, can_use, context_.now, kStarvedAfter_s)))
+    for (auto& gauge : starved_gauges(
+             starved_jobs(context_.cluster, can_use, context_.now, kStarvationThreshold_s)))
         out[gauge.name] = gauge.value;
 }
 
@@ -248,18 +248,19 @@
 void Leader::log_capacity() {
     if (!spdlog::should_log(spdlog::level::debug) || context_.now < next_capacity_log_) return;
     next_capacity_log_ = context_.now + kCapacityLogPause_s;
-    spdlog::debug("capacity: {}", capacity_text(capacity_breakdown(
+    spdlog::debug("capacity: {}", capacity_summary(capacity_breakdown(
                                       context_.cluster, usable_now(context_), context_.now)));
     for (auto& [key, q] : forecast_.queues())
-        if (q.jobs > 0)
+        if (q.waiting_jobs > 0)
             spdlog::debug(
                 "queue: {} of {}, {} jobs wait, {} of them give up a time, {:.0f} units in "
                 "use, "
                 "{:.0f} left, "
                 "drains in {:.0f}s of {:.0f}s",
                 context_.cluster.names.classes.name(key.job_class),
-                context_.cluster.names.teams.name(key.team), q.jobs, q.abandoning, q.in_use, q.left,
-                q.drain_s, q.within_s);
+                context_.cluster.names.teams.name(key.team), q.waiting_jobs,
+                q.jobs_abandoning_deadline, q.used_units, q.units_after_higher_priority, q.drain_s,
+                q.target_s);
 }
 
 void Leader::handle(ScaleOutFinished& m) {
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -92,7 +92,7 @@
     UserRequests users_;
     StateLogWriter log_writer_;
     Mailbox mailbox_;
-    Forecast forecast_;
+    OverloadForecast forecast_;
     // Requests in the mailbox, and the bytes of their bodies.
     size_t queued_requests_ = 0;
     size_t queued_bytes_ = 0;
--- a/src/controller/planning_inputs.h
+++ b/src/controller/planning_inputs.h
@@ -16,7 +16,7 @@
 [[nodiscard]] bool usable(const LeaderContext& context, const Machine& machine);
 
 // The same as a predicate. It refers to `context`, which must outlive it.
-[[nodiscard]] inline Usable usable_now(const LeaderContext& context) {
+[[nodiscard]] inline MachineFilter usable_now(const LeaderContext& context) {
     return [&context](const Machine& machine) { return usable(context, machine); };
 }
 
--- a/src/controller/scheduling_loop.cpp
+++ b/src/controller/scheduling_loop.cpp
@@ -30,9 +30,9 @@
     if (context_.properties.overload_enabled)
         late = jobs_near_start_deadline(context_.cluster, context_.properties.start_deadline_s,
                                         context_.now);
-    place_waiting(context_.cluster, usable_now(context_), context_.now, kMaxPlaced,
-                  planned_headroom(context_.cluster, autoscaler_settings(context_), context_.now),
-                  late);
+    place_waiting_jobs(
+        context_.cluster, usable_now(context_), context_.now, kMaxPlaced,
+        planned_headroom(context_.cluster, autoscaler_settings(context_), context_.now), late);
     reserve_for_late_gang(late);
 }
 
@@ -43,7 +43,8 @@
         return job.spec.kind == JobKind::Gang && job.placed == 0;
     });
     if (gang == late.end()) return;
-    for (auto i : machines_for_gang(context_.cluster, usable_now(context_), *gang, context_.now)) {
+    for (auto i : machines_to_reserve_for_gang(context_.cluster, usable_now(context_), *gang,
+                                               context_.now)) {
         context_.cluster.machines[i]->reserved_for = *gang;
         context_.cluster.machines[i]->reserved_until = context_.now + kGangReservation_s;
     }
@@ -52,13 +53,13 @@
 void SchedulingLoop::preempt() {
     if (!may_decide_()) return;
     auto round = plan_preemption(context_.cluster, usable_now(context_), context_.now);
-    if (round.clearings.empty()) return;
+    if (round.evictions.empty()) return;
     ++rounds_;
     context_.metrics.count("preemption_rounds_total");
-    context_.metrics.count("preemption_stops_total", round.stops.size());
-    context_.state_log.note(kRoundKey, round_record(round, context_.cluster, rounds_));
+    context_.metrics.count("preemption_stops_total", round.victims.size());
+    context_.state_log.note(kRoundKey, preemption_round_json(round, context_.cluster, rounds_));
     reserve_cleared(round);
-    for (auto& ref : round.stops) {
+    for (auto& ref : round.victims) {
         auto& task = context_.cluster.jobs[ref.job]->tasks[ref.task];
         if (task.state == TaskState::Placed && !task.stopping)
             task_lifecycle_.stop_task(ref.job, ref.task, true);
@@ -69,15 +70,15 @@
 void SchedulingLoop::reserve_cleared(const PreemptionRound& round) {
     double until =
         context_.now + 2 * context_.properties.preemption_round_s + context_.settings.lease_s;
-    for (auto& clearing : round.clearings) {
-        for (auto* machines : {&clearing.machines, &clearing.kept})
+    for (auto& clearing : round.evictions) {
+        for (auto* machines : {&clearing.machines, &clearing.empty_machines})
             for (auto i : *machines) {
                 context_.cluster.machines[i]->reserved_for = clearing.job;
                 context_.cluster.machines[i]->reserved_until = until;
             }
         spdlog::info("preemption: round={} job={} machines={} kept={} stops={}", rounds_,
                      context_.cluster.jobs[clearing.job]->spec.id, clearing.machines.size(),
-                     clearing.kept.size(), round.stops.size());
+                     clearing.empty_machines.size(), round.victims.size());
     }
 }
 
--- a/src/scheduler/array_placement.h
+++ b/src/scheduler/array_placement.h
@@ -1,4 +1,4 @@
-// Placement of arrays and services: as many tasks as find room.
+// Placement of arrays and services: places as many of a job's tasks as fit.
 #pragma once
 #include <vector>
 
@@ -6,15 +6,17 @@
 
 namespace weirmill {
 
-struct ArrayPlacement {
-    Resources held;          // of the team's limit, to be left to others
-    bool near_only = false;  // only machines where the image is, or is being fetched
-    size_t max_placed = 0;   // no more once `out` has so many
+struct ArrayPlacementBounds {
+    Resources reserved_limit;  // part of the team's limit that the job must leave to other jobs
+    // Use only machines that have the job's image or are fetching it.
+    bool image_machines_only = false;
+    size_t max_placements = 0;  // placement stops when `out` has this size
 };
 
-// Places pending tasks of the job in their order, appending them to `out`, until room, the team's
-// limit or `max_placed` ends it. `now`: steady clock, seconds.
-void place_array(PlacementPass& pass, Index index, const ArrayPlacement& bounds, double now,
+// Places the job's pending tasks in index order and appends the placements to `out`, until no
+// machine has room, the team's limit is reached, or `out` has `max_placements` entries.
+// `now`: steady clock, seconds.
+void place_array(PlacementPass& pass, Index index, const ArrayPlacementBounds& bounds, double now,
                  std::vector<Placement>& out);
 
 }  // namespace weirmill
--- a/src/scheduler/capacity_breakdown.h
+++ b/src/scheduler/capacity_breakdown.h
@@ -1,6 +1,6 @@
-// Breakdown of the fleet's capacity: what every CPU and GPU that is paid for is used for at one
-// moment. Pure functions of the cluster state and a given time (steady clock, seconds); for
-// monitoring alone.
+// Breakdown of the fleet's capacity: what each CPU and GPU of the rented machines is used for at
+// one moment. For monitoring only. Pure functions of the cluster state and a given time (steady
+// clock, seconds).
 #pragma once
 #include <array>
 #include <string>
@@ -12,37 +12,42 @@
 
 namespace weirmill {
 
-// Capacity that tasks take, by the state of the task; the rest, by the reason why it is free.
+// Capacity that tasks occupy is classified by the state of the task; free capacity, by the reason
+// why it is free.
 enum class CapacityUse : uint8_t {
-    // By tasks, but for Booting, which is free capacity.
-    Booting,    // the machine is not up yet
-    Running,    // the task runs
-    Starting,   // placed, not yet confirmed by its worker
-    Fetching,   // waits for its image
-    Gathering,  // a gang's task that waits for the others
-    Stopping,   // is being stopped, or saves a checkpoint
+    Booting,  // free: the machine is not up yet
+    // Occupied by a task.
+    Running,         // the task runs
+    Starting,        // the task is placed and its worker has not confirmed it yet
+    Fetching,        // the task waits for its image
+    WaitingForGang,  // the task waits for the other tasks of its gang
+    Stopping,        // the task is being stopped or saves a checkpoint
     // Free.
-    Silent,       // no heartbeat lately, or the lease of the machine ran out
-    Leaving,      // interruption notice, draining, terminating or abandoned
+    Unreachable,  // the machine sent no recent heartbeat, or its worker's lease has expired
+    Leaving,  // the machine has an interruption notice, or is draining, terminating or abandoned
     Quarantined,  // the machine is in quarantine
-    Reserved,     // emptied, or being emptied, for a job
-    Empty,        // a machine without tasks
-    Fragment,     // beside tasks
+    Reserved,     // the machine is reserved for a job, which may wait until it is evicted
+    Empty,        // the machine has no tasks
+    Fragment,     // the machine also runs tasks
 };
-inline constexpr size_t kCapacityUses = static_cast<size_t>(CapacityUse::Fragment) + 1;
+inline constexpr size_t kCapacityUseCount = static_cast<size_t>(CapacityUse::Fragment) + 1;
 
-// By use: the sum over all machines whose type is known. The sum over all uses is their whole
-// capacity.
+// Sums over all machines of known type, by use. All uses together add up to the whole capacity of
+// these machines.
 struct CapacityBreakdown {
-    std::array<Resources, kCapacityUses> by_use{};
+    std::array<Resources, kCapacityUseCount> by_use{};
     Resources& operator[](CapacityUse use) { return by_use[static_cast<size_t>(use)]; }
     const Resources& operator[](CapacityUse use) const { return by_use[static_cast<size_t>(use)]; }
 };
-CapacityBreakdown capacity_breakdown(const ClusterState& cluster, const Usable& usable, double now);
 
-// One line: GPUs where there are any, else CPUs, by use, those that are not zero.
-std::string capacity_text(const CapacityBreakdown& breakdown);
-// Gauges room_USE_cpus and room_USE_gpus, for every use.
+// Computes the breakdown. `usable`: accepts machines that may be given tasks now.
+CapacityBreakdown capacity_breakdown(const ClusterState& cluster, const MachineFilter& usable,
+                                     double now);
+
+// Returns the non-zero uses in one line, in GPUs if the fleet has any, otherwise in CPUs.
+std::string capacity_summary(const CapacityBreakdown& breakdown);
+
+// Returns the gauges room_USE_cpus and room_USE_gpus for every use.
 std::vector<Gauge> capacity_gauges(const CapacityBreakdown& breakdown);
 
 }  // namespace weirmill
--- a/src/scheduler/deadline_feasibility.h
+++ b/src/scheduler/deadline_feasibility.h
@@ -1,6 +1,6 @@
-// Which of a queue's waiting jobs can still be in time, where not all of them can: the algorithm of
-// Moore and Hodgson, which keeps the number of late jobs on one machine at its minimum. What it
-// decides is kept with the jobs and changes the order within a rank alone (job_order.h).
+// Selects which waiting jobs of an overloaded queue can still meet their deadlines. Uses the
+// Moore-Hodgson algorithm, which minimizes the number of late jobs on one machine. The result is
+// stored with the jobs and affects only the order of jobs within a rank (job_order.h).
 #pragma once
 #include <vector>
 
@@ -8,25 +8,26 @@
 
 namespace weirmill {
 
-// Due times from here on (steady clock, seconds) mean that none was asked for.
+// A due time at or above this value means that the job has none. Steady clock, seconds.
 inline constexpr double kNoDueTime_s = 1e17;
 
 struct DeadlineCandidate {
     Index job = kNone;
-    double work = 0;   // that it waits with, in seconds of units (overload_forecast.h)
-    double start = 0;  // in how many seconds its last task must start for the job to be in time
+    double work = 0;            // pending work in unit-seconds (overload_forecast.h)
+    double start_within_s = 0;  // seconds from now by which the last task must start
 };
 
-// The jobs to be given up for now, so that as many of the others as can be are in time on `units`
-// that serve one job after the other, in the order of their times, after `before` seconds of units
-// of other work: where one would be late, the one with the most work among it and those before it
-// is given up. None where `units` is 0, as nothing is known then.
-std::vector<Index> abandoned_deadlines(std::vector<DeadlineCandidate> jobs, double units,
-                                       double before);
+// Returns the jobs whose deadlines should be abandoned for now, so that as many of the others as
+// possible finish in time. The model: `units` serve the jobs one after the other, in the order of
+// their latest start, after `earlier_work` unit-seconds of other work. Whenever a job would be
+// late, the largest job among it and its predecessors is abandoned. Returns none if `units` is 0,
+// because the capacity is not known then.
+std::vector<Index> select_late_jobs(std::vector<DeadlineCandidate> jobs, double units,
+                                    double earlier_work);
 
-// Sets how many of its due times each waiting array job of the queue gives up
-// (Job::abandoned_deadlines).
-void abandon_deadlines(ClusterState& cluster, const std::vector<Index>& queue, double units,
-                       double now);
+// Sets Job::abandoned_deadlines, the number of due times that the job has given up, for each
+// waiting array job of the queue.
+void update_abandoned_deadlines(ClusterState& cluster, const std::vector<Index>& queue,
+                                double units, double now);
 
 }  // namespace weirmill
--- a/src/scheduler/eligibility.h
+++ b/src/scheduler/eligibility.h
@@ -1,5 +1,5 @@
-// Which machines a job's tasks may run on, aside from the room that is free there. Pure functions
-// of the cluster state.
+// Which machines a job's tasks may run on, regardless of free capacity. Pure functions of the
+// cluster state.
 #pragma once
 #include <vector>
 
@@ -7,17 +7,17 @@
 
 namespace weirmill {
 
-// Whether tasks of this kind may run on the machine by type, zone and kind, and do not have to
-// leave its GPUs to others.
-inline bool machine_suits(const ClusterState& cluster, const JobSpec& spec, const Machine& m) {
+// Returns whether tasks of this spec may run on the machine: its type, zone and kind (spot or not)
+// are allowed, and its capacity is not reserved for tasks with GPUs.
+inline bool machine_eligible(const ClusterState& cluster, const JobSpec& spec, const Machine& m) {
     return cluster.machine_allowed(spec, m) && !cluster.reserves_gpus(spec, m.type);
 }
 
-// The image is on the machine, or is being fetched there for another task.
-bool image_near(const ClusterState& cluster, const Machine& m, Index image);
+// Returns whether the machine has the image or is fetching it for another task.
+bool has_or_fetches_image(const ClusterState& cluster, const Machine& m, Index image);
 
-// The least of each resource that a task of any of the jobs takes; `jobs` is not empty. A machine
-// without that much room has none for any of them.
+// Returns, for each resource, the smallest demand of any of the jobs. A machine with less free
+// capacity than that fits none of their tasks. `jobs` must not be empty.
 Resources smallest_demand(const ClusterState& cluster, const std::vector<Index>& jobs);
 
 }  // namespace weirmill
--- a/src/scheduler/gang_placement.cpp
+++ b/src/scheduler/gang_placement.cpp
@@ -4,25 +4,26 @@
 
 namespace {
 
-// A machine for each pending task of the gang, in the zone (kNone: in any); fewer: it does not fit.
-std::vector<Index> machines_for_all(PlacementPass& pass, Index index, FitQueue& queue, Index zone) {
+// Returns a machine for each pending task of the gang, in the zone (kNone: in any). Returns fewer
+// if the gang does not fit.
+std::vector<Index> choose_machines(PlacementPass& pass, Index index, FitQueue& queue, Index zone) {
     auto& cluster = pass.cluster();
     auto& job = *cluster.jobs[index];
-    ZoneRule rule(cluster, job);
+    ZoneConstraint zones(cluster, job);
     std::vector<Index> chosen;
-    pass.fill(index, queue, zone, rule, [&](Index machine) {
+    pass.fill(index, queue, zone, zones, [&](Index machine) {
         if (chosen.size() == job.pending) return false;
         chosen.push_back(machine);
-        cluster.machines[machine]->used += job.spec.demand;  // for the time of this search
+        cluster.machines[machine]->used += job.spec.demand;  // only during this search
         return true;
     });
     for (auto machine : chosen) cluster.machines[machine]->used -= job.spec.demand;
     return chosen;
 }
 
-// One pending task after the other on the chosen machines, as the gang's next attempt.
-void place_on(PlacementPass& pass, Index index, const std::vector<Index>& chosen, double now,
-              std::vector<Placement>& out) {
+// Places the pending tasks on the chosen machines as the next attempt of the gang.
+void place_on_machines(PlacementPass& pass, Index index, const std::vector<Index>& chosen,
+                       double now, std::vector<Placement>& out) {
     auto& cluster = pass.cluster();
     auto& job = *cluster.jobs[index];
     ++job.gang_attempt;
@@ -31,28 +32,28 @@
         if (job.tasks[t].state != TaskState::Pending) continue;
         auto machine = chosen[next++];
         cluster.place(index, t, machine, job.gang_attempt, now);
-        pass.task_placed(machine);
+        pass.record_placement(machine);
         out.push_back({index, t, machine, job.gang_attempt});
     }
 }
 
 }  // namespace
 
-bool place_gang(PlacementPass& pass, Index index, const Resources& held, double now,
+bool place_gang(PlacementPass& pass, Index index, const Resources& reserved_limit, double now,
                 std::vector<Placement>& out) {
     auto& cluster = pass.cluster();
     auto& job = *cluster.jobs[index];
     auto& team = cluster.teams[job.spec.team];
-    if (!cluster.within_limit(team, held + job.spec.demand * job.pending)) return false;
+    if (!cluster.within_limit(team, reserved_limit + job.spec.demand * job.pending)) return false;
     if (!pass.candidates(index, false)) return false;
     auto zones = job.spec.one_zone ? pass.zone_order(index) : std::vector<Index>{kNone};
     auto* queue = pass.candidates(index, false);
     for (auto zone : zones) {
-        auto room = zone == kNone ? queue->room() : queue->room(zone);
-        if (room < job.pending) continue;
-        auto chosen = machines_for_all(pass, index, *queue, zone);
+        auto free_slots = zone == kNone ? queue->free_slots() : queue->free_slots(zone);
+        if (free_slots < job.pending) continue;
+        auto chosen = choose_machines(pass, index, *queue, zone);
         if (chosen.size() != job.pending) continue;
-        place_on(pass, index, chosen, now, out);
+        place_on_machines(pass, index, chosen, now, out);
         return true;
     }
     return false;
--- a/src/scheduler/gang_placement.h
+++ b/src/scheduler/gang_placement.h
@@ -1,4 +1,4 @@
-// Placement of gangs: all tasks at once or none.
+// Placement of gangs: places all tasks at once or none.
 #pragma once
 #include <vector>
 
@@ -6,10 +6,10 @@
 
 namespace weirmill {
 
-// Places all pending tasks of the gang, appending them to `out`; with one zone, the zones are tried
-// in turn. False: there is no room for the whole of it, or its team's limit less `held` does not
-// allow it, and nothing changed. `now`: steady clock, seconds.
-bool place_gang(PlacementPass& pass, Index index, const Resources& held, double now,
+// Places all pending tasks of the gang and appends the placements to `out`. A gang that must stay
+// in one zone tries one zone after the other. Returns false, with nothing changed, if the gang does
+// not fit or exceeds its team's limit less `reserved_limit`. `now`: steady clock, seconds.
+bool place_gang(PlacementPass& pass, Index index, const Resources& reserved_limit, double now,
                 std::vector<Placement>& out);
 
 }  // namespace weirmill
--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -11,49 +11,51 @@
 
 namespace {
 
-// Less is placed first: not guaranteed, negated priority, beyond the team's guarantee, negated GPUs
-// per task, due times missed. Jobs of one rank are equals but for when they are due.
+// The smallest rank is placed first. Its components: not guaranteed, negated priority, beyond the
+// team's guarantee, negated GPUs per task, number of missed due times. Within a rank, jobs are
+// ordered by due time.
 using Rank = std::tuple<bool, int, bool, int64_t, int>;
 
 struct RankedJob {
-    // Rank, due time, time of submission, id.
+    // Rank, due time, submission time, id.
     std::tuple<Rank, double, double, std::string_view> key;
     Index job;
 };
 
-struct DueTime {
-    double at = 0;   // steady clock, seconds
-    int missed = 0;  // earlier due times that are past saving, or given up
+struct EffectiveDueTime {
+    double at_s = 0;  // steady clock, seconds
+    int missed = 0;   // earlier due times that can no longer be met or are abandoned
 };
 
 bool may_be_placed(const Job& job, double now) {
     if (!job.active() || job.waits || job.pending == 0 || job.not_before > now) return false;
-    // A gang starts anew only after every task of its old attempt is gone.
+    // A gang is placed again only after every task of its previous attempt has ended.
     return job.spec.kind != JobKind::Gang || (job.placed == 0 && !job.gang_ending);
 }
 
-// Among equals, those that can still be in time go first, and of them the one due soonest.
-DueTime due_time(const ClusterState& cluster, const Job& job, double now) {
-    DueTime due;
-    due.at = cluster.due(job, now + cluster.expected_run_s(job.spec), due.missed);
-    // Where they can't all be in time, shorter work goes first, so that as many as can be are; a
-    // job waits in proportion to its work at the most, as later ones count from when they came.
-    // What others depend on keeps the time by which those need it.
+// Returns the due time that orders the job among its equals: jobs with fewer missed due times come
+// first, then the one that is due earliest.
+EffectiveDueTime effective_due_time(const ClusterState& cluster, const Job& job, double now) {
+    EffectiveDueTime due;
+    due.at_s = cluster.due(job, now + cluster.expected_run_s(job.spec), due.missed);
+    // In an overloaded queue, smaller jobs are placed first, so that as many jobs as possible
+    // finish in time. The due time counts from the job's arrival, so that its wait is bounded in
+    // proportion to its work. A job with dependants keeps the time by which these need it.
     double slowdown = cluster.slowdown(job.spec);
     if (slowdown > 0 && job.needed_by > kNoDueTime_s) {
         due.missed = 0;
-        due.at = job.came_at() + slowdown * waiting_work(cluster, job);
+        due.at_s = job.came_at() + slowdown * waiting_work(cluster, job);
     }
     return due;
 }
 
 RankedJob ranked(const ClusterState& cluster, Index index, double now) {
     auto& job = *cluster.jobs[index];
-    auto due = due_time(cluster, job, now);
+    auto due = effective_due_time(cluster, job, now);
     auto& team = cluster.teams[job.spec.team];
     Rank rank{!job.guaranteed, -static_cast<int>(job.priority),
               !cluster.within_guarantee(team, job.spec.demand), -job.spec.demand.gpu, due.missed};
-    return {{rank, due.at, job.submitted, job.spec.id}, index};
+    return {{rank, due.at_s, job.submitted, job.spec.id}, index};
 }
 
 }  // namespace
@@ -76,14 +78,14 @@
     return out;
 }
 
-std::vector<Index> jobs_of(const std::vector<std::vector<Index>>& ranks) {
+std::vector<Index> flatten_ranks(const std::vector<std::vector<Index>>& ranks) {
     std::vector<Index> out;
     for (auto& rank : ranks) out.insert(out.end(), rank.begin(), rank.end());
     return out;
 }
 
 std::vector<Index> waiting_jobs(const ClusterState& cluster, double now) {
-    return jobs_of(waiting_ranks(cluster, now));
+    return flatten_ranks(waiting_ranks(cluster, now));
 }
 
 }  // namespace weirmill
--- a/src/scheduler/job_order.h
+++ b/src/scheduler/job_order.h
@@ -1,6 +1,6 @@
-// The order of the queue: which waiting jobs are placed before which others. Guaranteed jobs go
-// first, then by priority, work within its team's guarantee, GPUs per task, and due time. Pure
-// functions of the cluster state and a given time (steady clock, seconds).
+// The order in which waiting jobs are placed: guaranteed jobs first, then by priority, work within
+// the team's guarantee, GPUs per task, and due time. Pure functions of the cluster state and a
+// given time (steady clock, seconds).
 #pragma once
 #include <vector>
 
@@ -8,11 +8,12 @@
 
 namespace weirmill {
 
-// Jobs with pending tasks that may be placed now, highest rank first; those of one rank together,
-// in the order of their due times.
+// Returns the jobs with pending tasks that may be placed now, grouped by rank with the highest rank
+// first. The jobs of one rank are ordered by due time.
 std::vector<std::vector<Index>> waiting_ranks(const ClusterState& cluster, double now);
-// The jobs of all ranks in one list, in the same order.
-std::vector<Index> jobs_of(const std::vector<std::vector<Index>>& ranks);
+// Returns the jobs of all ranks in one list, in the same order.
+std::vector<Index> flatten_ranks(const std::vector<std::vector<Index>>& ranks);
+// Returns the jobs of waiting_ranks in one list.
 std::vector<Index> waiting_jobs(const ClusterState& cluster, double now);
 
 }  // namespace weirmill
--- a/src/scheduler/overload_forecast.cpp
+++ b/src/scheduler/overload_forecast.cpp
@@ -10,23 +10,24 @@
 
 namespace {
 
-constexpr double kLearn_s = 30;  // time constant of what a queue has in use
-// A queue is overloaded once half of what waits will be late in whatever order, and until none of
-// it need be: between the two it stays what it was, so that a load that swings around capacity does
-// not change the order each time. Marked at the first late job, large jobs lost deadlines that the
-// order by due times would have kept.
-constexpr double kOverloaded = 2.0;
-constexpr double kRelieved = 1.0;
-
-bool by_gpu(const JobSpec& spec) { return spec.demand.gpu > 0; }
-
-// GPUs, or CPUs where tasks take none.
-double units(const Resources& r, bool gpu) {
+// Time constant of the decayed mean of the units that a queue uses, seconds.
+constexpr double kUseDecay_s = 30;
+// Drain time over target time at which a queue becomes overloaded (half of its waiting work will be
+// late in any order) and at which it no longer is (no work needs to be late). The hysteresis keeps
+// a load that oscillates around capacity from changing the job order each time. With a threshold at
+// the first late job, large jobs missed deadlines that the order by due time would have met.
+constexpr double kOverloadedRatio = 2.0;
+constexpr double kRelievedRatio = 1.0;
+
+bool uses_gpus(const JobSpec& spec) { return spec.demand.gpu > 0; }
+
+// Returns the GPUs if `gpu`, otherwise the CPUs.
+double resource_units(const Resources& r, bool gpu) {
     return static_cast<double>(gpu ? r.gpu : r.cpu) / 1000;
 }
 
-// What the machines that are there or coming up have.
-Resources fleet_size(const ClusterState& cluster) {
+// Returns the total capacity of the running and booting machines.
+Resources fleet_capacity(const ClusterState& cluster) {
     Resources sum;
     for (auto& m : cluster.machines)
         if (m && !m->abandoned && !m->terminating && m->type < cluster.types.size()) sum += m->size;
@@ -36,32 +37,32 @@
 // Sums over the jobs of one queue.
 struct QueueSums {
     QueueForecast queue;
-    bool gpu = false;        // its units are GPUs
-    double deadlines_s = 0;  // of the jobs that wait
+    bool gpu = false;        // whether its units are GPUs
+    double deadlines_s = 0;  // of the waiting jobs
     Priority priority = Priority::Low;
 };
 
-// Sums over all jobs; those by unit are indexed by whether it is a GPU.
+// Sums over all jobs. The arrays are indexed by whether the unit is a GPU.
 struct DemandSums {
     std::map<QueueKey, QueueSums> queues;
-    std::array<std::map<Priority, double>, 2> by_priority;  // units of all tasks, placed or not
-    std::array<double, 2> wanted{};                         // the same of all queues
+    std::array<std::map<Priority, double>, 2> by_priority;  // units of all placed and pending tasks
+    std::array<double, 2> demanded_units{};                 // the same over all priorities
 };
 
 void add_job(DemandSums& sums, const ClusterState& cluster, const Job& job) {
     auto& s = sums.queues[{job.spec.team, job.spec.job_class}];
     auto& q = s.queue;
-    bool gpu = by_gpu(job.spec);
-    double each = units(job.spec.demand, gpu);
-    double all = each * (job.placed + job.pending);
-    q.in_use += each * job.placed;
-    q.wanted += all;
+    bool gpu = uses_gpus(job.spec);
+    double units_per_task = resource_units(job.spec.demand, gpu);
+    double demanded = units_per_task * (job.placed + job.pending);
+    q.used_units += units_per_task * job.placed;
+    q.demanded_units += demanded;
     s.gpu = gpu;
     s.priority = std::max(s.priority, job.priority);
-    sums.by_priority[gpu][job.priority] += all;
+    sums.by_priority[gpu][job.priority] += demanded;
     if (job.pending == 0) return;
-    ++q.jobs;
-    q.waiting += waiting_work(cluster, job);
+    ++q.waiting_jobs;
+    q.waiting_work += waiting_work(cluster, job);
     s.deadlines_s += std::max(0.0, job.spec.deadline_s);
 }
 
@@ -69,126 +70,136 @@
     DemandSums sums;
     for (auto& job : cluster.jobs)
         if (job && job->active() && !job->waits) add_job(sums, cluster, *job);
-    for (auto& [key, s] : sums.queues) sums.wanted[s.gpu] += s.queue.wanted;
+    for (auto& [key, s] : sums.queues) sums.demanded_units[s.gpu] += s.queue.demanded_units;
     return sums;
 }
 
-// Within what time the users of the queue expect their jobs: the last of the class's times, else
-// the mean deadline of those that wait.
-double expected_within_s(const ClusterState& cluster, const QueueKey& key, const QueueSums& s) {
+// Returns the seconds within which users of the queue expect their jobs to be done: the longest
+// objective of the class, or the mean deadline of the waiting jobs if the class has none.
+double expected_target_s(const ClusterState& cluster, const QueueKey& key, const QueueSums& s) {
     if (key.job_class < cluster.classes.size() &&
         !cluster.classes[key.job_class].done_within_s.empty())
         return cluster.classes[key.job_class].done_within_s.back();
-    return s.queue.jobs > 0 ? s.deadlines_s / s.queue.jobs : 0;
+    return s.queue.waiting_jobs > 0 ? s.deadlines_s / s.queue.waiting_jobs : 0;
 }
 
-// The queue's part of what work of higher priority leaves of the fleet, shared with its equals in
-// proportion to what each wants.
-double left_by_higher_priority(const DemandSums& sums, const QueueSums& s, double fleet) {
-    double left = fleet, equals = 0;
-    for (auto& [priority, wanted] : sums.by_priority[s.gpu]) {
-        if (priority > s.priority) left -= wanted;
-        if (priority == s.priority) equals = wanted;
+// Returns the queue's share of the units that demand of higher priority leaves free. Queues of
+// equal priority share them in proportion to their demand.
+double units_left_by_higher_priority(const DemandSums& sums, const QueueSums& s,
+                                     double fleet_units) {
+    double left = fleet_units, equal_priority = 0;
+    for (auto& [priority, demanded_units] : sums.by_priority[s.gpu]) {
+        if (priority > s.priority) left -= demanded_units;
+        if (priority == s.priority) equal_priority = demanded_units;
     }
-    return equals > 0 ? std::max(0.0, left) * std::min(1.0, s.queue.wanted / equals) : 0;
+    if (equal_priority <= 0) return 0;
+    return std::max(0.0, left) * std::min(1.0, s.queue.demanded_units / equal_priority);
 }
 
-// Sets what the queue may count on. `learned`: what it had in use lately.
-void set_units(QueueForecast& q, const ClusterState& cluster, const DemandSums& sums,
-               const QueueKey& key, const QueueSums& s, double fleet, double learned) {
-    double part = sums.wanted[s.gpu] > 0 ? fleet * q.wanted / sums.wanted[s.gpu] : 0;
-    double left = left_by_higher_priority(sums, s, fleet);
+// Sets the units that the queue can count on. `recent`: units that it used recently.
+void set_expected_units(QueueForecast& q, const ClusterState& cluster, const DemandSums& sums,
+                        const QueueKey& key, const QueueSums& s, double fleet_units,
+                        double recent) {
+    double share = sums.demanded_units[s.gpu] > 0
+                       ? fleet_units * q.demanded_units / sums.demanded_units[s.gpu]
+                       : 0;
+    double left = units_left_by_higher_priority(sums, s, fleet_units);
     double limit =
-        key.team < cluster.teams.size() ? units(cluster.teams[key.team].limit, s.gpu) : 0;
+        key.team < cluster.teams.size() ? resource_units(cluster.teams[key.team].limit, s.gpu) : 0;
     if (limit > 0) {
-        part = std::min(part, limit);
+        share = std::min(share, limit);
         left = std::min(left, limit);
     }
-    double had = std::max(q.in_use, learned);
-    q.units = std::max(part, had);
-    q.left = std::max(left, had);
+    double used = std::max(q.used_units, recent);
+    q.expected_units = std::max(share, used);
+    q.units_after_higher_priority = std::max(left, used);
 }
 
 }  // namespace
 
 double waiting_work(const ClusterState& cluster, const Job& job) {
-    return job.pending * units(job.spec.demand, by_gpu(job.spec)) *
+    return job.pending * resource_units(job.spec.demand, uses_gpus(job.spec)) *
            std::max(1.0, cluster.expected_run_s(job.spec));
 }
 
-std::map<QueueKey, QueueForecast> forecast(const ClusterState& cluster,
-                                           const std::map<QueueKey, double>& used) {
+std::map<QueueKey, QueueForecast> forecast_queues(const ClusterState& cluster,
+                                                  const std::map<QueueKey, double>& recent_use) {
     std::map<QueueKey, QueueForecast> out;
     auto sums = sum_demand(cluster);
-    auto fleet = fleet_size(cluster);
+    auto fleet = fleet_capacity(cluster);
     for (auto& [key, s] : sums.queues) {
         auto& q = out[key] = s.queue;
-        q.within_s = expected_within_s(cluster, key, s);
-        auto learned = used.find(key);
-        set_units(q, cluster, sums, key, s, units(fleet, s.gpu),
-                  learned == used.end() ? 0 : learned->second);
-        if (q.jobs == 0) continue;
-        q.mean_work = q.waiting / q.jobs;
-        q.drain_s = q.units > 0 ? q.waiting / q.units : 0;  // no machine yet: nothing is known
+        q.target_s = expected_target_s(cluster, key, s);
+        auto recent = recent_use.find(key);
+        set_expected_units(q, cluster, sums, key, s, resource_units(fleet, s.gpu),
+                           recent == recent_use.end() ? 0 : recent->second);
+        if (q.waiting_jobs == 0) continue;
+        q.mean_work = q.waiting_work / q.waiting_jobs;
+        // Without machines, the drain time is unknown.
+        q.drain_s = q.expected_units > 0 ? q.waiting_work / q.expected_units : 0;
     }
     return out;
 }
 
-void Forecast::observe(ClusterState& cluster, double now) {
-    queues_ = forecast(cluster, used_);
+void OverloadForecast::observe(ClusterState& cluster, double now) {
+    queues_ = forecast_queues(cluster, recent_use_);
     learn_use(now);
     mark_abandoned_deadlines(cluster, now);
     mark_overloaded(cluster);
 }
 
-void Forecast::learn_use(double now) {
-    double keep = last_ > 0 ? std::exp(-(now - last_) / kLearn_s) : 0;
-    last_ = now;
+void OverloadForecast::learn_use(double now) {
+    double decay = last_observed_ > 0 ? std::exp(-(now - last_observed_) / kUseDecay_s) : 0;
+    last_observed_ = now;
     for (auto& [key, q] : queues_) {
-        auto& used = used_[key];
-        used = used * keep + q.in_use * (1 - keep);
+        auto& used = recent_use_[key];
+        used = used * decay + q.used_units * (1 - decay);
     }
-    std::erase_if(used_, [&](auto& u) { return !queues_.contains(u.first); });
+    std::erase_if(recent_use_, [&](auto& u) { return !queues_.contains(u.first); });
 }
 
-void Forecast::mark_abandoned_deadlines(ClusterState& cluster, double now) {
-    std::map<QueueKey, std::vector<Index>> jobs_of;
+void OverloadForecast::mark_abandoned_deadlines(ClusterState& cluster, double now) {
+    std::map<QueueKey, std::vector<Index>> jobs_by_queue;
     for (Index j = 0; j < cluster.jobs.size(); ++j)
         if (auto* job = cluster.jobs[j].get(); job && job->active() && !job->waits)
-            jobs_of[{job->spec.team, job->spec.job_class}].push_back(j);
-    for (auto& [key, jobs] : jobs_of) {
+            jobs_by_queue[{job->spec.team, job->spec.job_class}].push_back(j);
+    for (auto& [key, jobs] : jobs_by_queue) {
         auto& q = queues_[key];
-        // Where all of it fits at once, none waits for another.
-        abandon_deadlines(cluster, jobs, q.left < q.wanted ? q.left : 0, now);
-        q.abandoning = static_cast<uint32_t>(std::count_if(jobs.begin(), jobs.end(), [&](Index j) {
-            return cluster.jobs[j]->abandoned_deadlines > 0;
-        }));
+        // If all tasks of the queue fit at once, no job has to wait for another.
+        update_abandoned_deadlines(
+            cluster, jobs,
+            q.units_after_higher_priority < q.demanded_units ? q.units_after_higher_priority : 0,
+            now);
+        q.jobs_abandoning_deadline =
+            static_cast<uint32_t>(std::count_if(jobs.begin(), jobs.end(), [&](Index j) {
+                return cluster.jobs[j]->abandoned_deadlines > 0;
+            }));
     }
 }
 
-void Forecast::mark_overloaded(ClusterState& cluster) {
-    overloaded_ = 0;
+void OverloadForecast::mark_overloaded(ClusterState& cluster) {
+    overloaded_queues_ = 0;
     for (Index c = 0; c < cluster.classes.size(); ++c) {
         auto& by_team = cluster.classes[c].slowdown;
         by_team.resize(cluster.teams.size());
         for (Index t = 0; t < cluster.teams.size(); ++t) {
             by_team[t] = slowdown({t, c}, by_team[t] > 0);
-            if (by_team[t] > 0) ++overloaded_;
+            if (by_team[t] > 0) ++overloaded_queues_;
         }
     }
 }
 
-double Forecast::slowdown(const QueueKey& key, bool was_overloaded) const {
+double OverloadForecast::slowdown(const QueueKey& key, bool was_overloaded) const {
     auto it = queues_.find(key);
     if (it == queues_.end()) return 0;
     auto& q = it->second;
-    if (q.within_s <= 0 || q.mean_work <= 0) return 0;
-    bool overloaded = q.drain_s > q.within_s * (was_overloaded ? kRelieved : kOverloaded);
-    // A job of mean size waits as long as the queue takes to drain, others in proportion to their
-    // work.
+    if (q.target_s <= 0 || q.mean_work <= 0) return 0;
+    bool overloaded = q.drain_s > q.target_s * (was_overloaded ? kRelievedRatio : kOverloadedRatio);
+    // A job of mean size waits for as long as the queue takes to drain, other jobs in proportion to
+    // their work.
     return overloaded ? q.drain_s / q.mean_work : 0;
 }
 
-size_t Forecast::overloaded() const { return overloaded_; }
+size_t OverloadForecast::overloaded_queues() const { return overloaded_queues_; }
 
 }  // namespace weirmill
--- a/src/scheduler/placement.h
+++ b/src/scheduler/placement.h
@@ -1,13 +1,13 @@
-// Where waiting tasks go: best-fit decreasing by GPU demand, or CPU without GPUs. The order of the
-// jobs is that of job_order.h; gang_placement.h and array_placement.h place one job;
-// placement_pass.h holds what a pass shares among them.
+// Placement of waiting tasks on machines: best-fit decreasing by GPU demand, or by CPU demand for
+// tasks without GPUs. job_order.h defines the order of the jobs, gang_placement.h and
+// array_placement.h place a single job, and placement_pass.h holds the state that they share.
 #pragma once
 #include <functional>
 #include <vector>
 
 #include "scheduler/eligibility.h"
 #include "scheduler/job_order.h"
-#include "scheduler/zone_rule.h"
+#include "scheduler/zone_constraint.h"
 #include "state/cluster_state.h"
 
 namespace weirmill {
@@ -20,22 +20,28 @@
     bool operator==(const Placement&) const = default;
 };
 
-// True: the machine may be given tasks now.
-using Usable = std::function<bool(const Machine&)>;
+// Returns whether the machine may be given tasks now.
+using MachineFilter = std::function<bool(const Machine&)>;
 
-// Room to keep for a class whose jobs should start sooner than a new machine comes up.
+// Capacity to keep available for a job class whose jobs should start sooner than a new machine
+// boots.
 struct Headroom {
-    const JobSpec* like;
-    int64_t tasks;    // that should find room, free or soon cleared
-    int64_t at_once;  // of those, on empty machines: what comes while others are cleared
+    const JobSpec* spec;  // of a typical job of the class; not owned
+    int64_t tasks;        // tasks that should find capacity, free or soon freed by preemption
+    // Tasks out of these for which empty machines are kept: the arrivals that are expected while
+    // others wait for an eviction.
+    int64_t tasks_on_empty_machines;
 };
 
-// Places what fits, marking it in the cluster state, and returns it: about `most` tasks at the
-// most, as a gang is placed whole. Work of lower priority leaves the `headroom` machines empty.
-// `first`: jobs that go before their equals (start_deadline.h): of an array one task, as it has
-// begun then. `now`: steady clock, seconds. The caller must own the cluster state.
-std::vector<Placement> place_waiting(ClusterState& cluster, const Usable& usable, double now,
-                                     size_t most = 4096, const std::vector<Headroom>& headroom = {},
-                                     const std::vector<Index>& first = {});
+// Places the waiting tasks that fit, in the cluster state, and returns their placements. Stops
+// after `max_placements`, which a gang may exceed as it is placed as a whole. Jobs of lower
+// priority do not use the machines that `headroom` keeps empty. `near_start_deadline`: jobs that
+// are placed before the others of their precedence (start_deadline.h); an array among them gets
+// only one task early, because it counts as started then. `now`: steady clock, seconds. The caller
+// must own the cluster state.
+std::vector<Placement> place_waiting_jobs(ClusterState& cluster, const MachineFilter& usable,
+                                          double now, size_t max_placements = 4096,
+                                          const std::vector<Headroom>& headroom = {},
+                                          const std::vector<Index>& near_start_deadline = {});
 
 }  // namespace weirmill
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -12,87 +12,89 @@
 namespace weirmill {
 
 namespace {
-// Costs are sums of fractions: closer than this they are equal.
+// Costs are sums of fractions; smaller differences are rounding errors.
 constexpr double kEqualCosts = 1e-9;
 }  // namespace
 
-double preemption_cost(const ClearCandidate& c, const std::vector<uint32_t>& spans) {
-    double cost = c.singles;
-    for (auto g : c.gangs) cost += 1.0 / spans[g];
+double preemption_cost(const EvictionCandidate& c, const std::vector<uint32_t>& gang_spans) {
+    double cost = c.single_tasks;
+    for (auto g : c.gangs) cost += 1.0 / gang_spans[g];
     return cost;
 }
 
-std::vector<size_t> pick_cheapest(const std::vector<ClearCandidate>& candidates,
-                                  const std::vector<uint32_t>& spans, size_t n) {
-    auto left = candidates;
+std::vector<size_t> pick_cheapest(const std::vector<EvictionCandidate>& candidates,
+                                  const std::vector<uint32_t>& gang_spans, size_t n) {
+    auto remaining = candidates;
     std::vector<bool> picked(candidates.size(), false);
     std::vector<size_t> out;
     while (out.size() < n && out.size() < candidates.size()) {
         size_t best = candidates.size();
         double best_cost = 0;
-        for (size_t i = 0; i < left.size(); ++i) {
+        for (size_t i = 0; i < remaining.size(); ++i) {
             if (picked[i]) continue;
-            double cost = preemption_cost(left[i], spans);
+            double cost = preemption_cost(remaining[i], gang_spans);
             if (best < candidates.size() && cost >= best_cost - kEqualCosts) continue;
             best = i;
             best_cost = cost;
         }
         picked[best] = true;
         out.push_back(best);
-        // Its gangs are stopped everywhere: their shares leave the other machines' costs.
-        for (auto g : left[best].gangs)
-            for (size_t i = 0; i < left.size(); ++i)
-                if (i != best) std::erase(left[i].gangs, g);
+        // Its gangs are stopped on all machines, so they no longer add to the costs of the others.
+        for (auto g : remaining[best].gangs)
+            for (size_t i = 0; i < remaining.size(); ++i)
+                if (i != best) std::erase(remaining[i].gangs, g);
     }
     return out;
 }
 
-bool may_stop(const ClusterState& cluster, const Job& victim, const Job& job) {
-    // A job may take over the priority of a job that depends on it. A stop must be right with and
-    // without that: the victim counts with the priority it took over, the job that asks with its
-    // own alone.
-    if (victim.priority < job.spec.priority) return true;
-    // Work beyond its team's guarantee gives way to a team that is owed its own.
-    auto& owed = cluster.teams[job.spec.team];
-    auto& taker = cluster.teams[victim.spec.team];
-    return victim.spec.team != job.spec.team && cluster.over_guarantee(taker, victim.spec.demand) &&
-           cluster.within_guarantee(owed, job.spec.kind == JobKind::Array
-                                              ? job.spec.demand
-                                              : job.spec.demand * job.pending);
+bool may_preempt(const ClusterState& cluster, const Job& victim, const Job& preemptor) {
+    // A job may inherit the priority of a job that depends on it. Preemption must be justified with
+    // and without inheritance, so the victim counts with its inherited priority and the preemptor
+    // only with its own.
+    if (victim.priority < preemptor.spec.priority) return true;
+    // Work beyond its team's guarantee yields to a job within the guarantee of another team.
+    auto& preemptor_team = cluster.teams[preemptor.spec.team];
+    auto& victim_team = cluster.teams[victim.spec.team];
+    return victim.spec.team != preemptor.spec.team &&
+           cluster.over_guarantee(victim_team, victim.spec.demand) &&
+           cluster.within_guarantee(preemptor_team,
+                                    preemptor.spec.kind == JobKind::Array
+                                        ? preemptor.spec.demand
+                                        : preemptor.spec.demand * preemptor.pending);
 }
 
 namespace {
 
-// A search that found too few machines. Within a round machines are only taken, so where too few
-// were found for one job, there are too few for any other of the kind that wants as much.
+// A search that found too few machines. During a round, the available machines only become fewer,
+// so any later search of the same kind for at least as many tasks fails too.
 struct FailedSearch {
-    JobSpec like;
-    bool owed;       // its team is owed its guarantee, for this job
-    int64_t wanted;  // tasks that found no machines; more of them find none either
-    bool covers(const JobSpec& s, bool is_owed, int64_t wants) const {
-        return wants >= wanted && is_owed == owed && like.same_shape_as(s) && like.team == s.team &&
-               like.priority == s.priority && like.one_zone == s.one_zone &&
-               like.spread == s.spread;
+    JobSpec spec;
+    bool in_guarantee;  // the job was within its team's guarantee
+    int64_t wanted;     // number of tasks for which there were not enough machines
+    bool implies_failure(const JobSpec& s, bool s_in_guarantee, int64_t s_wanted) const {
+        return s_wanted >= wanted && s_in_guarantee == in_guarantee && spec.same_shape_as(s) &&
+               spec.team == s.team && spec.priority == s.priority && spec.one_zone == s.one_zone &&
+               spec.spread == s.spread;
     }
 };
 
-// Tasks of the waiting job that fit on a machine: into its free room, or once it is emptied.
-struct MachineFit {
+// How many tasks of the waiting job fit into the free capacity of a machine.
+struct FreeSlots {
     Index machine;
     int64_t tasks;
 };
 
-// What one job would get in one zone.
+// What one job would get in one zone, or in all zones if it is not bound to one.
 struct ZonePlan {
-    std::vector<ClearCandidate> candidates;  // machines that may be cleared
-    std::vector<int64_t> tasks;              // by candidate: that fit on the emptied machine
-    std::vector<uint32_t> spans;             // by gang of the candidates: machines it occupies
-    std::vector<size_t> picked;              // of the candidates, cheapest first
-    std::vector<MachineFit> free;            // room that needs no stop
-    int64_t missing = 0;                     // tasks that the free room does not hold
-    double cost = 0;                         // of the picked, as Algorithm 1 counts it
-
-    bool room_suffices() const { return missing <= 0; }
+    std::vector<EvictionCandidate> candidates;  // machines that may be evicted
+    std::vector<int64_t> tasks;                 // by candidate: tasks that fit on the empty machine
+    std::vector<uint32_t> gang_spans;           // by gang number: machines that it occupies
+    std::vector<size_t> picked;                 // indexes of candidates, cheapest first
+    std::vector<FreeSlots> free;                // capacity that needs no eviction
+    int64_t missing = 0;                        // tasks that don't fit into the free capacity
+    double cost = 0;                            // of the picked candidates, as in Algorithm 1
+
+    bool free_capacity_suffices() const { return missing <= 0; }
     int64_t picked_tasks() const {
         int64_t sum = 0;
         for (auto p : picked) sum += tasks[p];
@@ -109,20 +111,20 @@
     return static_cast<uint32_t>(machines.size());
 }
 
-// Numbers the gangs on the candidates of one plan in the order in which they are met, as
-// ClearCandidate::gangs and pick_cheapest have them.
-class GangNumbers {
+// Assigns numbers to the gangs on the candidates of one plan, in order of first occurrence. The
+// numbers are used in EvictionCandidate::gangs and as indexes into `gang_spans` of pick_cheapest.
+class GangNumbering {
   public:
-    // `spans`: of the plan; gets an entry for each gang.
-    GangNumbers(const ClusterState& cluster, std::vector<uint32_t>& spans)
-        : cluster_(cluster), spans_(spans) {}
+    // `gang_spans`: of the plan; an entry is appended for each gang.
+    GangNumbering(const ClusterState& cluster, std::vector<uint32_t>& gang_spans)
+        : cluster_(cluster), gang_spans_(gang_spans) {}
 
-    ClearCandidate candidate(Index machine) {
-        ClearCandidate c;
+    EvictionCandidate candidate(Index machine) {
+        EvictionCandidate c;
         c.machine = machine;
         for (auto& ref : cluster_.machines[machine]->tasks) {
             if (cluster_.jobs[ref.job]->spec.kind != JobKind::Gang) {
-                ++c.singles;
+                ++c.single_tasks;
                 continue;
             }
             auto gang = number(ref.job);
@@ -133,25 +135,25 @@
 
   private:
     Index number(Index job) {
-        auto [it, added] = numbers_.emplace(job, static_cast<Index>(spans_.size()));
-        if (added) spans_.push_back(machines_occupied(*cluster_.jobs[job]));
+        auto [it, added] = numbers_.emplace(job, static_cast<Index>(gang_spans_.size()));
+        if (added) gang_spans_.push_back(machines_occupied(*cluster_.jobs[job]));
         return it->second;
     }
 
     const ClusterState& cluster_;
-    std::vector<uint32_t>& spans_;
+    std::vector<uint32_t>& gang_spans_;
     std::map<Index, Index> numbers_;
 };
 
-// Among equal costs, machines that have the image: they are moved before the others, each part in
-// its order.
+// Moves the candidates that have the image before the others, keeping the order of each part. Of
+// equally cheap candidates, pick_cheapest then prefers those with the image.
 void prefer_machines_with_image(const ClusterState& cluster, Index image, ZonePlan& plan) {
     std::vector<size_t> order(plan.candidates.size());
     std::iota(order.begin(), order.end(), size_t{0});
     std::ranges::stable_partition(order, [&](size_t c) {
         return cluster.machines[plan.candidates[c].machine]->has_image(image);
     });
-    std::vector<ClearCandidate> candidates;
+    std::vector<EvictionCandidate> candidates;
     std::vector<int64_t> tasks;
     for (auto c : order) {
         candidates.push_back(std::move(plan.candidates[c]));
@@ -161,9 +163,9 @@
     plan.tasks = std::move(tasks);
 }
 
-// N of Algorithm 1: the fewest whole machines that fit what is missing, those that hold the most
-// first; nothing: all of them together don't.
-std::optional<size_t> fewest_machines(const ZonePlan& plan) {
+// Returns N of Algorithm 1: the smallest number of evicted machines that can hold the missing
+// tasks, or nothing if all candidates together can't hold them.
+std::optional<size_t> min_machines(const ZonePlan& plan) {
     auto tasks = plan.tasks;
     std::ranges::sort(tasks, std::greater<>());
     size_t n = 0;
@@ -173,64 +175,67 @@
     return n;
 }
 
-// Picks machines to clear for what is missing, cheapest first; with machines of different sizes N
-// may fall short, then one more is picked. False: all of them together don't hold it.
+// Picks the cheapest candidates to evict for the missing tasks. If machines differ in size, the N
+// cheapest may be too small together; then more are picked, one at a time. Returns false if all
+// candidates together can't hold the tasks.
 bool pick_machines(ZonePlan& plan) {
-    auto fewest = fewest_machines(plan);
-    if (!fewest) return false;
-    for (size_t n = *fewest; n <= plan.candidates.size(); ++n) {
-        plan.picked = pick_cheapest(plan.candidates, plan.spans, n);
+    auto minimum = min_machines(plan);
+    if (!minimum) return false;
+    for (size_t n = *minimum; n <= plan.candidates.size(); ++n) {
+        plan.picked = pick_cheapest(plan.candidates, plan.gang_spans, n);
         if (plan.picked_tasks() >= plan.missing) break;
     }
-    for (auto p : plan.picked) plan.cost += preemption_cost(plan.candidates[p], plan.spans);
+    for (auto p : plan.picked) plan.cost += preemption_cost(plan.candidates[p], plan.gang_spans);
     return true;
 }
 
-// Plans one round, job by job in the order of the queue.
+// Plans one round, job by job in queue order.
 class PreemptionPlanner {
   public:
-    PreemptionPlanner(const ClusterState& cluster, const Usable& usable, double now);
+    PreemptionPlanner(const ClusterState& cluster, const MachineFilter& usable, double now);
     PreemptionRound run();
 
   private:
     void plan_job(Index index);
-    bool owed_its_guarantee(const Job& job) const;
+    bool within_team_guarantee(const Job& job) const;
     int64_t tasks_wanted(Index index) const;
     int64_t tasks_within_limit(const Job& job) const;
     std::vector<Index> zones_to_try(const Job& job) const;
     std::optional<ZonePlan> cheapest_plan(const Job& job, int64_t wanted) const;
-    ZonePlan survey(const Job& job, Index zone, int64_t wanted) const;
-    bool considered(const Job& job, const ZoneRule& rule, Index zone, Index machine) const;
-    bool may_clear(const Job& job, const Machine& m) const;
-    void claim_free_room(const Job& job, const ZonePlan& plan, int64_t wanted,
-                         PreemptionRound::Clearing& clearing);
-    void clear(const ZonePlan& plan, PreemptionRound::Clearing& clearing);
+    ZonePlan collect_machines(const Job& job, Index zone, int64_t wanted) const;
+    bool may_plan_on(const Job& job, const ZoneConstraint& zones, Index zone, Index machine) const;
+    bool may_evict(const Job& job, const Machine& m) const;
+    void claim_free_capacity(const Job& job, const ZonePlan& plan, int64_t wanted,
+                             PreemptionRound::Eviction& eviction);
+    void evict(const ZonePlan& plan, PreemptionRound::Eviction& eviction);
     void stop(const TaskRef& ref);
     void stop_task(const TaskRef& ref);
 
     const ClusterState& cluster_;
-    const Usable& usable_;
+    const MachineFilter& usable_;
     double now_;
     PreemptionRound round_;
-    std::vector<bool> taken_;                       // by machine: reserved, or planned for a job
-    std::map<Index, std::vector<Index>> reserved_;  // machines that are being emptied, by job
-    std::set<std::pair<Index, uint32_t>> stopped_;  // tasks of round_.stops
-    // Of free room, what jobs before this one count on. Counted on by each of them, it once left
-    // eight gangs of 32 with machines cleared for 19 each, and none of them started for a minute.
-    std::vector<Resources> promised_;
-    std::vector<FailedSearch> failed_;
+    std::vector<bool> unavailable_;  // by machine: reserved, or planned for a job in this round
+    std::map<Index, std::vector<Index>> reserved_;  // by job: machines reserved for it
+    std::set<std::pair<Index, uint32_t>> stopped_;  // the tasks in round_.victims
+    // By machine: free capacity that earlier jobs of the round count on. When several jobs counted
+    // on the same capacity, eight gangs of 32 tasks got machines evicted for only 19 tasks each,
+    // and none of them started for a minute.
+    std::vector<Resources> claimed_;
+    std::vector<FailedSearch> failed_searches_;
 };
 
-PreemptionPlanner::PreemptionPlanner(const ClusterState& cluster, const Usable& usable, double now)
+PreemptionPlanner::PreemptionPlanner(const ClusterState& cluster, const MachineFilter& usable,
+                                     double now)
     : cluster_(cluster),
       usable_(usable),
       now_(now),
-      taken_(cluster.machines.size(), false),
-      promised_(cluster.machines.size()) {
+      unavailable_(cluster.machines.size(), false),
+      claimed_(cluster.machines.size()) {
     for (Index i = 0; i < cluster.machines.size(); ++i) {
         auto* m = cluster.machines[i].get();
         if (!m || !m->reserved(now)) continue;
-        taken_[i] = true;
+        unavailable_[i] = true;
         reserved_[m->reserved_for].push_back(i);
     }
 }
@@ -245,31 +250,33 @@
     auto& job = *cluster_.jobs[index];
     auto wanted = tasks_wanted(index);
     if (wanted <= 0) return;
-    bool owed = owed_its_guarantee(job);
-    // Where some of its tasks are placed, its zones are its own.
-    bool fresh_zones = job.placed == 0;
-    if (fresh_zones &&
-        std::ranges::any_of(failed_, [&](auto& f) { return f.covers(job.spec, owed, wanted); }))
+    bool in_guarantee = within_team_guarantee(job);
+    // If some of its tasks are placed, the allowed zones are specific to this job.
+    bool no_task_placed = job.placed == 0;
+    if (no_task_placed && std::ranges::any_of(failed_searches_, [&](auto& f) {
+            return f.implies_failure(job.spec, in_guarantee, wanted);
+        }))
         return;
     auto plan = cheapest_plan(job, wanted);
     if (!plan) {
-        if (fresh_zones) failed_.push_back({job.spec, owed, wanted});
+        if (no_task_placed) failed_searches_.push_back({job.spec, in_guarantee, wanted});
         return;
     }
-    PreemptionRound::Clearing clearing{index, {}, {}};
-    claim_free_room(job, *plan, wanted, clearing);
-    if (plan->room_suffices()) return;  // placement will take it
-    clear(*plan, clearing);
-    round_.clearings.push_back(std::move(clearing));
+    PreemptionRound::Eviction eviction{index, {}, {}};
+    claim_free_capacity(job, *plan, wanted, eviction);
+    if (plan->free_capacity_suffices()) return;  // the next placement pass will use it
+    evict(*plan, eviction);
+    round_.evictions.push_back(std::move(eviction));
 }
 
-// Whether the job stays within its team's guarantee: of a gang all tasks that wait, else one.
-bool PreemptionPlanner::owed_its_guarantee(const Job& job) const {
+// Returns whether the job is within its team's guarantee, with all pending tasks of a gang or one
+// task of another job.
+bool PreemptionPlanner::within_team_guarantee(const Job& job) const {
     auto demand = job.spec.kind == JobKind::Gang ? job.spec.demand * job.pending : job.spec.demand;
     return cluster_.within_guarantee(cluster_.teams[job.spec.team], demand);
 }
 
-// Tasks for which machines are to be found, beyond those already being emptied for the job.
+// Returns the number of tasks that need machines beyond those already reserved for the job.
 int64_t PreemptionPlanner::tasks_wanted(Index index) const {
     auto& job = *cluster_.jobs[index];
     auto wanted = tasks_within_limit(job);
@@ -278,7 +285,7 @@
     return wanted;
 }
 
-// Of the pending tasks, those that the team's limit allows: of a gang all or none.
+// Returns the number of pending tasks that the team's limit allows; for a gang, all or none.
 int64_t PreemptionPlanner::tasks_within_limit(const Job& job) const {
     auto& team = cluster_.teams[job.spec.team];
     if (job.spec.kind == JobKind::Gang)
@@ -296,13 +303,13 @@
     return zones;
 }
 
-// The plan of the first zone whose free room suffices, else of the cheapest; nothing: no zone holds
-// the job.
+// Returns the plan for the first zone whose free capacity suffices, or otherwise for the cheapest
+// zone, or nothing if the job fits in no zone.
 std::optional<ZonePlan> PreemptionPlanner::cheapest_plan(const Job& job, int64_t wanted) const {
     std::optional<ZonePlan> best;
     for (auto zone : zones_to_try(job)) {
-        auto plan = survey(job, zone, wanted);
-        if (plan.room_suffices()) return plan;
+        auto plan = collect_machines(job, zone, wanted);
+        if (plan.free_capacity_suffices()) return plan;
         prefer_machines_with_image(cluster_, job.spec.image, plan);
         if (!pick_machines(plan)) continue;
         if (!best || plan.cost < best->cost) best = std::move(plan);
@@ -310,70 +317,72 @@
     return best;
 }
 
-bool PreemptionPlanner::considered(const Job& job, const ZoneRule& rule, Index zone,
-                                   Index machine) const {
+bool PreemptionPlanner::may_plan_on(const Job& job, const ZoneConstraint& zones, Index zone,
+                                    Index machine) const {
     auto* m = cluster_.machines[machine].get();
-    if (!m || taken_[machine] || !usable_(*m) || !machine_suits(cluster_, job.spec, *m))
+    if (!m || unavailable_[machine] || !usable_(*m) || !machine_eligible(cluster_, job.spec, *m))
         return false;
-    return (zone == kNone || m->zone == zone) && rule.allows(m->zone);
+    return (zone == kNone || m->zone == zone) && zones.allows(m->zone);
 }
 
-bool PreemptionPlanner::may_clear(const Job& job, const Machine& m) const {
+bool PreemptionPlanner::may_evict(const Job& job, const Machine& m) const {
     return !m.tasks.empty() && std::ranges::all_of(m.tasks, [&](auto& ref) {
-        return may_stop(cluster_, *cluster_.jobs[ref.job], job);
+        return may_preempt(cluster_, *cluster_.jobs[ref.job], job);
     });
 }
 
-// Free room and machines that may be cleared, in the zone (kNone: in any), by index.
-ZonePlan PreemptionPlanner::survey(const Job& job, Index zone, int64_t wanted) const {
+// Collects the free capacity and the machines that may be evicted in the zone (kNone: in any), by
+// machine index.
+ZonePlan PreemptionPlanner::collect_machines(const Job& job, Index zone, int64_t wanted) const {
     ZonePlan plan;
     plan.missing = wanted;
-    ZoneRule rule(cluster_, job);
-    GangNumbers gangs(cluster_, plan.spans);
+    ZoneConstraint zones(cluster_, job);
+    GangNumbering gangs(cluster_, plan.gang_spans);
     for (Index i = 0; i < cluster_.machines.size(); ++i) {
-        if (!considered(job, rule, zone, i)) continue;
+        if (!may_plan_on(job, zones, zone, i)) continue;
         auto& m = *cluster_.machines[i];
-        auto free = job.spec.demand.times_in(m.room() - promised_[i]);
+        auto free = job.spec.demand.times_in(m.room() - claimed_[i]);
         if (free > 0) {
             plan.missing -= free;
             plan.free.push_back({i, free});
             continue;
         }
-        if (!(promised_[i] == Resources{}) || !may_clear(job, m)) continue;
+        if (!(claimed_[i] == Resources{}) || !may_evict(job, m)) continue;
         plan.candidates.push_back(gangs.candidate(i));
         plan.tasks.push_back(job.spec.demand.times_in(m.size));
     }
     return plan;
 }
 
-// Counts on free room for the tasks that the picked machines don't hold.
-void PreemptionPlanner::claim_free_room(const Job& job, const ZonePlan& plan, int64_t wanted,
-                                        PreemptionRound::Clearing& clearing) {
-    auto counted = plan.picked_tasks();
+// Claims free capacity for the tasks that don't fit on the picked machines.
+void PreemptionPlanner::claim_free_capacity(const Job& job, const ZonePlan& plan, int64_t wanted,
+                                            PreemptionRound::Eviction& eviction) {
+    auto planned = plan.picked_tasks();
     for (auto& f : plan.free) {
-        if (counted >= wanted) break;
+        if (planned >= wanted) break;
         auto& m = *cluster_.machines[f.machine];
-        auto n = std::min(f.tasks, wanted - counted);
-        counted += n;
-        promised_[f.machine] += job.spec.demand * n;
-        // A whole machine waits with those that are being emptied.
-        if (plan.room_suffices() || !m.tasks.empty() || job.spec.demand.times_in(m.size) > 1)
+        auto n = std::min(f.tasks, wanted - planned);
+        planned += n;
+        claimed_[f.machine] += job.spec.demand * n;
+        // An empty machine with room for only one task is reserved together with the evicted ones.
+        if (plan.free_capacity_suffices() || !m.tasks.empty() ||
+            job.spec.demand.times_in(m.size) > 1)
             continue;
-        taken_[f.machine] = true;
-        clearing.kept.push_back(f.machine);
+        unavailable_[f.machine] = true;
+        eviction.empty_machines.push_back(f.machine);
     }
 }
 
-void PreemptionPlanner::clear(const ZonePlan& plan, PreemptionRound::Clearing& clearing) {
+void PreemptionPlanner::evict(const ZonePlan& plan, PreemptionRound::Eviction& eviction) {
     for (auto p : plan.picked) {
         auto machine = plan.candidates[p].machine;
-        clearing.machines.push_back(machine);
-        taken_[machine] = true;
+        eviction.machines.push_back(machine);
+        unavailable_[machine] = true;
         for (auto& ref : cluster_.machines[machine]->tasks) stop(ref);
     }
 }
 
-// Gangs are stopped everywhere.
+// Stops a task on an evicted machine. A gang is stopped on all machines.
 void PreemptionPlanner::stop(const TaskRef& ref) {
     auto& victim = *cluster_.jobs[ref.job];
     if (victim.spec.kind != JobKind::Gang) return stop_task(ref);
@@ -382,32 +391,33 @@
 }
 
 void PreemptionPlanner::stop_task(const TaskRef& ref) {
-    if (stopped_.emplace(ref.job, ref.task).second) round_.stops.push_back(ref);
+    if (stopped_.emplace(ref.job, ref.task).second) round_.victims.push_back(ref);
 }
 
 }  // namespace
 
-PreemptionRound plan_preemption(const ClusterState& cluster, const Usable& usable, double now) {
+PreemptionRound plan_preemption(const ClusterState& cluster, const MachineFilter& usable,
+                                double now) {
     return PreemptionPlanner(cluster, usable, now).run();
 }
 
-std::string round_record(const PreemptionRound& round, const ClusterState& cluster,
-                         uint64_t number) {
+std::string preemption_round_json(const PreemptionRound& round, const ClusterState& cluster,
+                                  uint64_t number) {
     namespace json = boost::json;
-    // Bounded, so that the record fits the smallest value that the key-value store may allow.
+    // Keeps the record within the smallest value size that the key-value store may allow.
     constexpr size_t kMaxListed = 8;
-    json::array clearings;
-    for (auto& c : round.clearings) {
-        if (clearings.size() == kMaxListed) break;
+    json::array evictions;
+    for (auto& c : round.evictions) {
+        if (evictions.size() == kMaxListed) break;
         json::array machines;
         for (auto m : c.machines)
             if (machines.size() < kMaxListed) machines.emplace_back(cluster.machines[m]->name);
-        clearings.push_back(
+        evictions.push_back(
             json::object{{"job", cluster.jobs[c.job]->spec.id}, {"machines", std::move(machines)}});
     }
     return json::serialize(json::object{{"number", number},
-                                        {"clearings", std::move(clearings)},
-                                        {"stops", static_cast<uint64_t>(round.stops.size())}});
+                                        {"clearings", std::move(evictions)},
+                                        {"stops", static_cast<uint64_t>(round.victims.size())}});
 }
 
 }  // namespace weirmill
--- a/src/scheduler/preemption.h
+++ b/src/scheduler/preemption.h
@@ -1,5 +1,6 @@
-// Clearing machines for a job that needs them whole: Algorithm 1 of the Aryl paper (its section 4
-// and appendix B), with the differences that docs/design.md records.
+// Preemption: evicts machines, which means that all tasks on them are stopped, for jobs that need
+// machines to themselves. Implements Algorithm 1 of the Aryl paper (section 4 and appendix B) with
+// the differences that docs/design.md lists.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,35 +10,44 @@
 
 namespace weirmill {
 
-// One machine that may be cleared: the jobs on it, gangs by index. A task of an array or a service
-// counts as a job of its own on one machine.
-struct ClearCandidate {
+// A machine whose tasks may be evicted.
+struct EvictionCandidate {
     Index machine = kNone;
-    std::vector<Index> gangs;
-    uint32_t singles = 0;
+    std::vector<Index> gangs;  // gangs with tasks on it, by their number in the plan
+    // Array and service tasks on it. Each counts as a job on one machine.
+    uint32_t single_tasks = 0;
 };
 
-// Picks `n` candidates, cheapest first, scoring again after every pick. `spans[g]` is the number of
-// machines that gang g occupies. Ties go to the earlier candidate.
-std::vector<size_t> pick_cheapest(const std::vector<ClearCandidate>& candidates,
-                                  const std::vector<uint32_t>& spans, size_t n);
-double preemption_cost(const ClearCandidate& candidate, const std::vector<uint32_t>& spans);
+// Picks `n` candidates, cheapest first, and updates the costs of the others after each pick.
+// `gang_spans`: by gang, the number of machines that it occupies. Of equally cheap candidates the
+// earlier one is picked.
+std::vector<size_t> pick_cheapest(const std::vector<EvictionCandidate>& candidates,
+                                  const std::vector<uint32_t>& gang_spans, size_t n);
+// Returns the cost of evicting the candidate: 1 for each single task, and for each gang 1 divided
+// by the number of its machines.
+double preemption_cost(const EvictionCandidate& candidate, const std::vector<uint32_t>& gang_spans);
 
 struct PreemptionRound {
-    struct Clearing {
-        Index job;                    // for whom
-        std::vector<Index> machines;  // to be emptied
-        std::vector<Index> kept;      // empty already, and to be kept for it until those are
+    struct Eviction {
+        Index job;                    // the job that gets the machines
+        std::vector<Index> machines;  // machines to evict
+        // Machines that are empty already, to be reserved for the job until the others are.
+        std::vector<Index> empty_machines;
     };
-    std::vector<Clearing> clearings;
-    std::vector<TaskRef> stops;  // gangs everywhere, other tasks only on the machines to be emptied
+    std::vector<Eviction> evictions;
+    // Tasks to stop: all tasks of a preempted gang, other tasks only on the evicted machines.
+    std::vector<TaskRef> victims;
 };
 
-// Whether `victim` may be stopped for `job` by the rules of preemption.
-bool may_stop(const ClusterState& cluster, const Job& victim, const Job& job);
+// Returns whether the rules of preemption allow stopping `victim` in favour of `preemptor`.
+bool may_preempt(const ClusterState& cluster, const Job& victim, const Job& preemptor);
 
-PreemptionRound plan_preemption(const ClusterState& cluster, const Usable& usable, double now);
-std::string round_record(const PreemptionRound& round, const ClusterState& cluster,
-                         uint64_t number);
+// Plans one round of preemption. `now`: steady clock, seconds.
+PreemptionRound plan_preemption(const ClusterState& cluster, const MachineFilter& usable,
+                                double now);
+
+// Returns the round as JSON for the key-value store, with a bounded number of entries.
+std::string preemption_round_json(const PreemptionRound& round, const ClusterState& cluster,
+                                  uint64_t number);
 
 }  // namespace weirmill
--- a/src/scheduler/start_deadline.cpp
+++ b/src/scheduler/start_deadline.cpp
@@ -7,22 +7,23 @@
 namespace weirmill {
 
 namespace {
-// Part of the bound after which a job is near it: the rest is for machines to come free, heartbeats
-// and image fetches. At half of the bound, gangs that would have begun in time by themselves held
-// up others: on a day with a zone lost 0.83 began in time instead of 0.92.
-constexpr double kNearDeadline = 0.7;
+// Share of the bound after which a job is near its start deadline. The rest is left for machines to
+// come free, heartbeats and image fetches. With a share of 0.5, gangs that would have started in
+// time anyway delayed other jobs: on a day with the loss of a zone, 0.83 of the jobs started in
+// time instead of 0.92.
+constexpr double kNearDeadlineShare = 0.7;
 
-bool waits_to_begin(const Job& job, double now) {
+bool waits_to_start(const Job& job, double now) {
     return job.active() && !job.waits && job.placed + job.done == 0 && job.not_before <= now;
 }
 
-// Whether the machine may be kept for a gang that takes one whole with each task.
-bool may_keep(const ClusterState& cluster, const Machine& m, const Usable& usable, Index index,
-              double now) {
-    auto& spec = cluster.jobs[index]->spec;
-    if (!m.tasks.empty() || !usable(m) || !machine_suits(cluster, spec, m)) return false;
+// Returns whether the machine may be reserved for a gang whose tasks each take a whole machine.
+bool reservable_for_gang(const ClusterState& cluster, const Machine& m, const MachineFilter& usable,
+                         Index gang, double now) {
+    auto& spec = cluster.jobs[gang]->spec;
+    if (!m.tasks.empty() || !usable(m) || !machine_eligible(cluster, spec, m)) return false;
     if (spec.demand.times_in(m.size) != 1) return false;
-    return !m.reserved(now) || m.reserved_for == index;
+    return !m.reserved(now) || m.reserved_for == gang;
 }
 }  // namespace
 
@@ -32,8 +33,8 @@
     if (within_s <= 0) return out;
     for (Index j = 0; j < cluster.jobs.size(); ++j) {
         auto* job = cluster.jobs[j].get();
-        if (!job || !waits_to_begin(*job, now)) continue;
-        if (now - job->came_at() > kNearDeadline * within_s) out.push_back(j);
+        if (!job || !waits_to_start(*job, now)) continue;
+        if (now - job->came_at() > kNearDeadlineShare * within_s) out.push_back(j);
     }
     std::ranges::sort(out, [&](Index a, Index b) {
         return std::make_pair(cluster.jobs[a]->came_at(), a) <
@@ -42,21 +43,22 @@
     return out;
 }
 
-std::vector<Index> machines_for_gang(const ClusterState& cluster, const Usable& usable, Index j,
-                                     double now) {
+std::vector<Index> machines_to_reserve_for_gang(const ClusterState& cluster,
+                                                const MachineFilter& usable, Index j, double now) {
     auto& job = *cluster.jobs[j];
     auto& team = cluster.teams[job.spec.team];
     if (!cluster.within_limit(team, job.spec.demand * job.pending)) return {};
-    std::map<Index, std::vector<Index>> by_zone;  // of a gang not bound to one zone, all in one
-    ZoneRule rule(cluster, job);
+    std::map<Index, std::vector<Index>> by_zone;  // all under 0 if the gang may use several zones
+    ZoneConstraint zones(cluster, job);
     for (Index i = 0; i < cluster.machines.size(); ++i) {
         auto* m = cluster.machines[i].get();
-        if (!m || !may_keep(cluster, *m, usable, j, now) || !rule.allows(m->zone)) continue;
+        if (!m || !reservable_for_gang(cluster, *m, usable, j, now) || !zones.allows(m->zone))
+            continue;
         by_zone[job.spec.one_zone ? m->zone : 0].push_back(i);
     }
     std::vector<Index> best;
-    for (auto& [zone, list] : by_zone)
-        if (list.size() > best.size()) best = std::move(list);
+    for (auto& [zone, machines] : by_zone)
+        if (machines.size() > best.size()) best = std::move(machines);
     if (best.size() > job.pending) best.resize(job.pending);
     return best;
 }
--- a/src/scheduler/starvation.cpp
+++ b/src/scheduler/starvation.cpp
@@ -10,107 +10,113 @@
 
 namespace {
 
-// As in the names of the gauges, in the order of BlockedBy.
-constexpr std::array<const char*, kBlockedByKinds> kNames = {
+// Part of the gauge names, in the order of BlockedBy.
+constexpr std::array<const char*, kBlockedByCount> kGaugeNames = {
     "nothing", "back_off", "spared", "reserved", "quarantined", "unheard", "leaving"};
 
-// What one machine offers to a job.
-struct Offer {
+// A machine with room for tasks of a job.
+struct CandidateMachine {
     Index machine;
     Index zone;
     BlockedBy blocked_by;
-    int64_t tasks;
+    int64_t free_slots;
 };
 
-BlockedBy blocked_by(const ClusterState& cluster, const Machine& m, const Usable& usable, Index job,
-                     double now) {
+BlockedBy blocked_by(const ClusterState& cluster, const Machine& m, const MachineFilter& usable,
+                     Index job, double now) {
     if (m.interruption_at >= 0 || m.draining || m.terminating) return BlockedBy::Leaving;
     if (m.quarantined_until > now) return BlockedBy::Quarantined;
-    if (!usable(m)) return BlockedBy::Unheard;
+    if (!usable(m)) return BlockedBy::Unreachable;
     if (m.reserved(now) && m.reserved_for != job) return BlockedBy::Reserved;
-    if (!cluster.leaves_gpus_usable(cluster.jobs[job]->spec, m)) return BlockedBy::Spared;
+    if (!cluster.leaves_gpus_usable(cluster.jobs[job]->spec, m)) return BlockedBy::ReservedForGpus;
     return cluster.jobs[job]->not_before > now ? BlockedBy::BackOff : BlockedBy::Nothing;
 }
 
-// Room for tasks of the job, at most `wanted` on each machine; the least blocked first.
-std::vector<Offer> offers(const ClusterState& cluster, const std::vector<Index>& roomy,
-                          const Usable& usable, Index index, int64_t wanted, double now) {
+// Returns the machines with room for tasks of the job, least blocked first, with at most `needed`
+// tasks each.
+std::vector<CandidateMachine> least_blocked_first(const ClusterState& cluster,
+                                                  const std::vector<Index>& machines_with_room,
+                                                  const MachineFilter& usable, Index index,
+                                                  int64_t needed, double now) {
     auto& spec = cluster.jobs[index]->spec;
-    std::vector<Offer> out;
-    for (auto i : roomy) {
+    std::vector<CandidateMachine> out;
+    for (auto i : machines_with_room) {
         auto& m = *cluster.machines[i];
         if (!spec.demand.fits_in(m.room()) || !cluster.machine_allowed(spec, m)) continue;
-        auto tasks = std::min<int64_t>(spec.demand.times_in(m.room()), wanted);
-        out.push_back({i, m.zone, blocked_by(cluster, m, usable, index, now), tasks});
+        auto free_slots = std::min<int64_t>(spec.demand.times_in(m.room()), needed);
+        out.push_back({i, m.zone, blocked_by(cluster, m, usable, index, now), free_slots});
     }
     std::ranges::sort(out, [](auto& a, auto& b) { return a.blocked_by < b.blocked_by; });
     return out;
 }
 
-// The first of the offers that together with those before it holds the whole job; nothing: they
-// don't.
-std::optional<StarvedJob> starved(const ClusterState& cluster, const std::vector<Index>& roomy,
-                                  const Usable& usable, Index index, double now) {
+// Goes through the machines, least blocked first, until they hold all tasks that the job needs.
+// Returns the last of them and the reason that blocks it, or nothing if there is not enough room.
+std::optional<StarvedJob> starved(const ClusterState& cluster,
+                                  const std::vector<Index>& machines_with_room,
+                                  const MachineFilter& usable, Index index, double now) {
     auto& job = *cluster.jobs[index];
     auto& spec = job.spec;
-    // Of an array one task is enough to begin; all others begin whole.
-    int64_t wanted = spec.kind == JobKind::Array ? 1 : job.pending;
-    if (!cluster.within_limit(cluster.teams[spec.team], spec.demand * wanted)) return std::nullopt;
-    int64_t all = 0;
-    std::map<Index, int64_t> in_zone;
-    int64_t most_in_zone = spec.spread ? (spec.tasks + 1) / 2 : wanted;
-    for (auto& offer : offers(cluster, roomy, usable, index, wanted, now)) {
-        auto& here = in_zone[offer.zone];
-        auto n = std::min(offer.tasks, most_in_zone - here);
-        here += n;
-        all += n;
-        // Blocked by the strongest reason among the machines that it needs.
-        if ((spec.one_zone ? here : all) >= wanted)
-            return StarvedJob{index, offer.machine, offer.blocked_by};
+    // An array starts with one task, other jobs start as a whole.
+    int64_t needed = spec.kind == JobKind::Array ? 1 : job.pending;
+    if (!cluster.within_limit(cluster.teams[spec.team], spec.demand * needed)) return std::nullopt;
+    int64_t total = 0;
+    std::map<Index, int64_t> tasks_by_zone;
+    int64_t max_in_zone = spec.spread ? (spec.tasks + 1) / 2 : needed;
+    for (auto& candidate :
+         least_blocked_first(cluster, machines_with_room, usable, index, needed, now)) {
+        auto& zone_tasks = tasks_by_zone[candidate.zone];
+        auto n = std::min(candidate.free_slots, max_in_zone - zone_tasks);
+        zone_tasks += n;
+        total += n;
+        // The machines are sorted, so none that the job needs is blocked by a stronger reason.
+        if ((spec.one_zone ? zone_tasks : total) >= needed)
+            return StarvedJob{index, candidate.machine, candidate.blocked_by};
     }
     return std::nullopt;
 }
 
-// Jobs of which nothing was placed for so long since they could begin.
-std::vector<Index> jobs_not_begun(const ClusterState& cluster, double now, double waits_s) {
+// Returns the jobs that have been ready for at least `min_wait_s` seconds and have neither placed
+// nor finished tasks.
+std::vector<Index> jobs_not_started(const ClusterState& cluster, double now, double min_wait_s) {
     std::vector<Index> out;
     for (Index j = 0; j < cluster.jobs.size(); ++j) {
         auto* job = cluster.jobs[j].get();
         if (!job || !job->active() || job->waits || job->pending == 0) continue;
         if (job->placed > 0 || job->done > 0) continue;
-        if (now - job->came_at() >= waits_s) out.push_back(j);
+        if (now - job->came_at() >= min_wait_s) out.push_back(j);
     }
     return out;
 }
 
 }  // namespace
 
-std::vector<StarvedJob> starved_jobs(const ClusterState& cluster, const Usable& usable, double now,
-                                     double waits_s) {
-    auto waiting = jobs_not_begun(cluster, now, waits_s);
+std::vector<StarvedJob> starved_jobs(const ClusterState& cluster, const MachineFilter& usable,
+                                     double now, double min_wait_s) {
+    auto waiting = jobs_not_started(cluster, now, min_wait_s);
     if (waiting.empty()) return {};
-    // The machines that could hold any of them: where many wait, most are full, and need not be
-    // looked at for each.
-    auto least = smallest_demand(cluster, waiting);
-    std::vector<Index> roomy;
+    // When many jobs wait, most machines are full. Filtering those out once keeps them from being
+    // examined again for each job.
+    auto smallest = smallest_demand(cluster, waiting);
+    std::vector<Index> machines_with_room;
     for (Index i = 0; i < cluster.machines.size(); ++i) {
         auto* m = cluster.machines[i].get();
-        if (m && m->up && !m->abandoned && m->zone != kNone && least.fits_in(m->room()))
-            roomy.push_back(i);
+        if (m && m->up && !m->abandoned && m->zone != kNone && smallest.fits_in(m->room()))
+            machines_with_room.push_back(i);
     }
     std::vector<StarvedJob> out;
     for (auto j : waiting)
-        if (auto s = starved(cluster, roomy, usable, j, now)) out.push_back(*s);
+        if (auto s = starved(cluster, machines_with_room, usable, j, now)) out.push_back(*s);
     return out;
 }
 
 std::vector<Gauge> starved_gauges(const std::vector<StarvedJob>& starved) {
-    std::array<double, kBlockedByKinds> count{};
+    std::array<double, kBlockedByCount> count{};
     for (auto& s : starved) ++count[static_cast<size_t>(s.blocked_by)];
     std::vector<Gauge> out;
-    out.reserve(kBlockedByKinds + 1);
-    for (size_t k = 0; k < kBlockedByKinds; ++k)
-        out.push_back({std::string("jobs_starved_") + kNames[k], count[k]});
+    out.reserve(kBlockedByCount + 1);
+    for (size_t k = 0; k < kBlockedByCount; ++k)
+        out.push_back({std::string("jobs_starved_") + kGaugeNames[k], count[k]});
     out.push_back({"jobs_starved", static_cast<double>(starved.size())});
     return out;
 }
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -18,8 +18,8 @@
 
 // Figure 5 of the Aryl paper: a on servers 1 and 2, b on 3, c on 4 and 5, d on 5 and 6.
 struct Figure5 {
-    std::vector<ClearCandidate> servers{{0, {0}, 0}, {1, {0}, 0},    {2, {1}, 0},
-                                        {3, {2}, 0}, {4, {2, 3}, 0}, {5, {3}, 0}};
+    std::vector<EvictionCandidate> servers{{0, {0}, 0}, {1, {0}, 0},    {2, {1}, 0},
+                                           {3, {2}, 0}, {4, {2, 3}, 0}, {5, {3}, 0}};
     std::vector<uint32_t> spans{2, 1, 2, 2};
 };
 
@@ -54,10 +54,10 @@
     auto many = w.running(w.spec("req-1", JobKind::Array, 3, 2, 0, Priority::Low), {m0, m0, m1});
     auto big = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
     auto round = plan_preemption(w.cluster, any_machine, w.now);
-    ASSERT_EQ(round.clearings.size(), 1u);
-    EXPECT_EQ(round.clearings[0].job, big);
-    EXPECT_EQ(round.clearings[0].machines, std::vector<Index>{m1});
-    EXPECT_EQ(round.stops, (std::vector<TaskRef>{{many, 2}}));
+    ASSERT_EQ(round.evictions.size(), 1u);
+    EXPECT_EQ(round.evictions[0].job, big);
+    EXPECT_EQ(round.evictions[0].machines, std::vector<Index>{m1});
+    EXPECT_EQ(round.victims, (std::vector<TaskRef>{{many, 2}}));
 }
 
 TEST(Preemption, StopsGangsEverywhereAndCountsTheirOtherMachinesAsFree) {
@@ -67,9 +67,9 @@
     auto gang = w.running(w.spec("req-2", JobKind::Gang, 2, 4, 0, Priority::Low), {m1, m2});
     w.job(w.spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High));
     auto round = plan_preemption(w.cluster, any_machine, w.now);
-    ASSERT_EQ(round.clearings.size(), 1u);
-    EXPECT_EQ(round.clearings[0].machines, (std::vector<Index>{m1, m2}));
-    EXPECT_EQ(round.stops, (std::vector<TaskRef>{{gang, 0}, {gang, 1}}));
+    ASSERT_EQ(round.evictions.size(), 1u);
+    EXPECT_EQ(round.evictions[0].machines, (std::vector<Index>{m1, m2}));
+    EXPECT_EQ(round.victims, (std::vector<TaskRef>{{gang, 0}, {gang, 1}}));
 }
 
 TEST(Preemption, LeavesAloneWhatMayNotBeStopped) {
@@ -96,7 +96,7 @@
         w.running(w.spec("req-1", JobKind::Array, 1, 8, 0, row.victim, row.victim_team), {m});
         w.job(
             w.spec("req-2", JobKind::Array, 1, row.waiting_cpus, 0, row.waiting, row.waiting_team));
-        EXPECT_EQ(plan_preemption(w.cluster, any_machine, w.now).clearings.size(), row.clearings)
+        EXPECT_EQ(plan_preemption(w.cluster, any_machine, w.now).evictions.size(), row.clearings)
             << row.why;
     }
 }
@@ -108,7 +108,7 @@
     auto big = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
     w.cluster.machines[m0]->reserved_for = big;
     w.cluster.machines[m0]->reserved_until = w.now + 10;
-    EXPECT_TRUE(plan_preemption(w.cluster, any_machine, w.now).clearings.empty());
+    EXPECT_TRUE(plan_preemption(w.cluster, any_machine, w.now).evictions.empty());
 }
 
 TEST(Preemption, JobsOfARoundDoNotCountOnTheSameFreeRoom) {
@@ -126,13 +126,13 @@
     auto second = w.job(w.spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High));
     w.cluster.jobs[first]->submitted = 1;
     auto round = plan_preemption(w.cluster, any_machine, w.now);
-    ASSERT_EQ(round.clearings.size(), 2u);
-    EXPECT_EQ(round.clearings[0].job, first);
-    EXPECT_EQ(round.clearings[0].machines, std::vector<Index>{busy[0]});
-    EXPECT_EQ(round.clearings[0].kept, std::vector<Index>{free});
-    EXPECT_EQ(round.clearings[1].job, second);
-    EXPECT_EQ(round.clearings[1].machines, (std::vector<Index>{busy[1], busy[2]}));
-    EXPECT_TRUE(round.clearings[1].kept.empty());
+    ASSERT_EQ(round.evictions.size(), 2u);
+    EXPECT_EQ(round.evictions[0].job, first);
+    EXPECT_EQ(round.evictions[0].machines, std::vector<Index>{busy[0]});
+    EXPECT_EQ(round.evictions[0].empty_machines, std::vector<Index>{free});
+    EXPECT_EQ(round.evictions[1].job, second);
+    EXPECT_EQ(round.evictions[1].machines, (std::vector<Index>{busy[1], busy[2]}));
+    EXPECT_TRUE(round.evictions[1].empty_machines.empty());
 }
 
 TEST(Placement, WhatWasKeptForAJobIsFreeOnceItHasItsPlaces) {
@@ -143,9 +143,9 @@
         w.cluster.machines[i]->reserved_for = gang;
         w.cluster.machines[i]->reserved_until = w.now + 50;
     }
-    place_waiting(w.cluster, any_machine, w.now);
+    place_waiting_jobs(w.cluster, any_machine, w.now);
     auto next = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
-    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now),
+    EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now),
               (std::vector<Placement>{{next, 0, m1, 1}}));
 }
 
@@ -177,7 +177,7 @@
             w.cluster.machines[w.cluster.find_machine(name)]->images = {spec.image};
         w.job(spec);
         std::vector<std::string> on;
-        for (auto& p : place_waiting(w.cluster, any_machine, w.now))
+        for (auto& p : place_waiting_jobs(w.cluster, any_machine, w.now))
             on.push_back(w.cluster.machines[p.machine]->name);
         EXPECT_EQ(on, row.expected) << row.why;
     }
@@ -253,11 +253,11 @@
     auto gang = w.spec("req-8", JobKind::Gang, 1, 7, 0, Priority::High);
     std::vector<Headroom> headroom{{&gang, 2, 2}};
     w.job(w.spec("req-1", JobKind::Array, 20, 4, 0, Priority::Low));
-    auto placed = place_waiting(w.cluster, any_machine, w.now, 100, headroom);
+    auto placed = place_waiting_jobs(w.cluster, any_machine, w.now, 100, headroom);
     EXPECT_EQ(placed.size(),
               3u);  // one beside the other, two on the one empty machine that is not kept
     auto first = w.job(w.spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
-    place_waiting(w.cluster, any_machine, w.now, 100, headroom);
+    place_waiting_jobs(w.cluster, any_machine, w.now, 100, headroom);
     EXPECT_EQ(w.cluster.jobs[first]->placed, 2u);
 }
 
@@ -291,7 +291,7 @@
         settings.clear_s = row.clear_s;
         std::vector<std::pair<int64_t, int64_t>> got;
         for (auto& s : planned_headroom(w.cluster, settings, w.now))
-            got.emplace_back(s.tasks, s.at_once);
+            got.emplace_back(s.tasks, s.tasks_on_empty_machines);
         EXPECT_EQ(got, row.kept) << row.why;
     }
 }
@@ -336,7 +336,7 @@
     w.running(w.spec("req-1", JobKind::Array, 1, 5), {fuller});
     auto small = w.job(w.spec("req-2", JobKind::Array, 2, 3));
     auto needs_gpu = w.job(w.spec("req-3", JobKind::Array, 1, 1, 1, Priority::Low));
-    auto placed = place_waiting(w.cluster, any_machine, w.now);
+    auto placed = place_waiting_jobs(w.cluster, any_machine, w.now);
     EXPECT_EQ(placed, (std::vector<Placement>{
                           {small, 0, fuller, 1}, {small, 1, empty, 1}, {needs_gpu, 0, gpu, 1}}));
 }
@@ -347,7 +347,7 @@
     auto m1 = w.machine("m1");
     auto j = w.job(w.spec("req-1", JobKind::Array, 1, 3));
     w.cluster.machines[m1]->images = {w.cluster.jobs[j]->spec.image};
-    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now)[0].machine, m1);
+    EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now)[0].machine, m1);
 }
 
 // A cluster and its jobs drawn from a seed. `alike`: the tasks of many jobs are of the same few
@@ -408,7 +408,7 @@
     for (unsigned seed = 1; seed <= 600; ++seed) {
         auto fast = drawn(seed, seed % 2), plain = drawn(seed, seed % 2);
         for (auto* w : {&fast, &plain}) w->cluster.teams[0].limit = {};
-        auto got = place_waiting(fast.cluster, any_machine, fast.now);
+        auto got = place_waiting_jobs(fast.cluster, any_machine, fast.now);
         test::PlainPlacement reference{plain.cluster, any_machine, plain.now, {}};
         EXPECT_TRUE(got == reference.run()) << "seed " << seed;
         placed += got.size();
@@ -447,7 +447,8 @@
     w.job(other);
     auto j = w.job(near);
     w.cluster.machines[m]->images = {near.image};
-    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now), (std::vector<Placement>{{j, 0, m, 1}}));
+    EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now),
+              (std::vector<Placement>{{j, 0, m, 1}}));
 }
 
 TEST(Placement, ASmallTaskOfHigherPriorityIsNotStarvedBySmallerOnes) {
@@ -477,7 +478,7 @@
         auto big = w.job(w.spec("req-1", JobKind::Array, 2, row.cpus, 0, row.priority));
         auto small = w.job(w.spec("req-2", JobKind::Array, 3, 1));
         w.cluster.jobs[small]->submitted = 1;
-        place_waiting(w.cluster, any_machine, w.now);
+        place_waiting_jobs(w.cluster, any_machine, w.now);
         if (row.priority == Priority::High && row.cpus == 2) {
             EXPECT_EQ(w.cluster.jobs[big]->placed, 1u);
         }
@@ -504,7 +505,7 @@
         w.running(w.spec("req-2", JobKind::Array, 1, 2, 0, Priority::High, "blue"), {m[2]});
         w.job(w.spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High, "red"));
         auto small = w.job(w.spec("req-4", JobKind::Array, 20, 1, 0, Priority::Low, "red"));
-        place_waiting(w.cluster, any_machine, w.now);
+        place_waiting_jobs(w.cluster, any_machine, w.now);
         EXPECT_EQ(w.cluster.jobs[small]->placed, row.small_placed) << row.why;
     }
 }
@@ -560,7 +561,7 @@
         s.zone = w.cluster.names.zones.find("a");
         s.spot = false;
         w.job(s);
-        EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), row.placed) << row.why;
+        EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now).size(), row.placed) << row.why;
     }
 }
 
@@ -571,11 +572,11 @@
     auto s = w.spec("req-1", JobKind::Gang, 2, 7);
     s.one_zone = true;
     auto j = w.job(s);
-    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now),
+    EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now),
               (std::vector<Placement>{{j, 0, b0, 1}, {j, 1, b1, 1}}));
     s.id = "req-2";
     w.job(s);
-    EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
+    EXPECT_TRUE(place_waiting_jobs(w.cluster, any_machine, w.now).empty());
 }
 
 TEST(Placement, AGangWaitsForTheLastTaskOfItsOldAttempt) {
@@ -586,9 +587,9 @@
     auto j = w.running(w.spec("req-1", JobKind::Gang, 2, 4), {m0, m1});
     w.cluster.jobs[j]->gang_attempt = 1;
     w.cluster.unassign(j, 0, w.now);
-    EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
+    EXPECT_TRUE(place_waiting_jobs(w.cluster, any_machine, w.now).empty());
     w.cluster.unassign(j, 1, w.now);
-    auto placed = place_waiting(w.cluster, any_machine, w.now);
+    auto placed = place_waiting_jobs(w.cluster, any_machine, w.now);
     ASSERT_EQ(placed.size(), 2u);
     EXPECT_EQ(placed[0].attempt, 2u);
 }
@@ -599,9 +600,9 @@
     auto s = w.spec("req-1", JobKind::Array, 5, 1);
     s.spread = true;
     auto j = w.job(s);
-    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 3u);
+    EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now).size(), 3u);
     w.machine("b0", "std", "b");
-    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 2u);
+    EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now).size(), 2u);
     EXPECT_EQ(w.cluster.jobs[j]->placed, 5u);
 }
 
@@ -613,18 +614,18 @@
     s.one_zone = true;
     auto j = w.job(s);
     w.cluster.restore_placed(j, 0, w.cluster.add_machine("unheard", w.now), 1, 1);
-    EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
+    EXPECT_TRUE(place_waiting_jobs(w.cluster, any_machine, w.now).empty());
 }
 
 TEST(Quota, CountsEveryTaskThatMayBeThere) {
     World w;
     for (int i = 0; i < 6; ++i) w.machine("m" + std::to_string(i));
     auto j = w.job(w.spec("req-1", JobKind::Array, 6, 8, 0, Priority::Normal, "red"));
-    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 4u);  // 32 CPUs at most
-    w.cluster.jobs[j]->tasks[0].stopping = true;                         // told to stop is not gone
-    EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
+    EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now).size(), 4u);  // 32 CPUs at most
+    w.cluster.jobs[j]->tasks[0].stopping = true;  // told to stop is not gone
+    EXPECT_TRUE(place_waiting_jobs(w.cluster, any_machine, w.now).empty());
     w.cluster.finish(j, 0, w.now);
-    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 1u);
+    EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now).size(), 1u);
     EXPECT_EQ(w.cluster.teams[0].used, (Resources{32000, 0, 4000}));
 }
 
@@ -634,12 +635,12 @@
     World w;
     for (int i = 0; i < 6; ++i) w.machine("m" + std::to_string(i));
     auto small = w.job(w.spec("req-1", JobKind::Array, 40, 1, 0, Priority::Low, "red"));
-    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 32u);
+    EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now).size(), 32u);
     auto large = w.job(w.spec("req-2", JobKind::Array, 1, 7, 0, Priority::High, "red"));
     for (uint32_t t = 0; t < 6; ++t) w.cluster.finish(small, t, w.now);
-    EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
+    EXPECT_TRUE(place_waiting_jobs(w.cluster, any_machine, w.now).empty());
     w.cluster.finish(small, 6, w.now);
-    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now)[0].job, large);
+    EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now)[0].job, large);
 }
 
 TEST(Placement, CpuTasksLeaveWhatTheFreeGpusNeed) {
@@ -648,10 +649,10 @@
     w.machine("gpu", "gpu");  // 8 CPUs, 4 GPUs
     auto cpu_job = w.job(w.spec("req-2", JobKind::Array, 8, 1, 0, Priority::High));
     auto gpu_job = w.job(w.spec("req-1", JobKind::Array, 2, 1.5, 1, Priority::Low));
-    place_waiting(w.cluster, any_machine, w.now);
+    place_waiting_jobs(w.cluster, any_machine, w.now);
     EXPECT_EQ(w.cluster.jobs[cpu_job]->placed, 0u);  // they would keep it from going back
     EXPECT_EQ(w.cluster.jobs[gpu_job]->placed, 2u);
-    place_waiting(w.cluster, any_machine, w.now);
+    place_waiting_jobs(w.cluster, any_machine, w.now);
     EXPECT_EQ(w.cluster.jobs[cpu_job]->placed, 2u);  // 3 CPUs stay for the two free GPUs
 }
 
@@ -829,7 +830,7 @@
             w.job(w.spec("req-11", JobKind::Gang, row.tasks, row.cpus, 0, row.priority, row.team));
         auto round = plan_preemption(w.cluster, test::any_machine, w.now);
         size_t cleared = 0;
-        for (auto& c : round.clearings)
+        for (auto& c : round.evictions)
             if (c.job == second) cleared = c.machines.size();
         EXPECT_EQ(cleared, row.cleared) << row.what;
     }
@@ -864,7 +865,7 @@
             s.deadline_s = below(2) ? -1 : below(200);
             if (below(5) == 0) s.zone = w.cluster.names.zones.find("b");
             w.job(std::move(s));
-            if (j == jobs / 2) place_waiting(w.cluster, test::any_machine, w.now, 1000);
+            if (j == jobs / 2) place_waiting_jobs(w.cluster, test::any_machine, w.now, 1000);
         }
         auto kept = plan_scale_out(w.cluster, test::any_machine, {0.3, 2, 8}, w.now);
         for (size_t lists : {0, 1, 2})
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -178,7 +178,7 @@
         p.add({0}, row.needed);
         p.add({}, row.victim);
         p.add({2}, row.victim_needed);
-        EXPECT_EQ(may_stop(w.cluster, p.job(2), p.job(0)), row.may) << row.why;
+        EXPECT_EQ(may_preempt(w.cluster, p.job(2), p.job(0)), row.may) << row.why;
     }
 }
 
--- a/tests/placement_reference.h
+++ b/tests/placement_reference.h
@@ -12,7 +12,7 @@
 
 struct PlainPlacement {
     ClusterState& cluster;
-    Usable usable;
+    MachineFilter usable;
     double now;
     std::vector<Placement> out;
 
@@ -40,7 +40,7 @@
         auto* owner = cluster.jobs[m->reserved_for].get();
         return !owner || owner->priority < job.priority;
     }
-    Index best(Index j, const ZoneRule& rule, Index zone, bool image_only = false) const {
+    Index best(Index j, const ZoneConstraint& rule, Index zone, bool image_only = false) const {
         auto& job = *cluster.jobs[j];
         Index best = kNone;
         for (Index i = 0; i < cluster.machines.size(); ++i) {
@@ -48,7 +48,7 @@
             auto& m = *cluster.machines[i];
             if (!rule.allows(m.zone) || (zone != kNone && m.zone != zone) ||
                 !cluster.leaves_gpus_usable(job.spec, m) ||
-                (image_only && !image_near(cluster, m, job.spec.image)))
+                (image_only && !has_or_fetches_image(cluster, m, job.spec.image)))
                 continue;
             if (best == kNone || fit(job, i) < fit(job, best)) best = i;
         }
@@ -56,7 +56,7 @@
     }
     void array(Index j, bool image_only) {
         auto& job = *cluster.jobs[j];
-        ZoneRule rule(cluster, job);
+        ZoneConstraint rule(cluster, job);
         for (uint32_t t = 0; t < job.tasks.size(); ++t) {
             if (job.tasks[t].state != TaskState::Pending) continue;
             if (!cluster.within_limit(cluster.teams[job.spec.team], job.spec.demand)) return;
@@ -82,7 +82,8 @@
             std::map<Index, int64_t> near;
             for (auto i : open) {
                 auto& m = *cluster.machines[i];
-                if (cluster.machine_allowed(job.spec, m) && image_near(cluster, m, job.spec.image))
+                if (cluster.machine_allowed(job.spec, m) &&
+                    has_or_fetches_image(cluster, m, job.spec.image))
                     near[m.zone] += job.spec.demand.times_in(m.room());
             }
             for (auto& [z, n] : near)
@@ -91,7 +92,7 @@
                              [&](Index a, Index b) { return near[a] > near[b]; });
         }
         for (auto zone : zones) {
-            ZoneRule rule(cluster, job);
+            ZoneConstraint rule(cluster, job);
             std::vector<Index> chosen;
             for (uint32_t n = 0; n < job.pending; ++n) {
                 auto i = best(j, rule, zone);
--- a/tests/start_deadline_test.cpp
+++ b/tests/start_deadline_test.cpp
@@ -1,4 +1,4 @@
-// The bound on the wait until a job begins.
+// The bound on the wait until a job starts.
 #include "scheduler/start_deadline.h"
 
 #include <gtest/gtest.h>
@@ -11,74 +11,76 @@
 using test::any_machine;
 using test::World;
 
-TEST(StartDeadline, WhoIsLateToBegin) {
+TEST(StartDeadline, FindsJobsNearTheBound) {
     World w;
     auto m = w.machine("m0");
     auto old = w.job(w.spec("req-1", JobKind::Array, 3, 1));
     auto older = w.job(w.spec("req-2", JobKind::Gang, 2, 1));
-    auto begun = w.running(w.spec("req-3", JobKind::Array, 2, 1), {m});
-    auto waits = w.job(w.spec("req-4", JobKind::Array, 1, 1));
+    auto started = w.running(w.spec("req-3", JobKind::Array, 2, 1), {m});
+    auto dependent = w.job(w.spec("req-4", JobKind::Array, 1, 1));
     auto cancelled = w.job(w.spec("req-5", JobKind::Array, 1, 1));
     auto fresh = w.job(w.spec("req-6", JobKind::Array, 1, 1));
-    for (auto j : {old, older, begun, waits, cancelled, fresh})
+    for (auto j : {old, older, started, dependent, cancelled, fresh})
         w.cluster.jobs[j]->seen_at = w.now - 169;
     w.cluster.jobs[older]->seen_at = w.now - 200;
     w.cluster.jobs[fresh]->seen_at = w.now - 167;
-    w.cluster.jobs[waits]->waits = true;
+    w.cluster.jobs[dependent]->waits = true;
     w.cluster.jobs[cancelled]->cancelled = true;
     EXPECT_EQ(jobs_near_start_deadline(w.cluster, 240, w.now), (std::vector<Index>{older, old}));
     EXPECT_TRUE(jobs_near_start_deadline(w.cluster, 0, w.now).empty());
 }
 
-TEST(StartDeadline, ALateJobGoesBeforeItsEqualsAndNoFurther) {
+TEST(StartDeadline, LateJobOvertakesOnlyItsEquals) {
     struct Row {
-        const char* why;
-        Priority late;
+        const char* description;
+        Priority late_priority;
         JobKind kind;
         uint32_t tasks;
-        uint32_t placed;  // of the late job; of 8 places, all of which the other would take
+        uint32_t placed;  // tasks of the late job; the other job could use all 8 CPUs
     };
     const Row rows[] = {
-        {"an array begins with one task", Priority::Normal, JobKind::Array, 5, 1},
-        {"a gang whole", Priority::Normal, JobKind::Gang, 5, 5},
-        {"not before a higher priority", Priority::Low, JobKind::Array, 5, 0},
+        {"an array gets one task", Priority::Normal, JobKind::Array, 5, 1},
+        {"a gang is placed as a whole", Priority::Normal, JobKind::Gang, 5, 5},
+        {"a higher priority still comes first", Priority::Low, JobKind::Array, 5, 0},
     };
     for (auto& row : rows) {
         World w;
         w.machine("m0");
         auto other = w.job(w.spec("req-1", JobKind::Array, 8, 1));
-        auto late = w.job(w.spec("req-2", row.kind, row.tasks, 1, 0, row.late));
-        w.cluster.jobs[late]->submitted = 2000;  // behind by the order among equals
-        place_waiting(w.cluster, any_machine, w.now, 4096, {}, {late});
-        EXPECT_EQ(w.cluster.jobs[late]->placed, row.placed) << row.why;
-        EXPECT_EQ(w.cluster.jobs[other]->placed, 8 - row.placed) << row.why;
+        auto late = w.job(w.spec("req-2", row.kind, row.tasks, 1, 0, row.late_priority));
+        // Later than the other job, so behind it by default.
+        w.cluster.jobs[late]->submitted = 2000;
+        place_waiting_jobs(w.cluster, any_machine, w.now, 4096, {}, {late});
+        EXPECT_EQ(w.cluster.jobs[late]->placed, row.placed) << row.description;
+        EXPECT_EQ(w.cluster.jobs[other]->placed, 8 - row.placed) << row.description;
     }
 }
 
-TEST(StartDeadline, MachinesAreGatheredForAGangThatSmallerOnesPassBy) {
-    // Each machine that came free went to a gang of one, and the wide one never saw three together.
+TEST(StartDeadline, ReservesMachinesForLateGang) {
+    // Guards against starvation of a wide gang: each machine that came free was given to a gang of
+    // one task, so three machines were never free at the same time.
     World w;
-    std::vector<Index> on;
+    std::vector<Index> machines;
     for (auto* name : {"a0", "a1", "b0", "b1", "b2"})
-        on.push_back(w.machine(name, "std", std::string(1, name[0])));
+        machines.push_back(w.machine(name, "std", std::string(1, name[0])));
     auto spec = w.spec("req-1", JobKind::Gang, 3, 7, 0, Priority::High);
     spec.one_zone = true;
     auto wide = w.job(spec);
-    w.running(w.spec("req-9", JobKind::Gang, 1, 7, 0, Priority::High), {on[4]});
-    EXPECT_EQ(machines_for_gang(w.cluster, any_machine, wide, w.now),
-              (std::vector<Index>{on[0], on[1]}));
-    w.running(w.spec("req-8", JobKind::Gang, 1, 7, 0, Priority::High), {on[0]});
-    auto kept = machines_for_gang(w.cluster, any_machine, wide, w.now);
-    EXPECT_EQ(kept, (std::vector<Index>{on[2], on[3]}));
-    for (auto i : kept) {
+    w.running(w.spec("req-9", JobKind::Gang, 1, 7, 0, Priority::High), {machines[4]});
+    EXPECT_EQ(machines_to_reserve_for_gang(w.cluster, any_machine, wide, w.now),
+              (std::vector<Index>{machines[0], machines[1]}));
+    w.running(w.spec("req-8", JobKind::Gang, 1, 7, 0, Priority::High), {machines[0]});
+    auto reserved = machines_to_reserve_for_gang(w.cluster, any_machine, wide, w.now);
+    EXPECT_EQ(reserved, (std::vector<Index>{machines[2], machines[3]}));
+    for (auto i : reserved) {
         w.cluster.machines[i]->reserved_for = wide;
         w.cluster.machines[i]->reserved_until = w.now + 5;
     }
     auto small = w.job(w.spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
-    place_waiting(w.cluster, any_machine, w.now);
+    place_waiting_jobs(w.cluster, any_machine, w.now);
     EXPECT_EQ(w.cluster.jobs[small]->placed, 0u);
-    w.cluster.finish(w.cluster.machines[on[4]]->tasks[0].job, 0, w.now);
-    place_waiting(w.cluster, any_machine, w.now, 4096, {}, {wide});
+    w.cluster.finish(w.cluster.machines[machines[4]]->tasks[0].job, 0, w.now);
+    place_waiting_jobs(w.cluster, any_machine, w.now, 4096, {}, {wide});
     EXPECT_EQ(w.cluster.jobs[wide]->placed, 3u);
 }
 
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -1,3 +1,4 @@
+// Detection of starved jobs and of the reason that keeps them from free capacity.
 #include "scheduler/starvation.h"
 
 #include <gtest/gtest.h>
@@ -9,65 +10,78 @@
 
 using test::World;
 
-TEST(Starvation, IsAJobThatWaitsWhileItsRoomStandsFreeAndWhatHoldsThat) {
+TEST(Starvation, FindsStarvedJobsAndWhatBlocksThem) {
     struct Row {
-        const char* what;
+        const char* description;
         std::function<void(World&, Job&)> change;
-        std::optional<BlockedBy> held;  // nothing: it waits for a reason
+        std::optional<BlockedBy> blocked_by;  // empty: the job does not count as starved
         JobKind kind = JobKind::Array;
         uint32_t tasks = 2;
         double cpus = 4;
     };
-    auto all = [](World& w, auto&& change) {
+    auto for_each_machine = [](World& w, auto&& change) {
         for (auto& m : w.cluster.machines) change(*m);
     };
     const Row rows[] = {
-        {"room stands free", [](World&, Job&) {}, BlockedBy::Nothing},
-        {"it came a while ago only", [](World& w, Job& j) { j.seen_at = w.now - 10; },
+        {"capacity is free", [](World&, Job&) {}, BlockedBy::Nothing},
+        {"the job arrived recently", [](World& w, Job& j) { j.seen_at = w.now - 10; },
          std::nullopt},
-        {"it waits for another", [](World&, Job& j) { j.waits = true; }, std::nullopt},
-        {"it is cancelled", [](World&, Job& j) { j.cancelled = true; }, std::nullopt},
-        {"it failed", [](World& w, Job& j) { j.not_before = w.now + 5; }, BlockedBy::BackOff},
-        {"its team is at its limit",
+        {"the job waits for a dependency", [](World&, Job& j) { j.waits = true; }, std::nullopt},
+        {"the job is cancelled", [](World&, Job& j) { j.cancelled = true; }, std::nullopt},
+        {"the job failed and is retried later", [](World& w, Job& j) { j.not_before = w.now + 5; },
+         BlockedBy::BackOff},
+        {"the team is at its limit",
          [](World& w, Job& j) { w.cluster.teams[j.spec.team].used = {32000, 0, 0}; }, std::nullopt},
-        {"reserved for another",
+        {"machines reserved for another job",
          [&](World& w, Job&) {
-             all(w, [&](Machine& m) { m.reserved_for = 7, m.reserved_until = w.now + 9; });
+             for_each_machine(
+                 w, [&](Machine& m) { m.reserved_for = 7, m.reserved_until = w.now + 9; });
          },
          BlockedBy::Reserved},
-        {"reserved for itself",
+        {"machines reserved for the job itself",
          [&](World& w, Job&) {
-             all(w, [&](Machine& m) { m.reserved_for = 0, m.reserved_until = w.now + 9; });
+             for_each_machine(
+                 w, [&](Machine& m) { m.reserved_for = 0, m.reserved_until = w.now + 9; });
          },
          BlockedBy::Nothing},
-        {"a reservation that is over",
+        {"expired reservations",
          [&](World& w, Job&) {
-             all(w, [&](Machine& m) { m.reserved_for = 7, m.reserved_until = w.now - 1; });
+             for_each_machine(
+                 w, [&](Machine& m) { m.reserved_for = 7, m.reserved_until = w.now - 1; });
          },
          BlockedBy::Nothing},
-        {"in quarantine",
-         [&](World& w, Job&) { all(w, [&](Machine& m) { m.quarantined_until = w.now + 9; }); },
+        {"machines in quarantine",
+         [&](World& w, Job&) {
+             for_each_machine(w, [&](Machine& m) { m.quarantined_until = w.now + 9; });
+         },
          BlockedBy::Quarantined},
-        {"unheard", [&](World& w, Job&) { all(w, [&](Machine& m) { m.downlink.lost_since = 1; }); },
-         BlockedBy::Unheard},
-        {"closing", [&](World& w, Job&) { all(w, [&](Machine& m) { m.draining = true; }); },
+        {"lost downlinks",
+         [&](World& w, Job&) {
+             for_each_machine(w, [&](Machine& m) { m.downlink.lost_since = 1; });
+         },
+         BlockedBy::Unreachable},
+        {"draining machines",
+         [&](World& w, Job&) { for_each_machine(w, [&](Machine& m) { m.draining = true; }); },
          BlockedBy::Leaving},
-        {"one of two is free", [&](World& w, Job&) { w.cluster.machines[0]->draining = true; },
-         BlockedBy::Nothing},
-        {"not up", [&](World& w, Job&) { all(w, [&](Machine& m) { m.up = false; }); },
+        {"one of two machines drains",
+         [&](World& w, Job&) { w.cluster.machines[0]->draining = true; }, BlockedBy::Nothing},
+        {"machines that are not up",
+         [&](World& w, Job&) { for_each_machine(w, [&](Machine& m) { m.up = false; }); },
          std::nullopt},
-        {"given up", [&](World& w, Job&) { all(w, [&](Machine& m) { m.abandoned = true; }); },
+        {"abandoned machines",
+         [&](World& w, Job&) { for_each_machine(w, [&](Machine& m) { m.abandoned = true; }); },
          std::nullopt},
-        {"of another zone",
+        {"machines in another zone only",
          [&](World& w, Job& j) { j.spec.zone = w.cluster.names.zones.intern("b"); }, std::nullopt},
-        {"a gang that fits both", [](World&, Job&) {}, BlockedBy::Nothing, JobKind::Gang, 4},
-        {"a gang too large for both", [](World&, Job&) {}, std::nullopt, JobKind::Gang, 5},
-        {"a gang for which one of both is closing",
+        {"a gang that fits on both machines", [](World&, Job&) {}, BlockedBy::Nothing,
+         JobKind::Gang, 4},
+        {"a gang too large for both machines", [](World&, Job&) {}, std::nullopt, JobKind::Gang, 5},
+        {"a gang that needs both machines, one drains",
          [&](World& w, Job&) { w.cluster.machines[1]->draining = true; }, BlockedBy::Leaving,
          JobKind::Gang, 4},
-        {"half of a gang in one zone at most", [](World&, Job& j) { j.spec.spread = true; },
-         std::nullopt, JobKind::Gang, 4},
-        {"a gang whose whole is over the limit",
+        {"a spread gang with machines in one zone only",
+         [](World&, Job& j) { j.spec.spread = true; }, std::nullopt, JobKind::Gang, 4},
+        {"a gang that exceeds the team's limit as a whole",
          [](World& w, Job& j) { w.cluster.teams[j.spec.team].used = {24000, 0, 0}; }, std::nullopt,
          JobKind::Gang, 4},
     };
@@ -80,15 +94,15 @@
         w.cluster.jobs[j]->seen_at = w.now - 100;
         row.change(w, *w.cluster.jobs[j]);
         auto usable = [](const Machine& m) { return m.up && !m.downlink.downlink_lost(); };
-        auto found = starved_jobs(w.cluster, usable, w.now, kStarvedAfter_s);
-        ASSERT_EQ(found.size(), row.held ? 1u : 0u) << row.what;
-        if (row.held) {
-            EXPECT_EQ(found[0].blocked_by, *row.held) << row.what;
+        auto found = starved_jobs(w.cluster, usable, w.now, kStarvationThreshold_s);
+        ASSERT_EQ(found.size(), row.blocked_by ? 1u : 0u) << row.description;
+        if (row.blocked_by) {
+            EXPECT_EQ(found[0].blocked_by, *row.blocked_by) << row.description;
         }
         std::map<std::string, double> gauges;
         for (auto& g : starved_gauges(found))
             EXPECT_TRUE(gauges.emplace(g.name, g.value).second) << g.name;
-        EXPECT_EQ(gauges.at("jobs_starved"), static_cast<double>(found.size())) << row.what;
+        EXPECT_EQ(gauges.at("jobs_starved"), static_cast<double>(found.size())) << row.description;
     }
 }
 
