--- a/src/scheduler/overload_forecast.cpp
+++ b/src/scheduler/overload_forecast.cpp
@@ -36,7 +36,7 @@
 
 // Sums over the jobs of one queue.
 struct QueueSums {
-    QueueForecast queue;
+    QueueForecast forecast;
     bool gpu = false;        // whether its units are GPUs
     double deadlines_s = 0;  // of the waiting jobs
     Priority priority = Priority::Low;
@@ -50,69 +50,74 @@
 };
 
 void add_job(DemandSums& sums, const ClusterState& cluster, const Job& job) {
-    auto& s = sums.queues[{job.spec.team, job.spec.job_class}];
-    auto& q = s.queue;
+    auto& queue_sums = sums.queues[{job.spec.team, job.spec.job_class}];
+    auto& queue = queue_sums.forecast;
     bool gpu = uses_gpus(job.spec);
     double units_per_task = resource_units(job.spec.demand, gpu);
     double demanded = units_per_task * (job.placed + job.pending);
-    q.used_units += units_per_task * job.placed;
-    q.demanded_units += demanded;
-    s.gpu = gpu;
-    s.priority = std::max(s.priority, job.priority);
+    queue.used_units += units_per_task * job.placed;
+    queue.demanded_units += demanded;
+    queue_sums.gpu = gpu;
+    queue_sums.priority = std::max(queue_sums.priority, job.priority);
     sums.by_priority[gpu][job.priority] += demanded;
     if (job.pending == 0) return;
-    ++q.waiting_jobs;
-    q.waiting_work += waiting_work(cluster, job);
-    s.deadlines_s += std::max(0.0, job.spec.deadline_s);
+    ++queue.waiting_jobs;
+    queue.waiting_work += waiting_work(cluster, job);
+    queue_sums.deadlines_s += std::max(0.0, job.spec.deadline_s);
 }
 
 DemandSums sum_demand(const ClusterState& cluster) {
     DemandSums sums;
     for (auto& job : cluster.jobs)
         if (job && job->active() && !job->waits) add_job(sums, cluster, *job);
-    for (auto& [key, s] : sums.queues) sums.demanded_units[s.gpu] += s.queue.demanded_units;
+    for (auto& [key, queue_sums] : sums.queues)
+        sums.demanded_units[queue_sums.gpu] += queue_sums.forecast.demanded_units;
     return sums;
 }
 
 // Returns the seconds within which users of the queue expect their jobs to be done: the longest
 // objective of the class, or the mean deadline of the waiting jobs if the class has none.
-double expected_target_s(const ClusterState& cluster, const QueueKey& key, const QueueSums& s) {
+double expected_target_s(const ClusterState& cluster, const QueueKey& key,
+                         const QueueSums& queue_sums) {
     if (key.job_class < cluster.classes.size() &&
         !cluster.classes[key.job_class].done_within_s.empty())
         return cluster.classes[key.job_class].done_within_s.back();
-    return s.queue.waiting_jobs > 0 ? s.deadlines_s / s.queue.waiting_jobs : 0;
+    return queue_sums.forecast.waiting_jobs > 0
+               ? queue_sums.deadlines_s / queue_sums.forecast.waiting_jobs
+               : 0;
 }
 
 // Returns the queue's share of the units that demand of higher priority leaves free. Queues of
 // equal priority share them in proportion to their demand.
-double units_left_by_higher_priority(const DemandSums& sums, const QueueSums& s,
+double units_left_by_higher_priority(const DemandSums& sums, const QueueSums& queue_sums,
                                      double fleet_units) {
     double left = fleet_units, equal_priority = 0;
-    for (auto& [priority, demanded_units] : sums.by_priority[s.gpu]) {
-        if (priority > s.priority) left -= demanded_units;
-        if (priority == s.priority) equal_priority = demanded_units;
+    for (auto& [priority, demanded_units] : sums.by_priority[queue_sums.gpu]) {
+        if (priority > queue_sums.priority) left -= demanded_units;
+        if (priority == queue_sums.priority) equal_priority = demanded_units;
     }
     if (equal_priority <= 0) return 0;
-    return std::max(0.0, left) * std::min(1.0, s.queue.demanded_units / equal_priority);
+    return std::max(0.0, left) * std::min(1.0, queue_sums.forecast.demanded_units / equal_priority);
 }
 
 // Sets the units that the queue can count on. `recent`: units that it used recently.
-void set_expected_units(QueueForecast& q, const ClusterState& cluster, const DemandSums& sums,
-                        const QueueKey& key, const QueueSums& s, double fleet_units,
+void set_expected_units(QueueForecast& queue, const ClusterState& cluster, const DemandSums& sums,
+                        const QueueKey& key, const QueueSums& queue_sums, double fleet_units,
                         double recent) {
-    double share = sums.demanded_units[s.gpu] > 0
-                       ? fleet_units * q.demanded_units / sums.demanded_units[s.gpu]
+    double share = sums.demanded_units[queue_sums.gpu] > 0
+                       ? fleet_units * queue.demanded_units / sums.demanded_units[queue_sums.gpu]
+                       : 0;
+    double left = units_left_by_higher_priority(sums, queue_sums, fleet_units);
+    double limit = key.team < cluster.teams.size()
+                       ? resource_units(cluster.teams[key.team].limit, queue_sums.gpu)
                        : 0;
-    double left = units_left_by_higher_priority(sums, s, fleet_units);
-    double limit =
-        key.team < cluster.teams.size() ? resource_units(cluster.teams[key.team].limit, s.gpu) : 0;
     if (limit > 0) {
         share = std::min(share, limit);
         left = std::min(left, limit);
     }
-    double used = std::max(q.used_units, recent);
-    q.expected_units = std::max(share, used);
-    q.units_after_higher_priority = std::max(left, used);
+    double used = std::max(queue.used_units, recent);
+    queue.expected_units = std::max(share, used);
+    queue.units_after_higher_priority = std::max(left, used);
 }
 
 }  // namespace
@@ -127,16 +132,17 @@
     std::map<QueueKey, QueueForecast> out;
     auto sums = sum_demand(cluster);
     auto fleet = fleet_capacity(cluster);
-    for (auto& [key, s] : sums.queues) {
-        auto& q = out[key] = s.queue;
-        q.target_s = expected_target_s(cluster, key, s);
+    for (auto& [key, queue_sums] : sums.queues) {
+        auto& queue = out[key] = queue_sums.forecast;
+        queue.target_s = expected_target_s(cluster, key, queue_sums);
         auto recent = recent_use.find(key);
-        set_expected_units(q, cluster, sums, key, s, resource_units(fleet, s.gpu),
+        set_expected_units(queue, cluster, sums, key, queue_sums,
+                           resource_units(fleet, queue_sums.gpu),
                            recent == recent_use.end() ? 0 : recent->second);
-        if (q.waiting_jobs == 0) continue;
-        q.mean_work = q.waiting_work / q.waiting_jobs;
+        if (queue.waiting_jobs == 0) continue;
+        queue.mean_work = queue.waiting_work / queue.waiting_jobs;
         // Without machines, the drain time is unknown.
-        q.drain_s = q.expected_units > 0 ? q.waiting_work / q.expected_units : 0;
+        queue.drain_s = queue.expected_units > 0 ? queue.waiting_work / queue.expected_units : 0;
     }
     return out;
 }
@@ -151,9 +157,9 @@
 void OverloadForecast::learn_use(double now) {
     double decay = last_observed_ > 0 ? std::exp(-(now - last_observed_) / kUseDecay_s) : 0;
     last_observed_ = now;
-    for (auto& [key, q] : queues_) {
+    for (auto& [key, queue] : queues_) {
         auto& used = recent_use_[key];
-        used = used * decay + q.used_units * (1 - decay);
+        used = used * decay + queue.used_units * (1 - decay);
     }
     std::erase_if(recent_use_, [&](auto& u) { return !queues_.contains(u.first); });
 }
@@ -164,13 +170,14 @@
         if (auto* job = cluster.jobs[j].get(); job && job->active() && !job->waits)
             jobs_by_queue[{job->spec.team, job->spec.job_class}].push_back(j);
     for (auto& [key, jobs] : jobs_by_queue) {
-        auto& q = queues_[key];
+        auto& queue = queues_[key];
         // If all tasks of the queue fit at once, no job has to wait for another.
-        update_abandoned_deadlines(
-            cluster, jobs,
-            q.units_after_higher_priority < q.demanded_units ? q.units_after_higher_priority : 0,
-            now);
-        q.jobs_abandoning_deadline =
+        update_abandoned_deadlines(cluster, jobs,
+                                   queue.units_after_higher_priority < queue.demanded_units
+                                       ? queue.units_after_higher_priority
+                                       : 0,
+                                   now);
+        queue.jobs_abandoning_deadline =
             static_cast<uint32_t>(std::count_if(jobs.begin(), jobs.end(), [&](Index j) {
                 return cluster.jobs[j]->abandoned_deadlines > 0;
             }));
@@ -192,12 +199,13 @@
 double OverloadForecast::slowdown(const QueueKey& key, bool was_overloaded) const {
     auto it = queues_.find(key);
     if (it == queues_.end()) return 0;
-    auto& q = it->second;
-    if (q.target_s <= 0 || q.mean_work <= 0) return 0;
-    bool overloaded = q.drain_s > q.target_s * (was_overloaded ? kRelievedRatio : kOverloadedRatio);
+    auto& queue = it->second;
+    if (queue.target_s <= 0 || queue.mean_work <= 0) return 0;
+    bool overloaded =
+        queue.drain_s > queue.target_s * (was_overloaded ? kRelievedRatio : kOverloadedRatio);
     // A job of mean size waits for as long as the queue takes to drain, other jobs in proportion to
     // their work.
-    return overloaded ? q.drain_s / q.mean_work : 0;
+    return overloaded ? queue.drain_s / queue.mean_work : 0;
 }
 
 size_t OverloadForecast::overloaded_queues() const { return overloaded_queues_; }
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -87,17 +87,17 @@
 // What one job would get in one zone, or in all zones if it is not bound to one.
 struct ZonePlan {
     std::vector<EvictionCandidate> candidates;  // machines that may be evicted
-    std::vector<int64_t> tasks;                 // by candidate: tasks that fit on the empty machine
+    std::vector<int64_t> tasks_when_empty;      // by candidate: tasks that fit on the empty machine
     std::vector<uint32_t> gang_spans;           // by gang number: machines that it occupies
     std::vector<size_t> picked;                 // indexes of candidates, cheapest first
-    std::vector<FreeSlots> free;                // capacity that needs no eviction
-    int64_t missing = 0;                        // tasks that don't fit into the free capacity
+    std::vector<FreeSlots> free_slots;          // capacity that needs no eviction
+    int64_t missing_tasks = 0;                  // tasks that don't fit into the free capacity
     double cost = 0;                            // of the picked candidates, as in Algorithm 1
 
-    bool free_capacity_suffices() const { return missing <= 0; }
+    bool free_capacity_suffices() const { return missing_tasks <= 0; }
     int64_t picked_tasks() const {
         int64_t sum = 0;
-        for (auto p : picked) sum += tasks[p];
+        for (auto p : picked) sum += tasks_when_empty[p];
         return sum;
     }
 };
@@ -157,21 +157,21 @@
     std::vector<int64_t> tasks;
     for (auto c : order) {
         candidates.push_back(std::move(plan.candidates[c]));
-        tasks.push_back(plan.tasks[c]);
+        tasks.push_back(plan.tasks_when_empty[c]);
     }
     plan.candidates = std::move(candidates);
-    plan.tasks = std::move(tasks);
+    plan.tasks_when_empty = std::move(tasks);
 }
 
 // Returns N of Algorithm 1: the smallest number of evicted machines that can hold the missing
 // tasks, or nothing if all candidates together can't hold them.
 std::optional<size_t> min_machines(const ZonePlan& plan) {
-    auto tasks = plan.tasks;
+    auto tasks = plan.tasks_when_empty;
     std::ranges::sort(tasks, std::greater<>());
     size_t n = 0;
     int64_t sum = 0;
-    while (n < tasks.size() && sum < plan.missing) sum += tasks[n++];
-    if (sum < plan.missing) return std::nullopt;
+    while (n < tasks.size() && sum < plan.missing_tasks) sum += tasks[n++];
+    if (sum < plan.missing_tasks) return std::nullopt;
     return n;
 }
 
@@ -183,7 +183,7 @@
     if (!minimum) return false;
     for (size_t n = *minimum; n <= plan.candidates.size(); ++n) {
         plan.picked = pick_cheapest(plan.candidates, plan.gang_spans, n);
-        if (plan.picked_tasks() >= plan.missing) break;
+        if (plan.picked_tasks() >= plan.missing_tasks) break;
     }
     for (auto p : plan.picked) plan.cost += preemption_cost(plan.candidates[p], plan.gang_spans);
     return true;
@@ -335,7 +335,7 @@
 // machine index.
 ZonePlan PreemptionPlanner::collect_machines(const Job& job, Index zone, int64_t wanted) const {
     ZonePlan plan;
-    plan.missing = wanted;
+    plan.missing_tasks = wanted;
     ZoneConstraint zones(cluster_, job);
     GangNumbering gangs(cluster_, plan.gang_spans);
     for (Index i = 0; i < cluster_.machines.size(); ++i) {
@@ -343,13 +343,13 @@
         auto& m = *cluster_.machines[i];
         auto free = job.spec.demand.times_in(m.room() - claimed_[i]);
         if (free > 0) {
-            plan.missing -= free;
-            plan.free.push_back({i, free});
+            plan.missing_tasks -= free;
+            plan.free_slots.push_back({i, free});
             continue;
         }
         if (!(claimed_[i] == Resources{}) || !may_evict(job, m)) continue;
         plan.candidates.push_back(gangs.candidate(i));
-        plan.tasks.push_back(job.spec.demand.times_in(m.size));
+        plan.tasks_when_empty.push_back(job.spec.demand.times_in(m.size));
     }
     return plan;
 }
@@ -358,7 +358,7 @@
 void PreemptionPlanner::claim_free_capacity(const Job& job, const ZonePlan& plan, int64_t wanted,
                                             PreemptionRound::Eviction& eviction) {
     auto planned = plan.picked_tasks();
-    for (auto& f : plan.free) {
+    for (auto& f : plan.free_slots) {
         if (planned >= wanted) break;
         auto& m = *cluster_.machines[f.machine];
         auto n = std::min(f.tasks, wanted - planned);
