--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -138,13 +138,13 @@
     out["machines_deaf"] = static_cast<double>(downlinks_lost);
     out["tasks_placed"] = static_cast<double>(tasks_placed);
     out["tasks_pending"] = static_cast<double>(tasks_pending);
-    out["queues_pressed"] = static_cast<double>(forecast_.overloaded());
+    out["queues_pressed"] = static_cast<double>(forecast_.overloaded_queues());
     auto is_usable_now = usable_predicate(context_);
     for (auto& gauge :
          capacity_gauges(capacity_breakdown(context_.cluster, is_usable_now, context_.now)))
         out[gauge.name] = gauge.value;
     for (auto& gauge : starved_gauges(
-             starved_jobs(context_.cluster, is_usable_now, context_.now, kStarvedAfter_s)))
+             starved_jobs(context_.cluster, is_usable_now, context_.now, kStarvationThreshold_s)))
         out[gauge.name] = gauge.value;
 }
 
@@ -249,16 +249,16 @@
 void Leader::log_capacity() {
     if (!spdlog::should_log(spdlog::level::debug) || context_.now < next_capacity_log_at_) return;
     next_capacity_log_at_ = context_.now + kCapacityLogInterval_s;
-    spdlog::debug("capacity: {}", capacity_text(capacity_breakdown(
+    spdlog::debug("capacity: {}", capacity_summary(capacity_breakdown(
                                       context_.cluster, usable_predicate(context_), context_.now)));
     for (auto& [key, queue] : forecast_.queues())
-        if (queue.jobs > 0)
+        if (queue.waiting_jobs > 0)
             spdlog::debug(
                 "queue: class {} of team {}, {} jobs waiting, {} of them abandon a deadline, "
                 "{:.0f} units in use, {:.0f} left, drains in {:.0f}s of {:.0f}s",
                 context_.cluster.names.classes.name(key.job_class),
-                context_.cluster.names.teams.name(key.team), queue.jobs, queue.abandoning,
-                queue.in_use, queue.left, queue.drain_s, queue.within_s);
+                context_.cluster.names.teams.name(key.team), queue.waiting_jobs, queue.jobs_abandoning_deadline,
+                queue.used_units, queue.units_after_higher_priority, queue.drain_s, queue.target_s);
 }
 
 void Leader::handle(ScaleOutFinished& message) {
--- a/src/controller/planning_inputs.h
+++ b/src/controller/planning_inputs.h
@@ -16,7 +16,7 @@
 [[nodiscard]] bool is_usable(const LeaderContext& context, const Machine& machine);
 
 // Returns is_usable as a predicate. It refers to `context`, which must outlive it.
-[[nodiscard]] inline Usable usable_predicate(const LeaderContext& context) {
+[[nodiscard]] inline MachineFilter usable_predicate(const LeaderContext& context) {
     return [&context](const Machine& machine) { return is_usable(context, machine); };
 }
 
