--- a/src/controller/cloud_client.cpp
+++ b/src/controller/cloud_client.cpp
@@ -36,7 +36,7 @@
         if (now >= pause_until_ && rate_limiter_.available(now) >= 1) break;
         co_await sleep_s(kTurnPoll_s);
     }
-    rate_limiter_.take(1);
+    rate_limiter_.consume(1);
     auto answer = co_await http_.request(method, std::move(target), std::move(body), timeout_s);
     if (is_trouble(answer)) {
         std::uniform_real_distribution<double> pause_s(kMinTroublePause_s, kMaxTroublePause_s);
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -166,9 +166,9 @@
             task.start_seq >= heartbeat.seq)
             continue;
         if (reported.contains({job.spec.id, ref.task}))
-            seen.start_taken = true;
+            seen.launch_confirmed = true;
         else
-            seen.start_missing = true;
+            seen.launch_missing = true;
     }
     if (!observe_heartbeat(machine.downlink, seen, context_.settings, context_.now)) return;
     context_.metrics.count("machines_deaf_total");
--- a/src/controller/heartbeat_handler.h
+++ b/src/controller/heartbeat_handler.h
@@ -46,7 +46,8 @@
     void redirect_held();
     // The lease has not been valid for so long that heartbeats may not be answered any more.
     [[nodiscard]] bool past_grace() const {
-        return context_.now > context_.term->lease_valid_until + answering_grace(context_.settings);
+        return context_.now >
+               context_.term->lease_valid_until + leader_grace_period(context_.settings);
     }
 
   private:
--- a/src/controller/instance_manager.cpp
+++ b/src/controller/instance_manager.cpp
@@ -85,7 +85,7 @@
 void InstanceManager::check_machine(Index index, Machine& machine, const FleetView& fleet) {
     // Until its lease has certainly run out, whatever was placed there may be running.
     bool expired =
-        context_.now > worker_lease_expiry(context_.settings, machine, context_.term->won);
+        context_.now > worker_lease_expiry(context_.settings, machine, context_.term->won_at);
     if (expired && machine.up) return lease_expired(index, machine);
     abandon_unreachable(machine, fleet);
     abandon_unheard(machine, fleet);
@@ -130,7 +130,7 @@
     bool running = machine.up_at > 0 || machine.status == MachineStatus::Running;
     if (machine.up || !running || machine.abandoned) return;
     bool zone_silent = machine.zone < fleet.silent_zones.size() && fleet.silent_zones[machine.zone];
-    double since = std::max({machine.last_heartbeat, responses_blocked_at_, context_.term->won});
+    double since = std::max({machine.last_heartbeat, responses_blocked_at_, context_.term->won_at});
     if (context_.now - since <= context_.settings.lease_s + replacement_s(machine, zone_silent))
         return;
     spdlog::info("machine: {} no heartbeat for too long, terminated", machine.name);
@@ -149,7 +149,7 @@
 // Silent, and no longer listed: interrupted, as it seems. To terminate it costs nothing and proves
 // it gone, long before its lease would.
 void InstanceManager::abandon_unlisted(Machine& machine) const {
-    bool silent = context_.now - std::max(machine.last_heartbeat, context_.term->won) >
+    bool silent = context_.now - std::max(machine.last_heartbeat, context_.term->won_at) >
                   silence_s(context_.settings);
     bool overdue = context_.now - machine.added > 2 * context_.settings.list_lag_s + 1;
     bool unlisted = listed_once_ && (machine.listed ? machine.missing : overdue);
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -197,7 +197,7 @@
     // Machines that a predecessor provisioned may not be listed yet: without waiting, they would be
     // provisioned again.
     if (!context_.cluster.jobs.empty())
-        instance_manager_.defer_scale_out(context_.term->won + 2 * context_.settings.list_lag_s);
+        instance_manager_.defer_scale_out(context_.term->won_at + 2 * context_.settings.list_lag_s);
     next_round_ = context_.now + context_.properties.preemption_round_s / 2;
     ready_ = true;
     spdlog::info("leader: ready token={} jobs={} machines={}", context_.term->fencing_token,
--- a/src/controller/leader_knowledge.cpp
+++ b/src/controller/leader_knowledge.cpp
@@ -5,7 +5,7 @@
 namespace weirmill {
 
 bool LeaderKnowledge::record_report(const std::string& leader, uint64_t fencing_token) {
-    bool news = fencing_token > std::max(reported_fencing_token_, election_.as_of());
+    bool news = fencing_token > std::max(reported_fencing_token_, election_.observed_revision());
     if (!news || leader.empty()) return false;
     reported_leader_ = leader;
     reported_fencing_token_ = fencing_token;
--- a/src/controller/leader_knowledge.h
+++ b/src/controller/leader_knowledge.h
@@ -43,7 +43,9 @@
     double answered_at() const { return answered_at_; }
 
   private:
-    bool reported_is_newer() const { return reported_fencing_token_ > election_.as_of(); }
+    bool reported_is_newer() const {
+        return reported_fencing_token_ > election_.observed_revision();
+    }
 
     const Election& election_;
     std::string reported_leader_;
--- a/src/controller/request_router.cpp
+++ b/src/controller/request_router.cpp
@@ -49,19 +49,19 @@
 
 void RequestRouter::set_up_membership() {
     Membership::Hooks hooks;
-    hooks.workers = [this] {
+    hooks.worker_counts = [this] {
         double now = steady_now();
         if (leader_ && leader_->ready())
             return leader_links(leader_->cluster(), membership_->times(), settings_.lease_s, now);
         LinkStatus r;
-        r.direct_workers = roster_.stranded(leader_knowledge_->fencing_token(),
-                                            membership_->times().controller_cycle_s, now);
+        r.direct_workers = roster_.workers_without_leader(
+            leader_knowledge_->fencing_token(), membership_->times().controller_cycle_s, now);
         return r;
     };
-    hooks.leads_since = [this]() -> std::optional<double> {
+    hooks.leading_since = [this]() -> std::optional<double> {
         if (!leader_ || !leader_->ready() || !leader_->lease_valid(steady_now()))
             return std::nullopt;
-        return term_->won;
+        return term_->won_at;
     };
     hooks.transfer_leadership = [this](const TransferRecord& to) {
         leader_->transfer_leadership([this, to, term = std::weak_ptr(term_)] {
--- a/src/controller/request_router_http.cpp
+++ b/src/controller/request_router_http.cpp
@@ -64,7 +64,7 @@
         {"token", static_cast<double>(leader_knowledge_->fencing_token())}};
     if (leader_ && leader_->ready()) leader_->gauges(gauges);
     if (membership_->enabled()) membership_->gauges(gauges);
-    gauges["workers_relayed"] = static_cast<double>(roster_.relayed(steady_now()));
+    gauges["workers_relayed"] = static_cast<double>(roster_.relayed_workers(steady_now()));
     HttpReply reply{200, metrics_.text(gauges)};
     reply.content_type = "text/plain; version=0.0.4";
     return reply;
--- a/src/controller/state_log_writer.cpp
+++ b/src/controller/state_log_writer.cpp
@@ -46,7 +46,7 @@
         case KvOutcome::Invalid:
             return true;
         case KvOutcome::Conflict:
-            return !names_leader(result.failed);
+            return !names_leader(result.failed_keys);
         default:
             return false;
     }
@@ -107,7 +107,7 @@
     if (budget < (context_.state_log.urgent() ? kMinUrgentChanges : kMinChanges)) return;
     auto batch = context_.state_log.next(static_cast<int>(budget));
     if (batch.empty()) return;
-    rate_.take(static_cast<double>(batch.txn.changes.size()));
+    rate_.consume(static_cast<double>(batch.txn.changes.size()));
     mark_ends(batch, true);
     in_flight_ = true;
     asio::co_spawn(context_.io, commit(context_.keep_alive(), std::move(batch)), asio::detached);
@@ -161,7 +161,7 @@
     if (keys.applied) {
         result.outcome = KvOutcome::Ok;
         result.value = keys.version;
-        result.failed.clear();
+        result.failed_keys.clear();
         return Reconciliation::Decided;
     }
     if (result.outcome != KvOutcome::Invalid) return Reconciliation::Decided;
@@ -184,7 +184,7 @@
     in_flight_ = false;
     auto& result = transaction.result;
     if (result.outcome == KvOutcome::Ok) return committed(transaction);
-    if (names_leader(result.failed)) {
+    if (names_leader(result.failed_keys)) {
         spdlog::info("leader: deposed, a transaction found another leader");
         context_.term->ended = true;
         return;
@@ -264,7 +264,7 @@
 // Only a job that has ended already may stand in the way, or one that a standby controller has
 // accepted, or cancelled, meanwhile.
 void StateLogWriter::conflicted(TransactionFinished& transaction) {
-    auto& failed = transaction.result.failed;
+    auto& failed = transaction.result.failed_keys;
     std::vector<RetriedJob> retried;
     for (auto& entry : transaction.batch.entries) {
         if (entry.kind == EntryKind::Forget && std::erase(failed, entry.key) > 0) {
@@ -317,8 +317,8 @@
     // be refused for ever, and with it all that waits to be recorded.
     if (transaction.result.outcome == KvOutcome::Invalid && context_.state_log.shrink())
         spdlog::error("state: a transaction was refused as malformed, the next ones are smaller");
-    if (transaction.result.too_fast)
-        rate_.too_fast();
+    if (transaction.result.rate_limited)
+        rate_.reduce_rate();
     else
         rate_.drain();
     not_before_ = context_.now + uniform(context_.random, kMinRetryPause_s, kMaxRetryPause_s);
--- a/src/controller/stop_sender.cpp
+++ b/src/controller/stop_sender.cpp
@@ -93,7 +93,7 @@
 }
 
 bool StopSender::is_silent(const Machine& machine) const {
-    double silent_s = context_.now - std::max(machine.last_heartbeat, context_.term->won);
+    double silent_s = context_.now - std::max(machine.last_heartbeat, context_.term->won_at);
     return silent_s > kMissedHeartbeats * context_.settings.heartbeat_interval_s;
 }
 
--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -11,8 +11,8 @@
 namespace json = boost::json;
 
 namespace {
-constexpr double kCall_s = 1.0;
-constexpr double kWatch_s = 10;
+constexpr double kRequestTimeout_s = 1.0;
+constexpr double kWatchDuration_s = 10;
 constexpr double kMinRetry_s = 0.1, kMaxRetry_s = 1.0;
 }  // namespace
 
@@ -20,7 +20,7 @@
                    KvClient& kv, Events events)
     : settings_(settings),
       lease_s_(properties.election_lease_s),
-      started_(steady_now()),
+      started_at_(steady_now()),
       kv_(kv),
       events_(std::move(events)),
       renewal_(io, settings, properties.election_lease_s, kv) {
@@ -35,12 +35,12 @@
     fencing_token_ = fencing_token;
 }
 
-void Election::start_term(uint64_t fencing_token, uint64_t lease, double lease_confirmed_from) {
+void Election::start_term(uint64_t fencing_token, uint64_t lease, double lease_requested_at) {
     term_ = std::make_shared<LeadershipTerm>();
     term_->fencing_token = fencing_token;
     term_->lease = lease;
-    term_->won = steady_now();
-    term_->lease_valid_until = lease_valid_until(lease_confirmed_from, lease_s_);
+    term_->won_at = steady_now();
+    term_->lease_valid_until = lease_valid_until(lease_requested_at, lease_s_);
 }
 
 asio::awaitable<void> Election::election_loop() {
@@ -56,21 +56,21 @@
 
 asio::awaitable<double> Election::run_round() {
     double pause = 0;
-    // The key names this controller, which does not lead: an earlier process of it won the key, or
-    // a campaign that it had given up was executed late. Nobody else can lead before that lease is
-    // over, and this controller does not.
-    if (!term_ && leader_ == settings_.name && !co_await drop_own_leadership())
+    // The key names this controller although it does not lead: an earlier process of this
+    // controller won it, or a campaign that timed out was executed late. No other controller can
+    // lead until that lease has ended, so the key is deleted.
+    if (!term_ && leader_ == settings_.name && !co_await release_previous_term())
         pause = jitter(0.1, 0.3);
     if (!term_ && leader_.empty()) {
         co_await campaign();
-        pause = unanswered_lease_ ? 0 : jitter(0.05, 0.25);
+        pause = pending_campaign_lease_ ? 0 : jitter(0.05, 0.25);
     }
     if (term_) {
         co_await lead();
         co_return jitter(0.2, 0.6);
     }
-    bool follows = !leader_.empty() && leader_ != settings_.name;
-    if (follows && !co_await watch_leader()) pause = jitter(0.1, 0.4);
+    bool other_leads = !leader_.empty() && leader_ != settings_.name;
+    if (other_leads && !co_await watch_leader()) pause = jitter(0.1, 0.4);
     co_return pause;
 }
 
@@ -81,34 +81,35 @@
     spdlog::info("election: lost token={}", term_->fencing_token);
     events_.lost();
     set_leader("", 0);
-    // The term ends before the state service is told, and is never resumed.
+    // The term ends before the transfer is sent to the state service and is never resumed.
     auto term = std::exchange(term_, nullptr);
     if (auto transfer = term->transferred_to)
         co_await release_leadership(term->fencing_token, *transfer);
 }
 
 asio::awaitable<bool> Election::watch_leader() {
-    auto watched = co_await kv_.watch(kLeaderKey, revision_, kWatch_s);
+    auto watched = co_await kv_.watch(kLeaderKey, revision_, kWatchDuration_s);
     if (!watched) co_return false;
     revision_ = std::max(revision_, watched.value.revision);
     co_return true;
 }
 
-// Otherwise users and workers of a process that is back within its lease wait until that is over.
-// The transaction is conditional on the key's version, so that it can end no other term.
-asio::awaitable<bool> Election::drop_own_leadership() {
+// Without this, users and workers of a controller that restarts within its lease would wait until
+// that lease has ended. The transaction is conditional on the version of the key, so it cannot end
+// a term of another controller.
+asio::awaitable<bool> Election::release_previous_term() {
     CasTransaction txn;
     txn.conditions.push_back({kLeaderKey, fencing_token_});
     txn.changes.push_back({kLeaderKey, "", 0});
-    auto dropped = co_await kv_.txn(txn, kCall_s);
-    if (!dropped) co_return false;
-    spdlog::info("election: ends token={} of an earlier process", fencing_token_);
+    auto deleted = co_await kv_.txn(txn, kRequestTimeout_s);
+    if (!deleted) co_return false;
+    spdlog::info("election: ended a term of an earlier process token={}", fencing_token_);
     set_leader("", 0);
     co_return true;
 }
 
 asio::awaitable<bool> Election::observe_leader() {
-    auto page = co_await kv_.list(kLeaderKey, "", 1, kCall_s);
+    auto page = co_await kv_.list(kLeaderKey, "", 1, kRequestTimeout_s);
     if (!page) co_return false;
     revision_ = page.value.revision;
     if (page.value.items.empty() || page.value.items[0].key != kLeaderKey) {
@@ -123,42 +124,43 @@
         spdlog::error("election: malformed value of key {}: {}", kLeaderKey, e.what());
         co_return false;
     }
-    bool won = unanswered_lease_ != 0 && item.lease == unanswered_lease_;
-    if (won && !co_await resume_unanswered_campaign(item.version)) co_return false;
-    unanswered_lease_ = 0;
+    bool won = pending_campaign_lease_ != 0 && item.lease == pending_campaign_lease_;
+    if (won && !co_await resume_pending_campaign(item.version)) co_return false;
+    pending_campaign_lease_ = 0;
     set_leader(name, item.version);
     co_return true;
 }
 
-// The campaign was won, but its lease may have run out since: it must be confirmed first.
-asio::awaitable<bool> Election::resume_unanswered_campaign(uint64_t fencing_token) {
+// The campaign was won, but its lease may have expired since, so it is renewed before the term
+// starts.
+asio::awaitable<bool> Election::resume_pending_campaign(uint64_t fencing_token) {
     double started = steady_now();
-    auto renewed = co_await kv_.renew(unanswered_lease_, kCall_s);
+    auto renewed = co_await kv_.renew_lease(pending_campaign_lease_, kRequestTimeout_s);
     if (!renewed) co_return false;
-    start_term(fencing_token, unanswered_lease_, started);
+    start_term(fencing_token, pending_campaign_lease_, started);
     co_return true;
 }
 
-// A campaign without an answer may yet be executed: its lease is kept alive for that, and the next
-// campaign uses it. Were each to have a lease of its own, nobody would ever be elected where every
-// transaction takes longer than a lease.
+// A campaign without a response may still be executed. Its lease is kept alive and used by the next
+// campaign. If each campaign obtained a new lease, no leader would ever be elected while every
+// transaction takes longer than the lease.
 asio::awaitable<std::optional<uint64_t>> Election::campaign_lease() {
-    if (unanswered_lease_ == 0) {
-        auto granted = co_await kv_.grant(lease_s_, kCall_s);
+    if (pending_campaign_lease_ == 0) {
+        auto granted = co_await kv_.grant_lease(lease_s_, kRequestTimeout_s);
         if (!granted) co_return std::nullopt;
         co_return granted.value;
     }
-    auto lease = unanswered_lease_;
-    if (co_await kv_.renew(lease, kCall_s)) co_return lease;
-    unanswered_lease_ = 0;
+    auto lease = pending_campaign_lease_;
+    if (co_await kv_.renew_lease(lease, kRequestTimeout_s)) co_return lease;
+    pending_campaign_lease_ = 0;
     co_return std::nullopt;
 }
 
 asio::awaitable<void> Election::campaign() {
     double wait = events_.campaign_wait ? co_await events_.campaign_wait() : 0;
     if (wait >= 0)
-        co_await sleep_s(wait + campaign_delay(steady_now() - started_) +
-                         jitter(0.0, kCampaignSpread_s));
+        co_await sleep_s(wait + campaign_delay(steady_now() - started_at_) +
+                         jitter(0.0, kCampaignJitter_s));
     double started = steady_now();
     auto lease = co_await campaign_lease();
     if (!lease) co_return;
@@ -166,29 +168,30 @@
     txn.conditions.push_back({kLeaderKey, 0});
     txn.changes.push_back(
         {kLeaderKey, json::serialize(json::object{{"name", settings_.name}}), *lease});
-    auto won = co_await kv_.txn(txn, std::min(kCall_s, lease_s_ / 2));
+    auto won = co_await kv_.txn(txn, std::min(kRequestTimeout_s, lease_s_ / 2));
     if (won) {
         start_term(won.value, *lease, started);
-        unanswered_lease_ = 0;
+        pending_campaign_lease_ = 0;
         set_leader(settings_.name, won.value);
     } else if (won.outcome == KvOutcome::Unknown) {
-        unanswered_lease_ = *lease;
+        pending_campaign_lease_ = *lease;
     }
 }
 
-void Election::step_down(TransferRecord to) {
+void Election::step_down(TransferRecord transfer) {
     if (!term_ || term_->ended) return;
-    term_->transferred_to = std::move(to);
+    term_->transferred_to = std::move(transfer);
     term_->ended = true;
     renewal_.wake();
 }
 
-// Without an answer nothing is lost: the lease is not renewed any more.
-asio::awaitable<void> Election::release_leadership(uint64_t fencing_token, TransferRecord to) {
-    auto txn = transfer_transaction(kLeaderKey, fencing_token, to);
-    auto result = co_await kv_.txn(txn, kCall_s);
-    spdlog::info("election: yields token={} to {} for the {}. time{}", fencing_token, to.to,
-                 to.count, result ? "" : ", not confirmed");
+// The response does not matter: the lease is not renewed any more, so it ends in any case.
+asio::awaitable<void> Election::release_leadership(uint64_t fencing_token,
+                                                   TransferRecord transfer) {
+    auto txn = transfer_transaction(kLeaderKey, fencing_token, transfer);
+    auto result = co_await kv_.txn(txn, kRequestTimeout_s);
+    spdlog::info("election: transferred token={} to {}, transfers in short succession={}{}",
+                 fencing_token, transfer.to, transfer.count, result ? "" : ", not confirmed");
 }
 
 }  // namespace weirmill
--- a/src/leadership/jitter.h
+++ b/src/leadership/jitter.h
@@ -1,10 +1,11 @@
-// Random pauses that keep controllers from acting in step.
+// Random delays that keep controllers from acting at the same moment.
 #pragma once
 #include <random>
 
 namespace weirmill {
 
-// Evenly distributed in [low, high). For the io_context's one thread.
+// Returns a uniformly distributed value in [low, high). Not thread-safe: to be called on the thread
+// of the io_context only.
 inline double jitter(double low, double high) {
     static std::mt19937_64 engine{std::random_device{}()};
     return std::uniform_real_distribution<double>(low, high)(engine);
--- a/src/leadership/leadership_transfer.cpp
+++ b/src/leadership/leadership_transfer.cpp
@@ -10,35 +10,42 @@
 
 namespace {
 
-constexpr uint32_t kMaxDoublings = 5;          // of the pause between transfers
-constexpr uint32_t kMaxCount = 1000;           // of a record that is read
-constexpr double kMaxTimeOfDay_s = 1e12;       // of a record that is read
-constexpr double kSuccessorCampaign_s = 10;    // after this the successor would lead
-constexpr double kSuccessorHeadStart_s = 0.6;  // of the successor over others in a campaign
-constexpr double kQuietPauses = 8;             // after so many pauses the succession is over
+// The pause between transfers doubles at most this often.
+constexpr uint32_t kMaxPauseDoublings = 5;
+// Bounds of the values that are accepted from a stored record.
+constexpr uint32_t kMaxRecordCount = 1000;
+constexpr double kMaxTimeOfDay_s = 1e12;
+// Time after a transfer within which the successor campaigns.
+constexpr double kSuccessorWindow_s = 10;
+// Time by which other candidates let the successor campaign first.
+constexpr double kSuccessorHeadStart_s = 0.6;
+// The count of transfers starts over after this many pauses without one.
+constexpr double kPausesUntilReset = 8;
 
 double pause_after(const TransferRecord& last, double min_pause_s) {
     if (last.count == 0) return 0;
-    return min_pause_s * std::pow(2.0, std::min(last.count - 1, kMaxDoublings));
+    return min_pause_s * std::pow(2.0, std::min(last.count - 1, kMaxPauseDoublings));
 }
 
 }  // namespace
 
-bool may_transfer(const TransferRecord& last, double min_pause_s, double clock_off_s, double wall) {
-    return last.count == 0 || wall - last.at > pause_after(last, min_pause_s) + 2 * clock_off_s;
+bool may_transfer(const TransferRecord& last, double min_pause_s, double max_clock_error_s,
+                  double wall_time) {
+    return last.count == 0 ||
+           wall_time - last.at > pause_after(last, min_pause_s) + 2 * max_clock_error_s;
 }
 
 TransferRecord next_transfer(const TransferRecord& last, double min_pause_s, std::string from,
-                             std::string to, double wall) {
-    // Several pauses without a transfer: the links are stable again, and the count starts over.
-    bool quiet = wall - last.at > kQuietPauses * pause_after(last, min_pause_s);
-    return {std::move(from), std::move(to), quiet ? 1 : last.count + 1, wall};
+                             std::string to, double wall_time) {
+    // After several pauses without a transfer, the links count as stable again.
+    bool stable = wall_time - last.at > kPausesUntilReset * pause_after(last, min_pause_s);
+    return {std::move(from), std::move(to), stable ? 1 : last.count + 1, wall_time};
 }
 
 double transfer_campaign_wait(const std::string& self, const TransferRecord& last,
-                              double clock_off_s, double wall) {
-    bool recent =
-        last.count > 0 && std::abs(wall - last.at) < kSuccessorCampaign_s + 2 * clock_off_s;
+                              double max_clock_error_s, double wall_time) {
+    bool recent = last.count > 0 &&
+                  std::abs(wall_time - last.at) < kSuccessorWindow_s + 2 * max_clock_error_s;
     if (!recent) return 0;
     if (last.to == self) return -1;
     return last.from == self ? 2 * kSuccessorHeadStart_s : kSuccessorHeadStart_s;
@@ -57,7 +64,8 @@
     TransferRecord record;
     record.from = read::text(o, "from");
     record.to = read::text(o, "to");
-    record.count = static_cast<uint32_t>(std::min<uint64_t>(read::count(o, "count", 0), kMaxCount));
+    record.count =
+        static_cast<uint32_t>(std::min<uint64_t>(read::count(o, "count", 0), kMaxRecordCount));
     record.at = read::number(o, "at", {}, kMaxTimeOfDay_s);
     return record;
 }
--- a/src/leadership/leadership_transfer.h
+++ b/src/leadership/leadership_transfer.h
@@ -1,6 +1,7 @@
-// Planned transfer of the leadership from one controller to another: its record in the state
-// service, the limit on its rate, and how the others let the successor campaign first. Pure
-// functions of the last record and a given time of day; docs/design-membership.md has the argument.
+// Planned transfer of the leadership from one controller to another: the record of a transfer in
+// the state service, the rate limit of transfers, and the delay by which other candidates let the
+// successor campaign first. Pure functions of the last record and a given wall-clock time.
+// docs/design-membership.md explains why transfers are safe.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -11,35 +12,37 @@
 
 inline const std::string kTransferKey = "m/yield";
 
-// The last transfer and how many preceded it in short succession, as stored under kTransferKey.
+// The last transfer, as stored under kTransferKey.
 struct TransferRecord {
-    std::string from, to;  // controllers
-    uint32_t count = 0;    // in short succession, this one included; 0: there was none
-    double at = 0;         // time of day, seconds
+    std::string from, to;  // names of controllers
+    uint32_t count = 0;    // number of transfers in short succession, this one included; 0: none
+    double at = 0;         // wall-clock time in seconds
     bool operator==(const TransferRecord&) const = default;
 };
 
-// Whether another transfer may follow now. `min_pause_s` is the pause after a single transfer; it
-// doubles with each that follows in short succession. `wall`: now, by the time of day, which is off
-// by at most `clock_off_s` on each controller.
-[[nodiscard]] bool may_transfer(const TransferRecord& last, double min_pause_s, double clock_off_s,
-                                double wall);
-// The record of a transfer at `wall` that follows `last`.
+// Returns whether another transfer may follow at `wall_time`. `min_pause_s` is the pause after a
+// single transfer; it doubles with each transfer that follows in short succession. The wall clock
+// of each controller is off by at most `max_clock_error_s`.
+[[nodiscard]] bool may_transfer(const TransferRecord& last, double min_pause_s,
+                                double max_clock_error_s, double wall_time);
+// Returns the record of a transfer at `wall_time` that follows `last`.
 [[nodiscard]] TransferRecord next_transfer(const TransferRecord& last, double min_pause_s,
-                                           std::string from, std::string to, double wall);
+                                           std::string from, std::string to, double wall_time);
 
-// How long controller `self` lets others go first in a campaign after the transfer `last`, seconds.
-// Negative: it is the successor and waits for nobody. 0: no transfer lately.
+// Returns how long controller `self` lets other candidates go first after the transfer `last`, in
+// seconds. The value is negative if `self` is the successor and campaigns at once, and 0 if there
+// was no recent transfer.
 [[nodiscard]] double transfer_campaign_wait(const std::string& self, const TransferRecord& last,
-                                            double clock_off_s, double wall);
+                                            double max_clock_error_s, double wall_time);
 
-// Ends the leadership with this fencing token and records the successor. The term has ended before
-// this is sent and is never resumed, whatever the answer: a copy of the transaction may be executed
-// at any later time. It is conditional on the token, so that such a copy then does nothing.
+// Returns the transaction that deletes the leader key of the term with this fencing token and
+// stores `record`. The term ends before the transaction is sent and is never resumed, whatever the
+// response, as the transaction may be executed at any later time. Its condition on the fencing
+// token ensures that it then has no effect on a later term.
 [[nodiscard]] CasTransaction transfer_transaction(const std::string& leader_key,
                                                   uint64_t fencing_token,
                                                   const TransferRecord& record);
-[[nodiscard]] TransferRecord parse_transfer_record(
-    const boost::json::value& value);  // throws BadMessage
+// Throws BadMessage if the value is malformed.
+[[nodiscard]] TransferRecord parse_transfer_record(const boost::json::value& value);
 
 }  // namespace weirmill
--- a/src/leadership/lease_renewal.cpp
+++ b/src/leadership/lease_renewal.cpp
@@ -10,8 +10,10 @@
 namespace asio = boost::asio;
 
 namespace {
-constexpr double kMinWait_s = 0.3;         // for one answer, however short the lease
-constexpr double kMaxUnconfirmed_s = 600;  // beyond the answering grace
+// Minimum time to wait for a response, however short the lease is.
+constexpr double kMinResponseTimeout_s = 0.3;
+// A term ends once its lease has stayed unconfirmed for this long after the grace period.
+constexpr double kMaxLeaseUnconfirmed_s = 600;
 constexpr double kRenewalsPerLease = 4;
 }  // namespace
 
@@ -19,16 +21,17 @@
                            KvClient& kv)
     : io_(io), settings_(settings), lease_s_(lease_s), kv_(kv), timer_(io) {}
 
-// An answer is of use for as long as the lease counts from its request, while the next renewals are
-// on their way: with a time-out of a quarter of the lease, a state service that took 0.7 s for each
-// answer would keep its leader without a confirmed lease, and nobody else could lead.
+// The timeout is the whole lease, as the lease counts from the request and a late response is still
+// useful while the next renewals are in flight. With a timeout of a quarter of the lease, a state
+// service that took 0.7 s for each response would leave the leader without a confirmed lease, while
+// no other controller could lead.
 asio::awaitable<void> LeaseRenewal::renew(std::shared_ptr<LeadershipTerm> term,
                                           OneShot<bool> renewed) {
-    double started = steady_now();
-    auto result = co_await kv_.renew(term->lease, std::max(kMinWait_s, lease_s_));
+    double requested_at = steady_now();
+    auto result = co_await kv_.renew_lease(term->lease, std::max(kMinResponseTimeout_s, lease_s_));
     if (result)
         term->lease_valid_until =
-            std::max(term->lease_valid_until, lease_valid_until(started, lease_s_));
+            std::max(term->lease_valid_until, lease_valid_until(requested_at, lease_s_));
     if (result.outcome == KvOutcome::Missing) {
         term->ended = true;
         if (term == current_) wake();
@@ -47,14 +50,16 @@
         if (term->ended) break;
         OneShot<bool> renewed(io_.get_executor());
         asio::co_spawn(io_, renew(term, renewed), asio::detached);
-        if (co_await renewed.wait(std::max(kMinWait_s, interval)) == true) {
+        if (co_await renewed.wait(std::max(kMinResponseTimeout_s, interval)) == true) {
             pause = interval;
             continue;
         }
-        // The state service is down or late: again soon, without adding to a flood. The lease may
-        // become valid again with the service, as it has its full time again after an outage.
+        // The state service is down or slow. The renewal is retried soon, at a random time so that
+        // the controllers do not send their retries at once. The lease may become valid again, as
+        // the state service restarts each lease with its full duration after an outage.
         pause = jitter(0.2, 0.5);
-        if (steady_now() > term->lease_valid_until + answering_grace(settings_) + kMaxUnconfirmed_s)
+        if (steady_now() >
+            term->lease_valid_until + leader_grace_period(settings_) + kMaxLeaseUnconfirmed_s)
             term->ended = true;
     }
     term->ended = true;
--- a/src/leadership/lease_renewal.h
+++ b/src/leadership/lease_renewal.h
@@ -1,5 +1,5 @@
-// Renews the lease of a leadership term until the term ends. An actor of Election's, on the
-// io_context's one thread.
+// Renews the lease of a leadership term until the term ends. Owned by Election; runs on the single
+// thread of the io_context.
 #pragma once
 #include <boost/asio.hpp>
 #include <memory>
@@ -16,10 +16,10 @@
     LeaseRenewal(boost::asio::io_context& io, const Settings& settings, double lease_s,
                  KvClient& kv);
 
-    // Renews the lease of `term` and returns once the term has ended: the lease is gone, it stayed
-    // unconfirmed for too long, or somebody else set `ended`.
+    // Renews the lease of `term` and returns once the term has ended. A term ends when its lease no
+    // longer exists, when the lease stays unconfirmed for too long, or when the owner sets `ended`.
     boost::asio::awaitable<void> renew_loop(std::shared_ptr<LeadershipTerm> term);
-    // Makes renew_loop look at `ended` now; at rest it does nothing.
+    // Makes renew_loop check `ended` at once. Does nothing if the loop is not running.
     void wake() { timer_.cancel(); }
 
   private:
@@ -29,8 +29,8 @@
     const Settings& settings_;
     double lease_s_;
     KvClient& kv_;
-    std::shared_ptr<LeadershipTerm> current_;  // of renew_loop; null: none
-    boost::asio::steady_timer timer_;          // between renewals
+    std::shared_ptr<LeadershipTerm> current_;  // term of the running renew_loop, or null
+    boost::asio::steady_timer timer_;          // pause between two renewals
 };
 
 }  // namespace weirmill
--- a/src/liveness/downlink.h
+++ b/src/liveness/downlink.h
@@ -1,10 +1,10 @@
-// Detects a lost downlink: a worker's heartbeats arrive, but this leader's answers and commands do
-// not reach it. A task that it is to start never starts, and its lease runs out although each
-// heartbeat was answered.
+// Detects a lost downlink: the heartbeats of a worker arrive, but this leader's responses and
+// commands do not reach the worker. Tasks that the worker is to launch then never start, and its
+// lease expires although each heartbeat was answered.
 //
-// Pure functions of what a worker's heartbeats show and a given time. They never state that a task
-// is gone: only the end of a lease proves that (liveness/worker_lease.h, docs/failures.md). Times
-// are of the steady clock, seconds.
+// Pure functions of what the heartbeats of a worker show and a given time. They never conclude that
+// a task is gone, as only the end of a lease proves that (liveness/worker_lease.h,
+// docs/failures.md). Times are in seconds of the steady clock.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -14,73 +14,80 @@
 
 namespace weirmill {
 
-// A heartbeat's place in the order of all that its worker has sent. The agent epoch grows when the
-// worker starts anew or its lease has run out, `seq` with each heartbeat within an epoch.
+// Position of a heartbeat among all heartbeats of its worker. The agent epoch increases when the
+// worker restarts or its lease expires, and `seq` increases with each heartbeat of an epoch.
 struct HeartbeatOrder {
     uint64_t agent_epoch = 0, seq = 0;
     auto operator<=>(const HeartbeatOrder&) const = default;
 };
 
-// What is remembered of one worker. Times: 0: none yet.
+// State of the downlink to one worker. A time of 0 means that the event has not happened yet.
 struct DownlinkState {
-    uint32_t missed = 0;       // answers in a row that heartbeats show were not received
-    uint32_t steady = 0;       // heartbeats in a row that only a worker that was answered sends
-    double lost_since = 0;     // 0: it receives answers, as far as is known
-    uint64_t agent_epoch = 0;  // of the last heartbeat
-    double epoch_since = 0;    // the first heartbeat of that epoch
-    HeartbeatOrder answered;   // the last heartbeat that was answered with 200
-    double answered_at = 0;
-    bool told_fencing_token = false;  // that heartbeat showed an older token than ours
-    double direct_at = 0;  // when the last heartbeat came, if without a relay; 0: it did not
-    // Once its lease has run out here: the last heartbeat from before, and those since that are no
-    // newer than it, one after the other (has_returned).
-    HeartbeatOrder former, back;
-    uint32_t backs = 0;
-    double back_at = 0;
+    uint32_t missed_answers = 0;  // consecutive responses that the worker did not receive
+    // Consecutive heartbeats that the worker would not send without receiving responses.
+    uint32_t consecutive_direct = 0;
+    double lost_since = 0;        // 0: the worker receives responses, as far as is known
+    uint64_t agent_epoch = 0;     // of the last heartbeat
+    double epoch_started_at = 0;  // arrival of the first heartbeat of that epoch
+    HeartbeatOrder answered;      // the last heartbeat that was answered with status 200
+    double answered_at = 0;       // time of that response
+    // That heartbeat showed an older fencing token than the one in the response.
+    bool sent_new_fencing_token = false;
+    // Arrival of the last heartbeat if it came without a relay, else 0.
+    double last_direct_at = 0;
+    // State of has_returned() after the worker's lease has expired: the newest heartbeat from
+    // before the expiry, and the consecutive heartbeats since then that are no newer than that one.
+    HeartbeatOrder last_before_expiry, return_candidate;
+    uint32_t return_count = 0;
+    double return_candidate_at = 0;
     bool downlink_lost() const { return lost_since > 0; }
 };
 
-// What a newer heartbeat shows.
+// What a heartbeat that is newer than all before shows.
 struct DownlinkObservation {
     HeartbeatOrder order;
-    bool our_fencing_token = false;  // the highest token that the worker has seen is ours
-    bool direct = false;             // it came to this controller itself
-    // Of tasks launched with answers to earlier heartbeats: one is there, one is not.
-    bool start_taken = false, start_missing = false;
+    bool saw_fencing_token = false;  // the highest token that the worker has seen is this leader's
+    bool direct = false;             // the heartbeat reached this controller without a relay
+    // Of the tasks launched with responses to earlier heartbeats, at least one is reported.
+    bool launch_confirmed = false;
+    // Of the tasks launched with responses to earlier heartbeats, at least one is not reported.
+    bool launch_missing = false;
 };
 
 enum class DownlinkEvidence : uint8_t {
-    Nothing,
-    Received,  // the worker receives answers
-    Missed,    // it did not receive the last answer
-    Lost,      // its lease ran out although it was answered: more than one answer is missing
+    None,
+    Received,  // the worker receives responses
+    Missed,    // the worker did not receive the last response
+    Lost,      // the lease expired although it was renewed: several responses were not received
 };
 
-// `before`: as it was until this heartbeat.
+// Classifies a heartbeat. `before` is the state before this heartbeat.
 [[nodiscard]] DownlinkEvidence classify_evidence(const DownlinkState& before,
                                                  const DownlinkObservation& heartbeat,
                                                  const Settings& s, double now);
-// Takes the heartbeat in. True: the downlink counts as lost from now on.
+// Applies a heartbeat to the state. Returns true if the downlink counts as lost from now on.
 [[nodiscard]] bool observe_heartbeat(DownlinkState& state, const DownlinkObservation& heartbeat,
                                      const Settings& s, double now);
-// An answer with 200 goes out.
-void record_response(DownlinkState& state, const HeartbeatOrder& heartbeat, bool our_fencing_token,
+// Records that a response with status 200 is sent.
+void record_response(DownlinkState& state, const HeartbeatOrder& heartbeat, bool saw_fencing_token,
                      double now);
 
-// Of a machine whose lease ran out: whether the heartbeat is one of a worker that is there. One
-// that is newer than all from before is. Any other may be a late copy, or the worker has begun its
-// counts anew: some in a row, in order and at the pace of heartbeats, prove that. Until then a
-// machine is not up because of it.
+// Returns whether a heartbeat from a machine whose lease has expired proves that the worker is
+// alive. A heartbeat that is newer than all from before the expiry proves it. An older one may be a
+// delayed copy or come from a worker that has restarted its counters, so several consecutive ones,
+// in order and at the rate of heartbeats, are required. Until then the machine does not count as
+// up.
 [[nodiscard]] bool has_returned(DownlinkState& state, const HeartbeatOrder& heartbeat,
                                 const Settings& s, double now);
-// The lease has run out, after this heartbeat: nothing else is remembered.
+// Resets the state after the lease has expired. `last` is the last heartbeat before the expiry.
 void reset_downlink(DownlinkState& state, const HeartbeatOrder& last);
 
-// A machine with a lost downlink is given back once it has cost what a new one would, unless there
-// are so many of them that it is rather this controller's link that fails. `replacement_s`: how
-// long a new machine takes; `downlink_lost`, `up`: how many machines are so.
+// Returns whether a machine with a lost downlink is to be returned. It is, once it has cost as much
+// as a replacement would. It is not if more than half of the machines have lost their downlinks, as
+// the link of this controller has then probably failed. `replacement_s` is how long a new machine
+// takes. `downlink_lost` and `machines_up` are numbers of machines.
 [[nodiscard]] bool should_replace_unreachable(const DownlinkState& state, double replacement_s,
-                                              size_t downlink_lost, size_t up, const Settings& s,
-                                              double now);
+                                              size_t downlink_lost, size_t machines_up,
+                                              const Settings& s, double now);
 
 }  // namespace weirmill
--- a/src/liveness/worker_lease.h
+++ b/src/liveness/worker_lease.h
@@ -1,8 +1,8 @@
-// When the lease of a worker has run out, so that all that may have run on its machine is gone.
+// Computes when the lease of a worker has expired, so that every task on its machine has ended.
 //
-// A worker ends its tasks once it has had no answer for a lease (the protocol, "Workers"). Only the
-// passing of that time proves that a task is gone; all bounds here are on the safe side of it. Pure
-// functions. Times are of this controller's steady clock, spans in seconds.
+// A worker ends its tasks once it has received no response for the duration of a lease (the
+// protocol, "Workers"). Only the end of that time proves that a task is gone, so all times here are
+// upper bounds. Pure functions. Times are in seconds of this controller's steady clock.
 #pragma once
 #include <string>
 
@@ -10,35 +10,38 @@
 
 namespace weirmill {
 
-// How far a steady clock may run from another, as a share, and room for timers that fire late.
+// Maximum drift between two steady clocks, as a share of the elapsed time.
 inline constexpr double kMaxClockDrift = 0.001;
+// Allowance for timers that fire late.
 inline constexpr double kTimerMargin_s = 0.1;
 
-// How long a leader whose own lease is not confirmed goes on answering heartbeats, so that work
-// outlives an outage of the key-value store. A cancellation that the next leader accepts must still
-// end the job in time: grace + lease_s + margins < cancel_s. 0: no grace.
-double answering_grace(const Settings& s);
+// Returns how long a leader goes on answering heartbeats after its own lease was last valid, in
+// seconds. During that time the tasks outlive an outage of the key-value store. A cancellation that
+// the next leader accepts must still end the job in time, so the grace period, lease_s and the
+// margins add up to less than cancel_s. 0 means that the settings allow no grace period.
+double leader_grace_period(const Settings& s);
 
-// Logged at start where the settings leave no time for a grace; empty: they do.
-std::string grace_warning(const Settings& s);
+// Returns the warning to log at startup if the settings allow no grace period, else an empty
+// string.
+std::string grace_period_warning(const Settings& s);
 
-// When everything that an earlier leader may have kept alive on a silent machine is gone. `won`:
-// when this leader won its lease.
-double earlier_term_expiry(const Settings& s, double won);
+// Returns when every task that an earlier leader may have kept alive on a silent machine has ended.
+// `won_at` is when this leader won its term.
+double previous_terms_expiry(const Settings& s, double won_at);
 
-// When the lease of a worker last answered by this leader, and that had seen its fencing token, has
-// run out.
+// Returns when the lease of a worker has expired that this leader last answered at `last_answer`.
+// The worker must have seen this leader's fencing token.
 double answered_lease_expiry(const Settings& s, double last_answer);
 
-// A worker's last contacts with this leader; 0: none yet.
+// The last contacts of a worker with this leader. A time of 0 means that there was none yet.
 struct WorkerContact {
     double last_heartbeat = 0, last_answer = 0;
-    bool saw_fencing_token = false;  // the worker is known to have seen this leader's
+    bool saw_fencing_token = false;  // the worker is known to have seen this leader's token
 };
 
-// When all that may be on a machine is certainly gone, unless its worker sends another heartbeat. A
-// heartbeat that waits for its answer counts like an answered one: a machine was once taken for
-// gone while its first heartbeat was held.
-double worker_lease_expiry(const Settings& s, const WorkerContact& contact, double won);
+// Returns when every task on the machine has ended unless its worker sends another heartbeat. A
+// heartbeat whose response is still held back counts as answered: without that, a machine could be
+// taken for gone while its first heartbeat was waiting for its response.
+double worker_lease_expiry(const Settings& s, const WorkerContact& contact, double won_at);
 
 }  // namespace weirmill
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -69,7 +69,7 @@
                                                   : weirmill::load_properties(properties_file);
         for (const auto* e : {&settings.api, &settings.peer, &settings.cloud, &settings.state})
             weirmill::resolve(*e);
-        if (const auto warning = weirmill::grace_warning(settings); !warning.empty())
+        if (const auto warning = weirmill::grace_period_warning(settings); !warning.empty())
             spdlog::warn(warning);
         if (check) {
             std::cout << "settings are sound\n";
--- a/src/membership/link_policy.cpp
+++ b/src/membership/link_policy.cpp
@@ -7,18 +7,21 @@
 
 namespace {
 
-constexpr double kMaxInterval = 1.25;  // heartbeats come so much later than their interval at most
-constexpr uint32_t kToleranceShare = 20;      // a twentieth of the workers is no difference
-constexpr double kFewerWorkersWait_s = 0.25;  // in a campaign, behind one that reaches far more
-
-// Far more: twice as many, and by more than some stragglers.
+// Maximum time between two heartbeats, as a multiple of their interval.
+constexpr double kMaxIntervalFactor = 1.25;
+// A difference of up to a twentieth of the workers is ignored.
+constexpr uint32_t kToleranceDivisor = 20;
+// Delay of a campaign while another candidate reaches far more workers.
+constexpr double kFewerWorkersDelay_s = 0.25;
+
+// Returns whether `theirs` is more than twice `mine`, by more than the tolerance.
 bool far_more(uint32_t theirs, uint32_t mine, uint32_t known) {
-    return theirs > 2 * mine + std::max(known, theirs) / kToleranceShare;
+    return theirs > 2 * mine + std::max(known, theirs) / kToleranceDivisor;
 }
 
 bool can_lead(const LinkStatus& links) { return links.reports_links && links.reaches_kv; }
 
-// Why a peer should lead in place of this controller, in rising order.
+// Reasons why a peer should lead in place of this controller, in ascending order of weight.
 enum class Advantage : uint8_t { None, DirectWorkers, ReachableWorkers };
 
 Advantage advantage(const LinkStatus& mine, const LinkStatus& theirs) {
@@ -33,13 +36,13 @@
 
 }  // namespace
 
-LinkTimeouts LinkTimeouts::of(const Settings& s) {
+LinkTimeouts LinkTimeouts::from_settings(const Settings& s) {
     const auto controllers = 1.0 + static_cast<double>(s.peers.size());
     LinkTimeouts t{};
-    t.direct_heartbeat_s = 1.2 * kMaxInterval * s.heartbeat_interval_s + s.worker_next_s;
-    t.controller_cycle_s =
-        kMaxInterval * s.heartbeat_interval_s + s.worker_patience_s + s.worker_next_s * controllers;
-    t.preference_s = 0.3 * s.heartbeat_interval_s;
+    t.direct_heartbeat_s = 1.2 * kMaxIntervalFactor * s.heartbeat_interval_s + s.worker_next_s;
+    t.controller_cycle_s = kMaxIntervalFactor * s.heartbeat_interval_s + s.worker_patience_s +
+                           s.worker_next_s * controllers;
+    t.min_preference_s = 0.3 * s.heartbeat_interval_s;
     t.transfer_pause_s = 3 * s.heartbeat_interval_s;
     t.view_expiry_s = 3 * s.ping_s;
     return t;
@@ -88,13 +91,13 @@
 
 double campaign_wait(const std::string& self, const LinkStatus& own,
                      std::span<const PeerView> others, const TransferRecord& last,
-                     double clock_off_s, double wall) {
-    double wait = transfer_campaign_wait(self, last, clock_off_s, wall);
+                     double max_clock_error_s, double wall_time) {
+    double wait = transfer_campaign_wait(self, last, max_clock_error_s, wall_time);
     if (wait < 0) return wait;
     for (auto& peer : others)
         if (can_lead(peer.links) &&
             far_more(peer.links.reachable_workers, own.reachable_workers, 0))
-            wait = std::max(wait, kFewerWorkersWait_s);
+            wait = std::max(wait, kFewerWorkersDelay_s);
     return wait;
 }
 
--- a/src/membership/link_policy.h
+++ b/src/membership/link_policy.h
@@ -1,7 +1,7 @@
-// Decisions about links: who should lead, who relays for whom, who campaigns first. Pure functions
-// of what is known of links and a given time. None of them declares that anything is gone or who
-// holds the leadership, so a wrong or old view costs time but never breaks a rule
-// (docs/design-membership.md).
+// Decisions that depend on links: which controller should lead, which controller relays for another
+// and which candidate campaigns first. Pure functions of the known links and a given time. No
+// function decides whether a machine or task is gone or who holds the leadership, so a wrong or
+// outdated view may cost time but cannot violate an invariant (docs/design-membership.md).
 #pragma once
 #include <optional>
 #include <span>
@@ -13,45 +13,50 @@
 
 namespace weirmill {
 
-// Times, in seconds, that follow from the platform's settings and the protocol ("Workers": a worker
-// waits 4 s for an answer and tries the next controller 1 s later).
+// Times in seconds that follow from the platform's settings and the protocol ("Workers": a worker
+// waits 4 s for a response and tries the next controller 1 s later).
 struct LinkTimeouts {
-    double direct_heartbeat_s;  // a worker that reports to the leader directly does so within this
-    double controller_cycle_s;  // a worker that can't use its controller has tried all within this
-    double preference_s;        // a preferred leader must stay preferred for this long
-    double transfer_pause_s;    // between transfers; doubles with each in short succession
-    double view_expiry_s;       // what a peer reported counts for this long
-    static LinkTimeouts of(const Settings& s);
+    double direct_heartbeat_s;  // maximum time between heartbeats of a worker that uses no relay
+    double controller_cycle_s;  // a worker without a usable controller has tried all within this
+    double min_preference_s;    // how long another leader must be preferred before a transfer
+    double transfer_pause_s;    // between transfers; doubles with each one in short succession
+    double view_expiry_s;       // how long the links that a peer reported remain valid
+    static LinkTimeouts from_settings(const Settings& s);
 };
 
-// What this controller knows of a peer's links.
+// The links of a peer, as far as this controller knows them.
 struct PeerView {
     std::string name;
     LinkStatus links;
-    bool reachable = false;  // it answered this controller lately; else known by its stored record
+    // The peer was in contact with this controller recently. If false, the links come from the
+    // record that the peer has stored.
+    bool reachable = false;
 };
 
-// Who of `others` should lead in place of one with the links `mine`; nothing: it stays. That is one
-// that reaches far more of the workers, else one to which far more of them come directly while this
-// one has lost most of its own. A fleet that is silent to all is no reason. Equal ones are taken by
-// name, so that every controller decides alike.
+// Returns which of `others` should lead in place of a leader with the links `mine`, or nothing if
+// that leader should stay. A peer is preferred if it reaches far more of the workers. A peer is
+// also preferred if far more workers report to it directly and the leader has lost most of its own
+// direct workers. If no controller reaches the workers, the leader stays. Ties are broken by name,
+// so that every controller decides alike.
 [[nodiscard]] std::optional<std::string> preferred_leader(const LinkStatus& mine,
                                                           std::span<const PeerView> others);
 
-// Workers that a controller with `own` direct workers reaches, reachable peers included: the most
-// of any, as the same workers try them all.
+// Returns how many workers a controller with `own` direct workers reaches, its reachable peers
+// included. This is the maximum over these controllers and not the sum, as the same workers try all
+// of them.
 [[nodiscard]] uint32_t workers_through_peers(uint32_t own, std::span<const PeerView> others);
 
-// The peer through which a leader that this controller can't reach may be reached; nothing: none.
+// Returns a peer that can relay to a leader that this controller can't reach, or nothing.
 [[nodiscard]] std::optional<std::string> relay_to_leader(const std::string& leader,
                                                          std::span<const PeerView> others);
-// A reachable peer that reaches the state service, where this controller does not.
+// Returns a reachable peer that reaches the state service, for a controller that does not, or
+// nothing.
 [[nodiscard]] std::optional<std::string> relay_to_kv(std::span<const PeerView> others);
 
-// How long a controller lets others go first in a campaign, seconds; negative: it is the successor
-// of a transfer, and waits for nobody.
+// Returns how long a controller lets other candidates go first in a campaign, in seconds. A
+// negative value means that it campaigns at once because it is the successor of a transfer.
 [[nodiscard]] double campaign_wait(const std::string& self, const LinkStatus& own,
                                    std::span<const PeerView> others, const TransferRecord& last,
-                                   double clock_off_s, double wall);
+                                   double max_clock_error_s, double wall_time);
 
 }  // namespace weirmill
--- a/src/membership/link_records.cpp
+++ b/src/membership/link_records.cpp
@@ -7,22 +7,23 @@
 namespace json = boost::json;
 
 namespace {
-constexpr uint64_t kMaxCount = 1U << 30;  // of workers in a record
+constexpr uint64_t kMaxWorkerCount = 1U << 30;  // upper bound of the counts in a record
 }
 
-CasTransaction link_record(const std::string& controller, const LinkStatus& links, uint64_t lease) {
+CasTransaction link_record_transaction(const std::string& controller, const LinkStatus& links,
+                                       uint64_t lease) {
     json::object o{{"state", links.reaches_kv},
                    {"direct", links.direct_workers},
                    {"reach", links.reachable_workers},
                    {"known", links.known_workers},
                    {"hears", json::value_from(links.reachable_peers)}};
-    return {{}, {{kLinkKeys + controller, json::serialize(o), lease}}};
+    return {{}, {{kLinkRecordPrefix + controller, json::serialize(o), lease}}};
 }
 
 LinkStatus parse_link_record(const json::value& v) {
     auto& o = read::object(v);
     auto count = [&](const char* name) {
-        return static_cast<uint32_t>(std::min(read::count(o, name, 0), kMaxCount));
+        return static_cast<uint32_t>(std::min(read::count(o, name, 0), kMaxWorkerCount));
     };
     LinkStatus links;
     links.reports_links = true;
--- a/src/membership/link_records.h
+++ b/src/membership/link_records.h
@@ -1,6 +1,6 @@
-// Records of links in the state service: under `m/c/<controller>` what a controller reports of its
-// links, attached to a lease of its own, while a peer is out of its reach. They are hints: no
-// reader draws more from them than whom to let lead.
+// Link records in the state service. A controller stores the links that it reports under
+// `m/c/<controller>`, attached to a lease of its own, while it can't reach one of its peers. The
+// records are hints: they only influence which controller should lead.
 #pragma once
 #include <string>
 
@@ -9,10 +9,12 @@
 
 namespace weirmill {
 
-inline const std::string kLinkKeys = "m/c/";
+inline const std::string kLinkRecordPrefix = "m/c/";
 
-[[nodiscard]] CasTransaction link_record(const std::string& controller, const LinkStatus& links,
-                                         uint64_t lease);
-[[nodiscard]] LinkStatus parse_link_record(const boost::json::value& v);  // throws BadMessage
+// Returns the transaction that stores the links of a controller.
+[[nodiscard]] CasTransaction link_record_transaction(const std::string& controller,
+                                                     const LinkStatus& links, uint64_t lease);
+// Throws BadMessage if the value is malformed.
+[[nodiscard]] LinkStatus parse_link_record(const boost::json::value& v);
 
 }  // namespace weirmill
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -14,18 +14,20 @@
 
 namespace {
 
-constexpr double kTicksPerPing = 2;
-constexpr double kRead_s = 0.8;
-// A campaign does not wait longer to read what the last transfer was: it is a hint.
-constexpr double kHint_s = 0.15;
-constexpr double kRecordLeasePings = 4;    // lease of a link record, in intervals between pings
+// Rounds of membership_loop() in each interval between pings.
+constexpr double kRoundsPerPing = 2;
+constexpr double kRequestTimeout_s = 0.8;
+// A campaign waits at most this long to read the last transfer, as the record is only a hint.
+constexpr double kCampaignReadTimeout_s = 0.15;
+// Duration of the lease of a link record, in ping intervals.
+constexpr double kRecordLeasePingIntervals = 4;
 constexpr double kMinRecordLease_s = 0.1;  // protocol, "POST /leases"
 constexpr int kMaxLinkRecords = 100;
-// A link record is written anew where a count changed by more than a tenth.
-constexpr uint32_t kChangedShare = 10;
+// A link record is updated when a count has changed by more than a tenth.
+constexpr uint32_t kChangeDivisor = 10;
 
 bool differs(uint32_t a, uint32_t b) {
-    return a > b ? (a - b) * kChangedShare > a : (b - a) * kChangedShare > b;
+    return a > b ? (a - b) * kChangeDivisor > a : (b - a) * kChangeDivisor > b;
 }
 
 bool differs(const LinkStatus& a, const LinkStatus& b) {
@@ -56,7 +58,7 @@
     : io_(io),
       settings_(settings),
       properties_(properties),
-      times_(LinkTimeouts::of(settings)),
+      times_(LinkTimeouts::from_settings(settings)),
       kv_(kv),
       metrics_(metrics),
       hooks_(std::move(hooks)) {
@@ -66,16 +68,16 @@
 std::vector<std::string> Membership::reachable_peers(double now) const {
     std::vector<std::string> out;
     for (auto& [name, peer] : peers_)
-        if (is_fresh(peer.contact_at, now)) out.push_back(name);
+        if (is_recent(peer.contact_at, now)) out.push_back(name);
     return out;
 }
 
 LinkStatus Membership::own_links(double now) const {
-    LinkStatus links = hooks_.workers();
+    LinkStatus links = hooks_.worker_counts();
     links.reports_links = enabled();
     links.reaches_kv = reaches_kv(now);
     links.reachable_peers = reachable_peers(now);
-    if (!hooks_.leads_since())
+    if (!hooks_.leading_since())
         links.reachable_workers = workers_through_peers(links.direct_workers, peer_views(now));
     return links;
 }
@@ -83,8 +85,8 @@
 std::optional<LinkStatus> Membership::peer_links(const std::string& peer, double now) const {
     auto it = peers_.find(peer);
     if (it == peers_.end()) return std::nullopt;
-    if (is_fresh(it->second.contact_at, now)) return it->second.reported;
-    if (is_fresh(it->second.recorded_at, now)) return it->second.recorded;
+    if (is_recent(it->second.contact_at, now)) return it->second.reported;
+    if (is_recent(it->second.recorded_at, now)) return it->second.recorded;
     return std::nullopt;
 }
 
@@ -92,26 +94,27 @@
     std::vector<PeerView> out;
     for (auto& [name, peer] : peers_)
         if (auto links = peer_links(name, now))
-            out.push_back({name, *links, is_fresh(peer.contact_at, now)});
+            out.push_back({name, *links, is_recent(peer.contact_at, now)});
     return out;
 }
 
-Membership::Peer* Membership::find_peer(const std::string& name) {
+Membership::Peer* Membership::configured_peer(const std::string& name) {
     bool named = std::ranges::any_of(settings_.peers, [&](auto& p) { return p.name == name; });
     return named ? &peers_[name] : nullptr;
 }
 
 void Membership::record_contact(const std::string& name, const LinkStatus& links) {
-    auto* peer = find_peer(name);
+    auto* peer = configured_peer(name);
     if (!peer) return;
     double now = steady_now();
-    if (enabled() && !is_fresh(peer->contact_at, now)) spdlog::info("links: {} is heard", name);
+    if (enabled() && !is_recent(peer->contact_at, now))
+        spdlog::info("links: peer {} is reachable", name);
     peer->contact_at = now;
     peer->reported = links;
 }
 
 void Membership::record_timeout(const std::string& name) {
-    if (auto* peer = find_peer(name)) ++peer->timeouts;
+    if (auto* peer = configured_peer(name)) ++peer->timeouts;
 }
 
 asio::awaitable<void> Membership::read_transfer_record(double timeout_s) {
@@ -125,11 +128,11 @@
 }
 
 asio::awaitable<void> Membership::read_link_records() {
-    auto page = co_await kv_.list(kLinkKeys, "", kMaxLinkRecords, kRead_s);
+    auto page = co_await kv_.list(kLinkRecordPrefix, "", kMaxLinkRecords, kRequestTimeout_s);
     if (!page) co_return;
     double now = steady_now();
     for (auto& item : page.value.items) {
-        auto* peer = find_peer(item.key.substr(kLinkKeys.size()));
+        auto* peer = configured_peer(item.key.substr(kLinkRecordPrefix.size()));
         if (!peer) continue;
         try {
             peer->recorded = parse_link_record(item.value);
@@ -141,7 +144,7 @@
 }
 
 asio::awaitable<bool> Membership::renew_record_lease() {
-    auto renewed = co_await kv_.renew(record_lease_, kRead_s);
+    auto renewed = co_await kv_.renew_lease(record_lease_, kRequestTimeout_s);
     if (renewed.outcome == KvOutcome::Missing) record_lease_ = 0;
     co_return static_cast<bool>(renewed);
 }
@@ -152,35 +155,37 @@
         if (renewed && !differs(links, published_)) co_return;
     }
     if (record_lease_ == 0) {
-        double lease_s = std::max(kMinRecordLease_s, kRecordLeasePings * settings_.ping_s);
-        auto granted = co_await kv_.grant(lease_s, kRead_s);
+        double lease_s = std::max(kMinRecordLease_s, kRecordLeasePingIntervals * settings_.ping_s);
+        auto granted = co_await kv_.grant_lease(lease_s, kRequestTimeout_s);
         if (!granted) co_return;
         record_lease_ = granted.value;
-        // The record ended with its lease. If it were taken for still there, one whose next write
-        // fails would stay away.
+        // The previous record was deleted with its lease. If it were assumed to exist still, the
+        // record would not be written again after a failed write.
         published_ = {};
     }
-    auto txn = link_record(settings_.name, links, record_lease_);
-    auto result = co_await kv_.txn(txn, kRead_s);
+    auto txn = link_record_transaction(settings_.name, links, record_lease_);
+    auto result = co_await kv_.txn(txn, kRequestTimeout_s);
     if (result) published_ = std::move(links);
-    if (result.outcome == KvOutcome::Invalid) record_lease_ = 0;  // it ran out before
+    if (result.outcome == KvOutcome::Invalid) record_lease_ = 0;  // the lease had expired
 }
 
 asio::awaitable<void> Membership::membership_loop() {
     double next_publish = 0;
     for (;;) {
-        co_await sleep_s(settings_.ping_s / kTicksPerPing);
+        co_await sleep_s(settings_.ping_s / kRoundsPerPing);
         double now = steady_now();
-        // Also a probe: whether the state service answers this controller.
-        if (now - kv_.answered_at() > settings_.ping_s) co_await read_transfer_record(kRead_s);
+        // This read also shows whether the state service answers this controller.
+        if (now - kv_.answered_at() > settings_.ping_s)
+            co_await read_transfer_record(kRequestTimeout_s);
         now = steady_now();
         bool peer_missing = reachable_peers(now).size() < settings_.peers.size();
         if (peer_missing && now >= next_publish && reaches_kv(now)) {
             next_publish = now + settings_.ping_s;
             co_await read_link_records();
             auto links = own_links(steady_now());
-            // One that no worker needs has nothing to report that its silence does not say.
-            if (!hooks_.leads_since() && links.reachable_workers > 0)
+            // A controller that reaches no workers stores no record: a missing record has the same
+            // meaning.
+            if (!hooks_.leading_since() && links.reachable_workers > 0)
                 co_await publish_links(std::move(links));
         }
         co_await consider_transfer(steady_now());
@@ -188,9 +193,9 @@
 }
 
 bool Membership::candidate_is_stable(double now) {
-    auto since = hooks_.leads_since();
+    auto since = hooks_.leading_since();
     std::optional<std::string> preferred;
-    // Before each worker has had time to come, the leader's own counts are too low.
+    // A new leader's own counts are too low until each worker has had time to report to it.
     if (since && now - *since >= times_.controller_cycle_s)
         preferred = preferred_leader(own_links(now), peer_views(now));
     if (!preferred) {
@@ -201,34 +206,36 @@
         candidate_ = *preferred;
         candidate_since_ = now;
     }
-    return now - candidate_since_ >= times_.preference_s;
+    return now - candidate_since_ >= times_.min_preference_s;
 }
 
 asio::awaitable<void> Membership::consider_transfer(double now) {
-    auto since = hooks_.leads_since();
+    auto since = hooks_.leading_since();
     if (!candidate_is_stable(now)) co_return;
     auto own = own_links(now);
-    co_await read_transfer_record(kRead_s);
+    co_await read_transfer_record(kRequestTimeout_s);
     if (!reaches_kv(steady_now())) co_return;
-    double wall = wall_now();
-    if (!may_transfer(last_transfer_, times_.transfer_pause_s, settings_.clock_off_ms / 1000, wall))
+    double wall_time = wall_now();
+    if (!may_transfer(last_transfer_, times_.transfer_pause_s, settings_.clock_off_ms / 1000,
+                      wall_time))
         co_return;
-    if (hooks_.leads_since() != since || candidate_.empty()) co_return;
+    if (hooks_.leading_since() != since || candidate_.empty()) co_return;
     auto theirs = peer_links(candidate_, now);
     if (!theirs) co_return;
     spdlog::info(
-        "links: hands over to {}: workers direct={} reach={} of {}, there direct={} reach={}",
+        "links: transferring leadership to {}: own workers direct={} reachable={} known={}, its "
+        "workers direct={} reachable={}",
         candidate_, own.direct_workers, own.reachable_workers, own.known_workers,
         theirs->direct_workers, theirs->reachable_workers);
     metrics_.count("hand_overs_total");
-    hooks_.transfer_leadership(
-        next_transfer(last_transfer_, times_.transfer_pause_s, settings_.name, candidate_, wall));
+    hooks_.transfer_leadership(next_transfer(last_transfer_, times_.transfer_pause_s,
+                                             settings_.name, candidate_, wall_time));
     candidate_.clear();
 }
 
 asio::awaitable<double> Membership::campaign_wait() {
     if (!enabled()) co_return 0;
-    co_await read_transfer_record(kHint_s);
+    co_await read_transfer_record(kCampaignReadTimeout_s);
     double now = steady_now();
     co_return weirmill::campaign_wait(settings_.name, own_links(now), peer_views(now),
                                       last_transfer_, settings_.clock_off_ms / 1000, wall_now());
@@ -242,7 +249,7 @@
     out["workers_reached"] = own.reachable_workers;
     out["workers_known"] = own.known_workers;
     for (auto& [name, peer] : peers_) {
-        out[fmt::format("peer_heard{{peer=\"{}\"}}", name)] = is_fresh(peer.contact_at, now);
+        out[fmt::format("peer_heard{{peer=\"{}\"}}", name)] = is_recent(peer.contact_at, now);
         out[fmt::format("peer_answers_lost{{peer=\"{}\"}}", name)] =
             static_cast<double>(peer.timeouts);
     }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,9 +1,10 @@
-// Membership: what this controller knows of the links between controllers, state service and
-// workers. An actor that owns the peers' views and when they last answered. It tells the peers this
-// controller's own links, with pings or, where one is out of reach, by a record under a lease, and
-// has a leader transfer its leadership where another would serve the workers better.
-// docs/design-membership.md has the argument why none of it can break a rule; docs/operations.md,
-// "Links", what operators see. All of it runs on the io_context's one thread.
+// Tracks the links between the controllers, the state service and the workers. Membership owns the
+// last reported links of each peer and the time of the last contact. It reports this controller's
+// own links to the peers with pings or, while a peer is out of reach, with a record under a lease.
+// On the leader it starts a transfer of the leadership when another controller would serve the
+// workers better. docs/design-membership.md explains why this cannot violate an invariant;
+// docs/operations.md, "Links", describes what operators see. Membership runs on the single thread
+// of the io_context.
 #pragma once
 #include <functional>
 #include <map>
@@ -16,17 +17,20 @@
 
 namespace weirmill {
 
-// A leader's worker counts, from when its workers last reported and by which way.
+// Returns a leader's worker counts, derived from when each worker last reported and whether it did
+// so directly or through a relay.
 [[nodiscard]] LinkStatus leader_links(const ClusterState& cluster, const LinkTimeouts& times,
                                       double lease_s, double now);
 
 class Membership {
   public:
     struct Hooks {
-        // The worker counts of this controller: direct, known and, at a leader, reachable ones.
-        std::function<LinkStatus()> workers;
-        // Since when this controller leads with a valid lease; nothing: it does not.
-        std::function<std::optional<double>()> leads_since;
+        // Returns the worker counts of this controller: direct and known workers and, on the
+        // leader, reachable workers.
+        std::function<LinkStatus()> worker_counts;
+        // Returns since when this controller has led, or nothing if it does not lead with a valid
+        // lease.
+        std::function<std::optional<double>()> leading_since;
         std::function<void(TransferRecord)> transfer_leadership;
     };
     Membership(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
@@ -34,39 +38,43 @@
 
     bool enabled() const { return properties_.membership_enabled; }
     const LinkTimeouts& times() const { return times_; }
-    // What this controller reports of its links.
+    // Returns the links that this controller reports.
     [[nodiscard]] LinkStatus own_links(double now) const;
-    // The peers of which something is known now.
+    // Returns the peers whose links are known at present.
     [[nodiscard]] std::vector<PeerView> peer_views(double now) const;
     [[nodiscard]] std::optional<LinkStatus> peer_links(const std::string& peer, double now) const;
-    // The peer answered, or called, and reported these links.
+    // Records that the peer answered or sent a call and reported these links.
     void record_contact(const std::string& name, const LinkStatus& links);
-    // A call to the peer got no answer.
+    // Records that a call to the peer got no answer.
     void record_timeout(const std::string& name);
-    bool reaches_kv(double now) const { return is_fresh(kv_.answered_at(), now); }
-    // How long this controller lets others go first in a campaign, seconds; see campaign_wait of
-    // link_policy.h.
+    bool reaches_kv(double now) const { return is_recent(kv_.answered_at(), now); }
+    // Returns how long this controller lets other candidates go first in a campaign, in seconds;
+    // see campaign_wait() in link_policy.h.
     boost::asio::awaitable<double> campaign_wait();
+    // Adds the gauges of links and worker counts to `out`.
     void gauges(std::map<std::string, double>& out) const;
 
   private:
     struct Peer {
         LinkStatus reported;  // by the peer itself
-        LinkStatus recorded;  // as the state service has it
+        LinkStatus recorded;  // in the state service
         double contact_at = -1e9, recorded_at = -1e9;
         uint64_t timeouts = 0;  // calls without an answer
     };
-    bool is_fresh(double at, double now) const { return now - at < times_.view_expiry_s; }
+    bool is_recent(double at, double now) const { return now - at < times_.view_expiry_s; }
     std::vector<std::string> reachable_peers(double now) const;
-    Peer* find_peer(const std::string& name);  // null: none of the settings' names
+    // Returns null if the settings name no such peer.
+    Peer* configured_peer(const std::string& name);
     boost::asio::awaitable<void> membership_loop();
     boost::asio::awaitable<void> read_transfer_record(double timeout_s);
     boost::asio::awaitable<void> read_link_records();
     boost::asio::awaitable<void> publish_links(LinkStatus links);
-    // False: not renewed now. A lease that has run out is forgotten.
+    // Renews the lease of the link record and returns whether that succeeded. A lease that has
+    // expired is reset.
     boost::asio::awaitable<bool> renew_record_lease();
     boost::asio::awaitable<void> consider_transfer(double now);
-    // Sets `candidate_` to the leader preferred now; whether it has been that for long enough.
+    // Sets `candidate_` to the leader preferred now. Returns whether it has been preferred for long
+    // enough.
     bool candidate_is_stable(double now);
 
     boost::asio::io_context& io_;
@@ -77,9 +85,9 @@
     Metrics& metrics_;
     Hooks hooks_;
     std::map<std::string, Peer> peers_;
-    TransferRecord last_transfer_;  // as recorded
-    uint64_t record_lease_ = 0;     // of this controller's link record; 0: none
-    LinkStatus published_;          // the link record as last written
+    TransferRecord last_transfer_;  // as last read from the state service
+    uint64_t record_lease_ = 0;     // lease of this controller's link record; 0: none
+    LinkStatus published_;          // contents of the link record as last written
     std::string candidate_;         // the preferred leader; empty: none
     double candidate_since_ = 0;
 };
--- a/src/membership/worker_roster.cpp
+++ b/src/membership/worker_roster.cpp
@@ -8,75 +8,82 @@
 
 constexpr size_t kMaxWorkers = 20000;
 constexpr double kMinRelay_s = 10, kMaxRelay_s = 300;
-constexpr double kRecentPatiences = 5;   // a redirect is recent for so many patiences of a worker
-constexpr int kMaxRedirects = 3;         // in short succession, before its heartbeats are relayed
-constexpr double kRelayAgainLeases = 3;  // a relay that ended within so many leases is continued
+// A redirect is recent for this multiple of a worker's patience.
+constexpr double kRecentRedirectPatiences = 5;
+// Redirects in short succession before the heartbeats of a worker are relayed.
+constexpr int kMaxRedirects = 3;
+// A relay that starts within this multiple of a lease after the previous one continues that one.
+constexpr double kRelayRenewalLeases = 3;
 
 }  // namespace
 
 WorkerRoster::WorkerRoster(const Settings& settings) : settings_(settings) {}
 
-bool WorkerRoster::redirected_lately(const Worker& w, uint64_t leader, double now) const {
-    return w.redirected_to == leader &&
-           now - w.redirected_at < kRecentPatiences * settings_.worker_patience_s;
+bool WorkerRoster::recently_redirected(const Worker& w, uint64_t leader_token, double now) const {
+    return w.redirected_to_token == leader_token &&
+           now - w.redirected_at < kRecentRedirectPatiences * settings_.worker_patience_s;
 }
 
-// A worker that comes back after its own patience has found the leader silent. Sooner, it was
-// turned away, as by a leader that is not ready yet, and is redirected there a few times more.
-bool WorkerRoster::came_back(const Worker& w, uint64_t leader, double now) const {
-    if (!redirected_lately(w, leader, now)) return false;
+// Returns whether the worker came back because it can't use the leader. A worker that comes back
+// after its own patience got no response from the leader. A worker that comes back sooner was
+// refused, for example by a leader that is not ready yet, and is redirected a few more times.
+bool WorkerRoster::came_back(const Worker& w, uint64_t leader_token, double now) const {
+    if (!recently_redirected(w, leader_token, now)) return false;
     return now - w.redirected_at >= settings_.worker_patience_s || w.redirects >= kMaxRedirects;
 }
 
-// From time to time the worker is redirected to the leader again, more rarely each time that it
-// comes back.
+// Starts a relay of limited duration, after which the worker is redirected to the leader again. The
+// duration doubles each time that the worker comes back.
 void WorkerRoster::begin_relay(Worker& w, double now) const {
-    bool again = w.relay_until > 0 && now - w.relay_until < kRelayAgainLeases * settings_.lease_s;
-    w.relay_span_s = again ? std::min(w.relay_span_s * 2, kMaxRelay_s)
-                           : std::max(kMinRelay_s, settings_.lease_s);
-    w.relay_until = now + w.relay_span_s;
+    bool continued =
+        w.relay_until > 0 && now - w.relay_until < kRelayRenewalLeases * settings_.lease_s;
+    w.relay_duration_s = continued ? std::min(w.relay_duration_s * 2, kMaxRelay_s)
+                                   : std::max(kMinRelay_s, settings_.lease_s);
+    w.relay_until = now + w.relay_duration_s;
 }
 
-void WorkerRoster::redirect(Worker& w, uint64_t leader, double now) const {
-    w.redirects = redirected_lately(w, leader, now) ? w.redirects + 1 : 1;
-    w.redirected_to = leader;
+void WorkerRoster::redirect(Worker& w, uint64_t leader_token, double now) const {
+    w.redirects = recently_redirected(w, leader_token, now) ? w.redirects + 1 : 1;
+    w.redirected_to_token = leader_token;
     w.redirected_at = now;
 }
 
-bool WorkerRoster::should_relay(const std::string& machine, uint64_t seen, uint64_t leader,
-                                double now) {
+bool WorkerRoster::should_relay(const std::string& machine, uint64_t worker_token,
+                                uint64_t leader_token, double now) {
     if (workers_.size() > kMaxWorkers && !workers_.contains(machine)) workers_.clear();
     auto& w = workers_[machine];
     bool relayed = now < w.relay_until;
-    // It knows the leader and yet comes here; or it does not, as it was redirected there and came
-    // back each time. Redirected again, it could not reach the leader until its lease was over.
-    bool knows_leader = seen != 0 && seen >= leader;
-    bool stranded = relayed || knows_leader || came_back(w, leader, now);
-    if (stranded) {
-        w.stranded_at = now;
-        w.stranded_with = leader;
+    // The worker can't use the leader if it knows the leader and still reports here, or if it was
+    // redirected and came back. If such a worker were redirected again, it would reach no leader
+    // until its lease had expired.
+    bool knows_leader = worker_token != 0 && worker_token >= leader_token;
+    bool leader_unreachable = relayed || knows_leader || came_back(w, leader_token, now);
+    if (leader_unreachable) {
+        w.leader_unreachable_at = now;
+        w.unreachable_leader_token = leader_token;
     }
-    if (leader == 0) return false;
-    if (!stranded) redirect(w, leader, now);
-    if (stranded && !relayed) begin_relay(w, now);
-    return stranded;
+    if (leader_token == 0) return false;
+    if (!leader_unreachable) redirect(w, leader_token, now);
+    if (leader_unreachable && !relayed) begin_relay(w, now);
+    return leader_unreachable;
 }
 
 void WorkerRoster::end_relay(const std::string& machine) {
     auto it = workers_.find(machine);
     if (it == workers_.end()) return;
     it->second.relay_until = 0;
-    it->second.relay_span_s = 0;
+    it->second.relay_duration_s = 0;
 }
 
-uint32_t WorkerRoster::stranded(uint64_t leader, double window_s, double now) const {
+uint32_t WorkerRoster::workers_without_leader(uint64_t leader_token, double window_s,
+                                              double now) const {
     return static_cast<uint32_t>(std::count_if(workers_.begin(), workers_.end(), [&](auto& w) {
-        return now - w.second.stranded_at < window_s &&
-               (leader == 0 || w.second.stranded_with == leader);
+        return now - w.second.leader_unreachable_at < window_s &&
+               (leader_token == 0 || w.second.unreachable_leader_token == leader_token);
     }));
 }
 
-size_t WorkerRoster::relayed(double now) const {
+size_t WorkerRoster::relayed_workers(double now) const {
     return static_cast<size_t>(std::count_if(workers_.begin(), workers_.end(),
                                              [&](auto& w) { return now < w.second.relay_until; }));
 }
--- a/src/standby/standby_service.cpp
+++ b/src/standby/standby_service.cpp
@@ -138,7 +138,7 @@
 }
 
 asio::awaitable<bool> StandbyService::read_pending(std::string id, JobLookup* out) {
-    reads_.take(1);
+    reads_.consume(1);
     auto item = co_await kv_.get(pending_key(id), kRead_s);
     if (!answers_.record(item)) co_return false;
     if (!item) co_return true;
@@ -163,7 +163,7 @@
         out.standing = live.standing;
         co_return out;
     }
-    reads_.take(1);
+    reads_.consume(1);
     auto ended = co_await kv_.get(final_key(id), kRead_s);
     if (!answers_.record(ended)) co_return std::nullopt;
     JobReads reads;
@@ -205,7 +205,7 @@
 
 bool StandbyService::take_write() {
     if (writes_.available(steady_now()) < 1) return false;
-    writes_.take(1);
+    writes_.consume(1);
     return true;
 }
 
@@ -295,7 +295,7 @@
         // Without an answer it may have been accepted all the same, now or by an earlier try.
         co_return co_await existing_or_retry(std::move(id));
     }
-    if (result.too_fast) writes_.too_fast();
+    if (result.rate_limited) writes_.reduce_rate();
     if (!answers_.record(result)) co_return retry_later();
     // A leader may have accepted, and even cancelled, the job before: then the log tells, as of now
     // at least.
@@ -330,7 +330,7 @@
     auto txn =
         cancel_transaction(id, found.pending_version, found.pending.value_or(PendingRecord{}));
     auto result = co_await kv_.txn(txn, kWrite_s);
-    if (result.too_fast) writes_.too_fast();
+    if (result.rate_limited) writes_.reduce_rate();
     // Without an answer it may have been executed, or be later: what is recorded is read either
     // way.
     if (!answers_.record(result) && result.outcome != KvOutcome::Unknown) co_return false;
--- a/src/standby/state_log_follower.cpp
+++ b/src/standby/state_log_follower.cpp
@@ -81,7 +81,7 @@
 asio::awaitable<StateLogFollower::ReadResult> StateLogFollower::read_forward() {
     std::string after = view_.resume_after();
     for (bool first_page = true;; first_page = false) {
-        reads_.take(1);
+        reads_.consume(1);
         auto page = co_await kv_.list(kSegmentPrefix, after, kSegmentsPerPage, kPage_s);
         if (!answers_.record(page) || !page) co_return ReadResult::Failed;
         try {
--- a/src/storage/rate_limiter.h
+++ b/src/storage/rate_limiter.h
@@ -1,40 +1,41 @@
-// A rate limit with bursts (a token bucket) that adapts to what proves possible. Not thread-safe.
+// A token bucket whose rate adapts to the limit that the server enforces. Not thread-safe.
 #pragma once
 #include <algorithm>
 
 namespace weirmill {
 
-// Where the rate proves too high, it falls at once and comes back in some minutes: a limit that was
-// not announced would otherwise refuse requests all the time. Times are of the steady clock,
-// seconds.
+// Limits the rate of requests and allows bursts. When the server refuses requests for their rate,
+// the rate falls at once and recovers over some minutes. A fixed rate would be refused all the time
+// by a server with a lower, unannounced limit. Times are in seconds of the steady clock.
 class RateLimiter {
   public:
-    RateLimiter(double per_s, double burst_s)
-        : allowed_(per_s), rate_(per_s), burst_s_(burst_s), level_(per_s * burst_s) {}
-    // How many requests may be sent now; negative: they are to pause.
+    RateLimiter(double max_per_s, double burst_s)
+        : max_rate_(max_per_s), rate_(max_per_s), burst_s_(burst_s), tokens_(max_per_s * burst_s) {}
+    // Returns how many requests may be sent now. A negative value means that the caller must pause.
     double available(double now) {
-        if (last_ > 0) {
-            level_ = std::min(rate_ * burst_s_, level_ + (now - last_) * rate_);
-            rate_ = std::min(allowed_, rate_ + (now - last_) * allowed_ * kRecoveryPerS);
+        if (last_refill_at_ > 0) {
+            double elapsed_s = now - last_refill_at_;
+            tokens_ = std::min(rate_ * burst_s_, tokens_ + elapsed_s * rate_);
+            rate_ = std::min(max_rate_, rate_ + elapsed_s * max_rate_ * kRecoveryShare_per_s);
         }
-        last_ = now;
-        return level_;
+        last_refill_at_ = now;
+        return tokens_;
     }
-    void take(double n) { level_ -= n; }
-    // Nothing more for now: a request was refused.
-    void drain() { level_ = std::min(level_, 0.0); }
-    // A request was refused for its rate.
-    void too_fast() {
-        rate_ = std::max(allowed_ * kMinShare, rate_ * kFall);
+    void consume(double requests) { tokens_ -= requests; }
+    // Empties the bucket after a request was refused.
+    void drain() { tokens_ = std::min(tokens_, 0.0); }
+    // Lowers the rate and empties the bucket after a request was refused for its rate.
+    void reduce_rate() {
+        rate_ = std::max(max_rate_ * kMinRateShare, rate_ * kBackoffFactor);
         drain();
     }
     double rate() const { return rate_; }
 
   private:
-    static constexpr double kFall = 0.8;            // of the rate, with each refusal
-    static constexpr double kMinShare = 0.1;        // of the allowed rate
-    static constexpr double kRecoveryPerS = 0.001;  // of the allowed rate
-    double allowed_, rate_, burst_s_, level_, last_ = 0;
+    static constexpr double kBackoffFactor = 0.8;          // applied to the rate at each refusal
+    static constexpr double kMinRateShare = 0.1;           // share of the maximum rate
+    static constexpr double kRecoveryShare_per_s = 0.001;  // share of the maximum rate per second
+    double max_rate_, rate_, burst_s_, tokens_, last_refill_at_ = 0;
 };
 
 }  // namespace weirmill
--- a/tests/downlink_test.cpp
+++ b/tests/downlink_test.cpp
@@ -1,5 +1,6 @@
-// Machines whose downlink is lost, late copies of heartbeats, and workers that begin anew: what
-// heartbeats show, and the whole service over loopback with such machines. docs/failures.md.
+// Tests of lost downlinks, delayed copies of heartbeats and restarted workers: the conclusions
+// drawn from heartbeats, and the whole service over loopback with such machines. See
+// docs/failures.md.
 #include "liveness/downlink.h"
 
 #include <random>
@@ -12,139 +13,146 @@
 namespace json = boost::json;
 using test::Service;
 
-// Report interval 2 s, lease 18 s, a worker's patience 4 s and 1 s more to the next of two
-// controllers.
-struct WorkerLink {
+// The downlink state of one worker. The heartbeat interval is 2 s, the lease 18 s, and the worker's
+// patience 4 s, with 1 s more until it tries the other one of two controllers.
+struct DownlinkFixture {
     Settings settings = test::small_settings();
     DownlinkState downlink;
     double now = 100;
-    WorkerLink() { settings.peers.push_back({"node-1", "a", {"127.0.0.1", 1}}); }
-    // A heartbeat, `after` seconds later, which is answered.
-    bool report(double after, uint64_t agent_epoch, uint64_t seq, DownlinkObservation what = {}) {
-        now += after;
-        what.order = {agent_epoch, seq};
-        bool downlink_lost = observe_heartbeat(downlink, what, settings, now);
-        record_response(downlink, what.order, what.our_fencing_token, now);
+    DownlinkFixture() { settings.peers.push_back({"node-1", "a", {"127.0.0.1", 1}}); }
+    // Sends a heartbeat `after_s` seconds later and answers it. Returns whether the downlink counts
+    // as lost from now on.
+    bool send_heartbeat(double after_s, uint64_t agent_epoch, uint64_t seq,
+                        DownlinkObservation observation = {}) {
+        now += after_s;
+        observation.order = {agent_epoch, seq};
+        bool downlink_lost = observe_heartbeat(downlink, observation, settings, now);
+        record_response(downlink, observation.order, observation.saw_fencing_token, now);
         return downlink_lost;
     }
 };
-DownlinkObservation with(bool our_fencing_token, bool direct, bool taken = false,
-                         bool missing = false) {
-    return {{}, our_fencing_token, direct, taken, missing};
+DownlinkObservation make_observation(bool saw_fencing_token, bool direct,
+                                     bool launch_confirmed = false, bool launch_missing = false) {
+    return {{}, saw_fencing_token, direct, launch_confirmed, launch_missing};
 }
 
-TEST(DownlinkState, IsToldByWhatReportsShow) {
+TEST(DownlinkState, FollowsFromHeartbeats) {
     struct Step {
-        double after;
+        double after_s;
         uint64_t agent_epoch, seq;
-        DownlinkObservation what;
+        DownlinkObservation observation;
     };
     struct Row {
-        const char* why;
+        const char* name;
         std::vector<Step> steps;
         bool downlink_lost;
     };
-    auto old = with(false, false), placed_this_term = with(true, false),
-         missing = with(true, false, false, true), taken = with(true, false, true),
-         here = with(true, true);
+    auto old_token = make_observation(false, false), current_token = make_observation(true, false),
+         missing = make_observation(true, false, false, true),
+         confirmed = make_observation(true, false, true), direct = make_observation(true, true);
     const Row rows[] = {
-        {"nothing to be seen",
-         {{0, 1, 1, placed_this_term}, {10, 1, 2, placed_this_term}, {10, 1, 3, placed_this_term}},
+        {"no evidence",
+         {{0, 1, 1, current_token}, {10, 1, 2, current_token}, {10, 1, 3, current_token}},
          false},
-        {"one answer lost",
-         {{0, 1, 1, placed_this_term}, {10, 1, 2, missing}, {10, 1, 3, taken}},
+        {"one response lost",
+         {{0, 1, 1, current_token}, {10, 1, 2, missing}, {10, 1, 3, confirmed}},
          false},
-        {"two launches not taken up",
-         {{0, 1, 1, placed_this_term}, {10, 1, 2, missing}, {10, 1, 3, missing}},
+        {"two launches missing",
+         {{0, 1, 1, current_token}, {10, 1, 2, missing}, {10, 1, 3, missing}},
          true},
-        {"a launch missed, one taken, one missed",
-         {{0, 1, 1, placed_this_term}, {10, 1, 2, missing}, {10, 1, 3, taken}, {10, 1, 4, missing}},
+        {"a launch missing, one confirmed, one missing",
+         {{0, 1, 1, current_token},
+          {10, 1, 2, missing},
+          {10, 1, 3, confirmed},
+          {10, 1, 4, missing}},
          false},
-        {"the token stays behind", {{0, 1, 1, old}, {10, 1, 2, old}, {10, 1, 3, old}}, true},
-        {"the token comes with the second answer",
-         {{0, 1, 1, old}, {10, 1, 2, old}, {10, 1, 3, placed_this_term}},
+        {"the token stays old",
+         {{0, 1, 1, old_token}, {10, 1, 2, old_token}, {10, 1, 3, old_token}},
+         true},
+        {"the token is current after the second response",
+         {{0, 1, 1, old_token}, {10, 1, 2, old_token}, {10, 1, 3, current_token}},
          false},
-        {"its lease runs out although it was answered",
-         {{0, 1, 1, placed_this_term}, {10, 1, 2, placed_this_term}, {10, 2, 3, placed_this_term}},
+        {"the lease expires although it was renewed",
+         {{0, 1, 1, current_token}, {10, 1, 2, current_token}, {10, 2, 3, current_token}},
          true},
-        {"it runs out after a long silence",
-         {{0, 1, 1, placed_this_term}, {25, 2, 2, placed_this_term}},
+        {"the lease expires after a long silence",
+         {{0, 1, 1, current_token}, {25, 2, 2, current_token}},
          false},
-        {"deaf, then a launch is taken",
-         {{0, 1, 1, placed_this_term}, {10, 1, 2, missing}, {10, 1, 3, missing}, {5, 1, 4, taken}},
+        {"downlink lost, then a launch is confirmed",
+         {{0, 1, 1, current_token}, {10, 1, 2, missing}, {10, 1, 3, missing}, {5, 1, 4, confirmed}},
          false},
-        {"deaf, then a session outlives the lease",
-         {{0, 1, 1, placed_this_term},
+        {"downlink lost, then an epoch outlives the lease",
+         {{0, 1, 1, current_token},
           {8, 1, 2, missing},
           {8, 1, 3, missing},
-          {9, 1, 4, placed_this_term}},
+          {9, 1, 4, current_token}},
          false},
-        {"deaf, then it stays with this controller",
-         {{0, 1, 1, placed_this_term},
+        {"downlink lost, then the worker stays with this controller",
+         {{0, 1, 1, current_token},
           {10, 1, 2, missing},
           {10, 1, 3, missing},
-          {2, 1, 4, here},
-          {2, 1, 5, here},
-          {2, 1, 6, here}},
+          {2, 1, 4, direct},
+          {2, 1, 5, direct},
+          {2, 1, 6, direct}},
          false},
-        {"deaf, and comes round by the others",
-         {{0, 1, 1, placed_this_term},
+        {"downlink lost, and the worker tries the other controllers",
+         {{0, 1, 1, current_token},
           {10, 1, 2, missing},
           {10, 1, 3, missing},
-          {2, 1, 4, here},
-          {10, 1, 5, here},
-          {10, 2, 6, here}},
+          {2, 1, 4, direct},
+          {10, 1, 5, direct},
+          {10, 2, 6, direct}},
          true},
     };
     for (auto& row : rows) {
-        WorkerLink e;
-        for (auto& s : row.steps) e.report(s.after, s.agent_epoch, s.seq, s.what);
-        EXPECT_EQ(e.downlink.downlink_lost(), row.downlink_lost) << row.why;
+        DownlinkFixture f;
+        for (auto& s : row.steps) f.send_heartbeat(s.after_s, s.agent_epoch, s.seq, s.observation);
+        EXPECT_EQ(f.downlink.downlink_lost(), row.downlink_lost) << row.name;
     }
 }
 
-TEST(DownlinkState, ADeafMachineIsGivenBackUnlessSoManyAreThatItIsOurLink) {
-    WorkerLink e;
-    e.downlink.lost_since = 100;
+TEST(DownlinkState, ReplacesLostMachineUnlessMostAreLost) {
+    DownlinkFixture f;
+    f.downlink.lost_since = 100;
     struct Row {
         double now;
         size_t downlink_lost, up;
-        bool back;
+        bool replaced;
     };
-    // A lease of 18 s, and 30 s for a replacement.
+    // The lease is 18 s and a replacement takes 30 s.
     for (auto& row : {Row{147, 1, 10, false}, Row{149, 1, 10, true}, Row{149, 5, 10, true},
                       Row{149, 6, 10, false}})
-        EXPECT_EQ(should_replace_unreachable(e.downlink, 30, row.downlink_lost, row.up, e.settings,
+        EXPECT_EQ(should_replace_unreachable(f.downlink, 30, row.downlink_lost, row.up, f.settings,
                                              row.now),
-                  row.back)
+                  row.replaced)
             << row.downlink_lost;
-    EXPECT_FALSE(should_replace_unreachable({}, 30, 0, 10, e.settings, 1e6));
+    EXPECT_FALSE(should_replace_unreachable({}, 30, 0, 10, f.settings, 1e6));
 }
 
-TEST(DownlinkState, AfterItsLeaseOnlyAWorkerThatIsThereBringsAMachineBack) {
+TEST(DownlinkState, OnlyLiveWorkerReturnsAfterLease) {
     struct Step {
-        double after;
+        double after_s;
         uint64_t agent_epoch, seq;
-        bool back;
+        bool returned;
     };
     struct Row {
-        const char* why;
+        const char* name;
         std::vector<Step> steps;
     };
     const Row rows[] = {
-        {"a new session", {{1, 4, 1, true}}},
-        {"a later tick", {{1, 3, 91, true}}},
+        {"a new epoch", {{1, 4, 1, true}}},
+        {"a higher sequence number", {{1, 3, 91, true}}},
         {"one late copy", {{1, 3, 60, false}}},
-        {"copies in no order",
+        {"copies out of order",
          {{1, 3, 60, false},
           {2, 3, 20, false},
           {2, 2, 80, false},
           {2, 3, 10, false},
           {2, 3, 9, false}}},
-        {"copies in order, all at once",
+        {"copies in order, too fast",
          {{1, 3, 60, false}, {0.1, 3, 61, false}, {0.1, 3, 62, false}, {0.1, 3, 63, false}}},
-        {"it counts from the start", {{1, 1, 1, false}, {2, 1, 2, false}, {2, 1, 3, true}}},
-        {"a copy within",
+        {"restarted counters", {{1, 1, 1, false}, {2, 1, 2, false}, {2, 1, 3, true}}},
+        {"restarted counters and a copy",
          {{1, 1, 1, false},
           {2, 1, 2, false},
           {1, 3, 50, false},
@@ -153,18 +161,19 @@
           {2, 1, 5, true}}},
     };
     for (auto& row : rows) {
-        WorkerLink e;
-        reset_downlink(e.downlink, {3, 90});
+        DownlinkFixture f;
+        reset_downlink(f.downlink, {3, 90});
         for (auto& s : row.steps) {
-            e.now += s.after;
-            EXPECT_EQ(has_returned(e.downlink, {s.agent_epoch, s.seq}, e.settings, e.now), s.back)
-                << row.why << " " << s.seq;
+            f.now += s.after_s;
+            EXPECT_EQ(has_returned(f.downlink, {s.agent_epoch, s.seq}, f.settings, f.now),
+                      s.returned)
+                << row.name << " " << s.seq;
         }
     }
 }
 
-// Summed over the controllers that are there.
-double figure(Service& s, const std::string& name) {
+// Returns the sum of a metric over the live controllers.
+double metric_sum(Service& s, const std::string& name) {
     double sum = 0;
     for (size_t i = 0; i < s.nodes.size(); ++i) {
         auto page = s.alive[i] ? s.ask_node(i, "GET", "/metrics", "") : std::nullopt;
@@ -174,28 +183,28 @@
     return sum;
 }
 
-// The machine on which a task of the job runs.
-std::shared_ptr<fakes::Worker> machine_of(Service& s, const std::string& job) {
+// Returns the worker of a machine that runs a task of the job.
+std::shared_ptr<fakes::Worker> worker_running(Service& s, const std::string& job) {
     for (auto& [name, w] : s.cloud->workers)
         if (!w->dead() && w->runs(job)) return w;
     return nullptr;
 }
 
-TEST(DownlinkService, WorkGoesElsewhereFromAMachineThatHearsNothingAndItIsGivenBack) {
-    // It was heard, and so it kept its tasks, got new ones at each of its sessions and was never
-    // given back.
+TEST(DownlinkService, LostMachineLosesWorkAndIsReplaced) {
+    // Such a machine once kept its tasks, received new ones in each agent epoch and was never
+    // returned, because its heartbeats still arrived.
     Service s(1);
     EXPECT_EQ(s.submit("req-1", "array", 1, {1.0}), 201);
     ASSERT_TRUE(s.until([&] { return s.cloud->on_some_machine("req-1"); }));
-    auto downlink_lost = machine_of(s, "req-1");
+    auto downlink_lost = worker_running(s, "req-1");
     downlink_lost->downlink_lost = true;
     s.cloud->jobs["req-1"].run_s = 3;
     EXPECT_EQ(s.submit("req-2", "array", 3, {0.2}), 201);
     EXPECT_TRUE(s.done("req-1"));
     EXPECT_TRUE(s.done("req-2"));
-    EXPECT_TRUE(s.until([&] { return figure(s, "machines_deaf_total") > 0; }));
-    // A job that fills a machine each: none of its tasks is sent to the one without a downlink any
-    // more.
+    EXPECT_TRUE(s.until([&] { return metric_sum(s, "machines_deaf_total") > 0; }));
+    // Each task of this job fills a machine. No task is placed on the machine without a downlink
+    // any more.
     auto body = Service::with(Service::submission("req-3", "array", 4, 8), "expected_s", 1.0);
     s.cloud->jobs["req-3"] = {0.2, false, 4, false, {}};
     EXPECT_EQ(s.ask("POST", "/v2/runs", body).status, 201);
@@ -203,23 +212,22 @@
     EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
 }
 
-TEST(DownlinkService, AMachineThatHearsAgainIsUsedAgain) {
+TEST(DownlinkService, RecoveredMachineIsUsedAgain) {
     Service s(1);
     EXPECT_EQ(s.submit("req-1", "array", 1, {0.2}), 201);
     EXPECT_TRUE(s.done("req-1"));
     for (auto& [name, w] : s.cloud->workers) w->downlink_lost = true;
     EXPECT_EQ(s.submit("req-2", "array", 1, {0.2}), 201);
-    EXPECT_TRUE(s.until([&] { return figure(s, "machines_deaf") > 0; }));
+    EXPECT_TRUE(s.until([&] { return metric_sum(s, "machines_deaf") > 0; }));
     for (auto& [name, w] : s.cloud->workers) w->downlink_lost = false;
-    EXPECT_TRUE(s.until([&] { return figure(s, "machines_deaf") == 0; }));
+    EXPECT_TRUE(s.until([&] { return metric_sum(s, "machines_deaf") == 0; }));
     EXPECT_TRUE(s.done("req-2"));
     EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
 }
 
-TEST(DownlinkService, CopiesOfReportsChangeNothing) {
-    // Of each report five old ones come again, to any controller, while jobs run, the leader ends
-    // and machines go silent: each task starts once on a sound machine, and no lease is kept from
-    // running out.
+TEST(DownlinkService, HeartbeatCopiesHaveNoEffect) {
+    // Five old heartbeats are sent again with each heartbeat, to any controller, while jobs run and
+    // the leader crashes. Each task starts once on a healthy machine, and no copy extends a lease.
     Service s(3);
     EXPECT_EQ(s.submit("req-1", "array", 6, {2.0}), 201);
     ASSERT_TRUE(s.until([&] { return s.cloud->starts.size() == 6; }));
@@ -235,17 +243,17 @@
     EXPECT_TRUE(s.done("req-1"));
     EXPECT_TRUE(s.done("req-3"));
     for (auto& [task, n] : s.cloud->starts) EXPECT_EQ(n, 1) << task;
-    EXPECT_GT(figure(s, "report_copies_total"), 0);
+    EXPECT_GT(metric_sum(s, "report_copies_total"), 0);
     EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
 }
 
-TEST(DownlinkService, AMachineThatIsBackAtOnceLosesItsTasksAndIsUsedAgain) {
-    // Its counts begin anew: taken for copies, its reports were answered without an end, and what
-    // had been there was believed to run.
+TEST(DownlinkService, RestartedMachineRunsItsTasksAgain) {
+    // A restarted worker counts its heartbeats from the start. When these were taken for copies,
+    // the tasks of the earlier process were believed to run for ever.
     Service s(1);
     EXPECT_EQ(s.submit("req-1", "array", 1, {1.5}), 201);
     ASSERT_TRUE(s.until([&] { return s.cloud->on_some_machine("req-1"); }));
-    auto w = machine_of(s, "req-1");
+    auto w = worker_running(s, "req-1");
     ASSERT_TRUE(s.until([&] { return s.status("req-1") == "running"; }));
     w->begin_anew();
     EXPECT_TRUE(s.done("req-1"));
@@ -253,11 +261,11 @@
     EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
 }
 
-// Every interleaving of a small world, drawn: one worker, its reports and copies of them in any
-// order, answers that are lost or come, sessions that end. The leader's rule for a task that a
-// report does not show must never take it for gone while the worker may yet have it from an answer
-// of this leader.
-TEST(DownlinkState, NoReportProvesGoneWhatAnAnswerMayStillBring) {
+// Random interleavings of one worker, its heartbeats and copies of them in any order, responses
+// that are lost or arrive, and epochs that end. The leader's rule for a task that a heartbeat does
+// not report must never conclude that the task is gone while the worker may still receive it with a
+// response of this leader.
+TEST(DownlinkState, HeartbeatNeverProvesLiveTaskGone) {
     size_t proofs = 0, copies = 0;
     for (unsigned seed = 1; seed <= 4000; ++seed) {
         std::mt19937 random(seed);
@@ -266,35 +274,36 @@
             HeartbeatOrder order;
             bool has_task;
         };
-        HeartbeatOrder worker{1, 0}, known{};
+        HeartbeatOrder worker{1, 0}, last_applied{};
         bool has_task = false, placed = true;
         uint64_t start_seq = 0;
         std::vector<Sent> network;
         std::optional<Sent> in_flight;
         for (int step = 0; step < 40; ++step) {
-            if (one_in(12)) {  // the lease ends
+            if (one_in(12)) {  // the lease expires
                 ++worker.agent_epoch;
                 has_task = false;
                 in_flight.reset();
             }
             ++worker.seq;
-            Sent report{worker, has_task};
-            network.push_back(report);
-            in_flight = report;
-            // Some arrive now, some late, some more than once.
+            Sent heartbeat{worker, has_task};
+            network.push_back(heartbeat);
+            in_flight = heartbeat;
+            // Heartbeats arrive at once, late, or more than once.
             for (int n = random() % 3; n >= 0 && !network.empty(); --n) {
                 auto k = one_in(2) ? network.size() - 1 : random() % network.size();
-                auto got = network[k];
+                auto received = network[k];
                 if (!one_in(3)) network.erase(network.begin() + static_cast<long>(k));
-                if (got.order <= known) {
+                if (received.order <= last_applied) {
                     ++copies;
                     continue;
                 }
-                if (got.order.agent_epoch > known.agent_epoch && known.agent_epoch > 0)
+                if (received.order.agent_epoch > last_applied.agent_epoch &&
+                    last_applied.agent_epoch > 0)
                     placed = false, ++proofs;
-                known = got.order;
-                if (placed && !got.has_task && start_seq > 0 && start_seq < got.order.seq &&
-                    one_in(2)) {
+                last_applied = received.order;
+                if (placed && !received.has_task && start_seq > 0 &&
+                    start_seq < received.order.seq && one_in(2)) {
                     placed = false;
                     ++proofs;
                 }
@@ -302,9 +311,9 @@
                     EXPECT_FALSE(has_task) << "seed " << seed << " step " << step;
                     break;
                 }
-                start_seq = got.order.seq;
-                // The worker takes the answer to the report that it waits for alone.
-                if (in_flight && in_flight->order == got.order && one_in(2)) has_task = true;
+                start_seq = received.order.seq;
+                // The worker accepts only the response to the heartbeat that it waits for.
+                if (in_flight && in_flight->order == received.order && one_in(2)) has_task = true;
             }
             if (!placed) break;
         }
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -159,7 +159,7 @@
     KvClient state(io, settings);
     auto term = std::make_shared<LeadershipTerm>();
     term->fencing_token = 1;
-    term->won = steady_now();
+    term->won_at = steady_now();
     term->lease_valid_until = steady_now() + 60;
     auto leader = std::make_shared<Leader>(io, settings, properties, state, metrics, term);
     leader->start();
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -192,8 +192,8 @@
         text.replace(text.find("cancel_s = 38.0"), 15, std::string("cancel_s = ") + row.cancel_s);
         ASSERT_EQ(error_of(text), "") << row.cancel_s;
         auto s = load_settings(File(text).path);
-        EXPECT_EQ(answering_grace(s) > 0, row.grace) << row.cancel_s;
-        auto warning = grace_warning(s);
+        EXPECT_EQ(leader_grace_period(s) > 0, row.grace) << row.cancel_s;
+        auto warning = grace_period_warning(s);
         EXPECT_EQ(warning.empty(), row.grace) << warning;
         for (const char* field : {"workers.cancel_s", "workers.lease_s", "workers.report_s"})
             EXPECT_EQ(warning.find(field) == std::string::npos, row.grace) << warning;
--- a/tests/state_log_test.cpp
+++ b/tests/state_log_test.cpp
@@ -314,10 +314,10 @@
         for (int i = 0; i < 6000; ++i, now += 0.05) {  // five minutes
             level = std::min(held, level + 0.05 * held);
             if (budget.available(now) < 1) continue;
-            budget.take(1);
+            budget.consume(1);
             if (level < 1) {
                 ++refused;
-                budget.too_fast();
+                budget.reduce_rate();
             } else {
                 level -= 1;
                 ++done;
@@ -342,14 +342,14 @@
         s.heartbeat_interval_s = row.heartbeat_interval_s;
         s.lease_s = row.lease_s;
         s.cancel_s = row.cancel_s;
-        double grace = answering_grace(s);
+        double grace = leader_grace_period(s);
         EXPECT_GE(grace, 0);
         EXPECT_TRUE(grace == 0 ||
                     grace + s.lease_s * (1 + kMaxClockDrift) + kTimerMargin_s < s.cancel_s)
             << row.cancel_s;
         // What an earlier leader answered last, at won + grace, has run out by the time that a task
         // is taken for gone.
-        EXPECT_GT(earlier_term_expiry(s, 1000), 1000 + grace + s.lease_s * (1 + kMaxClockDrift));
+        EXPECT_GT(previous_terms_expiry(s, 1000), 1000 + grace + s.lease_s * (1 + kMaxClockDrift));
         EXPECT_GT(answered_lease_expiry(s, 1000), 1000 + s.lease_s * (1 + kMaxClockDrift));
         // A slow clock of ours against a true one of the key-value store: the lease is valid
         // for too short a time, never for too long.
@@ -362,7 +362,7 @@
         double fresh_s, other_s;  // since they were started
     };
     for (auto& row : {Row{5, 100}, Row{15, 120}, Row{30, 600}, Row{10, 1e7}})
-        EXPECT_LT(campaign_delay(row.fresh_s) + kCampaignSpread_s, campaign_delay(row.other_s))
+        EXPECT_LT(campaign_delay(row.fresh_s) + kCampaignJitter_s, campaign_delay(row.other_s))
             << row.other_s;
     EXPECT_LE(campaign_delay(1e9), 0.1);
     EXPECT_EQ(campaign_delay(0), 0);
@@ -370,7 +370,7 @@
 
 TEST(Proof, AMachinesLeaseEndsOnlyAfterWhatMayHaveBeenAnswered) {
     auto s = test::small_settings();  // lease 18 s
-    const double won = 1000, first = earlier_term_expiry(s, won);
+    const double won = 1000, first = previous_terms_expiry(s, won);
     struct Row {
         const char* why;
         double report, answer;
