--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -134,10 +134,10 @@
 // The campaign was won, but its lease may have expired since, so it is renewed before the term
 // starts.
 asio::awaitable<bool> Election::resume_pending_campaign(uint64_t fencing_token) {
-    double started = steady_now();
+    double requested_at = steady_now();
     auto renewed = co_await kv_.renew_lease(pending_campaign_lease_, kRequestTimeout_s);
     if (!renewed) co_return false;
-    start_term(fencing_token, pending_campaign_lease_, started);
+    start_term(fencing_token, pending_campaign_lease_, requested_at);
     co_return true;
 }
 
@@ -161,19 +161,19 @@
     if (wait >= 0)
         co_await sleep_s(wait + campaign_delay(steady_now() - started_at_) +
                          jitter(0.0, kCampaignJitter_s));
-    double started = steady_now();
+    double requested_at = steady_now();
     auto lease = co_await campaign_lease();
     if (!lease) co_return;
     CasTransaction txn;
     txn.conditions.push_back({kLeaderKey, 0});
     txn.changes.push_back(
         {kLeaderKey, json::serialize(json::object{{"name", settings_.name}}), *lease});
-    auto won = co_await kv_.txn(txn, std::min(kRequestTimeout_s, lease_s_ / 2));
-    if (won) {
-        start_term(won.value, *lease, started);
+    auto result = co_await kv_.txn(txn, std::min(kRequestTimeout_s, lease_s_ / 2));
+    if (result) {
+        start_term(result.value, *lease, requested_at);
         pending_campaign_lease_ = 0;
-        set_leader(settings_.name, won.value);
-    } else if (won.outcome == KvOutcome::Unknown) {
+        set_leader(settings_.name, result.value);
+    } else if (result.outcome == KvOutcome::Unknown) {
         pending_campaign_lease_ = *lease;
     }
 }
--- a/src/leadership/leadership_term.h
+++ b/src/leadership/leadership_term.h
@@ -15,7 +15,7 @@
 struct LeadershipTerm {
     uint64_t fencing_token = 0;    // version of the leader key when the term was won
     uint64_t lease = 0;            // lease that the leader key is attached to
-    double won_at = 0;             // all earlier leaders had lost their leases by then
+    double won_at = 0;             // no earlier leader held a lease after this
     double lease_valid_until = 0;  // no other leader can exist before this time
     bool ended = false;            // never reset: another leader may exist
     std::optional<TransferRecord> transferred_to;  // set if the term ends with a transfer
--- a/src/liveness/downlink.cpp
+++ b/src/liveness/downlink.cpp
@@ -10,12 +10,14 @@
 constexpr uint32_t kMissedAnswersForLoss = 2;
 constexpr uint32_t kMinConsecutiveDirect = 2;
 constexpr uint32_t kMinReturnHeartbeats = 3;
-constexpr double kMinIntervalShare = 0.4;  // share of the heartbeat interval
+// Minimum time between consecutive heartbeats, as a share of their interval.
+constexpr double kMinIntervalShare = 0.4;
 // Maximum difference between consecutive heartbeats: requests to /commands and /status also
 // increase `seq`.
 constexpr uint64_t kMaxSeqStep = 20;
 // Share of a lease that allows for clock drift and late heartbeats.
 constexpr double kLeaseMargin = 0.02;
+// Allowance for the time that a heartbeat takes to arrive.
 constexpr double kArrivalMargin_s = 0.5;
 
 // Returns whether the worker sends its heartbeats to this controller only. Without responses it
--- a/src/liveness/downlink.h
+++ b/src/liveness/downlink.h
@@ -43,7 +43,7 @@
     bool downlink_lost() const { return lost_since > 0; }
 };
 
-// What a heartbeat that is newer than all before shows.
+// What a heartbeat shows that is newer than all earlier ones.
 struct DownlinkObservation {
     HeartbeatOrder order;
     bool saw_fencing_token = false;  // the highest token that the worker has seen is this leader's
@@ -82,10 +82,10 @@
 // Resets the state after the lease has expired. `last` is the last heartbeat before the expiry.
 void reset_downlink(DownlinkState& state, const HeartbeatOrder& last);
 
-// Returns whether a machine with a lost downlink is to be returned. It is, once it has cost as much
-// as a replacement would. It is not if more than half of the machines have lost their downlinks, as
-// the link of this controller has then probably failed. `replacement_s` is how long a new machine
-// takes. `downlink_lost` and `machines_up` are numbers of machines.
+// Returns whether a machine with a lost downlink is to be terminated. It is, once it has cost as
+// much as a replacement would. It is not if more than half of the machines have lost their
+// downlinks, as the link of this controller has then probably failed. `replacement_s` is how long a
+// new machine takes. `downlink_lost` and `machines_up` are numbers of machines.
 [[nodiscard]] bool should_replace_unreachable(const DownlinkState& state, double replacement_s,
                                               size_t downlink_lost, size_t machines_up,
                                               const Settings& s, double now);
--- a/src/liveness/worker_lease.cpp
+++ b/src/liveness/worker_lease.cpp
@@ -30,10 +30,9 @@
 std::string grace_period_warning(const Settings& s) {
     if (leader_grace_period(s) > 0) return "";
     return fmt::format(
-        "settings: deployment.workers.cancel_s = {} is not above workers.lease_s = {} with margins "
-        "(1.5 times "
-        "workers.report_s = {}, and a second): an outage of the state service that outlasts the "
-        "leader's lease ends the workers' tasks",
+        "settings: deployment.workers.cancel_s = {} leaves no time for a grace period, as it must "
+        "exceed workers.lease_s = {} plus 1.5 times workers.report_s = {} plus 1 s: an outage of "
+        "the state service that outlasts the leader's lease ends the workers' tasks",
         s.cancel_s, s.lease_s, s.heartbeat_interval_s);
 }
 
--- a/tests/downlink_test.cpp
+++ b/tests/downlink_test.cpp
@@ -191,13 +191,13 @@
 }
 
 TEST(DownlinkService, LostMachineLosesWorkAndIsReplaced) {
-    // Such a machine once kept its tasks, received new ones in each agent epoch and was never
-    // returned, because its heartbeats still arrived.
+    // Such a machine once kept its tasks, got new ones in each agent epoch and was never
+    // terminated, because its heartbeats still arrived.
     Service s(1);
     EXPECT_EQ(s.submit("req-1", "array", 1, {1.0}), 201);
     ASSERT_TRUE(s.until([&] { return s.cloud->on_some_machine("req-1"); }));
-    auto downlink_lost = worker_running(s, "req-1");
-    downlink_lost->downlink_lost = true;
+    auto lost_worker = worker_running(s, "req-1");
+    lost_worker->downlink_lost = true;
     s.cloud->jobs["req-1"].run_s = 3;
     EXPECT_EQ(s.submit("req-2", "array", 3, {0.2}), 201);
     EXPECT_TRUE(s.done("req-1"));
@@ -231,13 +231,13 @@
     Service s(3);
     EXPECT_EQ(s.submit("req-1", "array", 6, {2.0}), 201);
     ASSERT_TRUE(s.until([&] { return s.cloud->starts.size() == 6; }));
-    auto copies = [&] {
+    auto repeat_heartbeats = [&] {
         for (auto& [name, w] : s.cloud->workers) w->copies = 5;
     };
-    copies();
+    repeat_heartbeats();
     EXPECT_EQ(s.submit("req-2", "ensemble", 3, {0.5}), 201);
     EXPECT_TRUE(s.done("req-2"));
-    copies();
+    repeat_heartbeats();
     s.crash_leader();
     EXPECT_EQ(s.submit("req-3", "array", 6, {0.2}), 201);
     EXPECT_TRUE(s.done("req-1"));
@@ -249,13 +249,13 @@
 
 TEST(DownlinkService, RestartedMachineRunsItsTasksAgain) {
     // A restarted worker counts its heartbeats from the start. When these were taken for copies,
-    // the tasks of the earlier process were believed to run for ever.
+    // the tasks of the earlier process were believed to run forever.
     Service s(1);
     EXPECT_EQ(s.submit("req-1", "array", 1, {1.5}), 201);
     ASSERT_TRUE(s.until([&] { return s.cloud->on_some_machine("req-1"); }));
-    auto w = worker_running(s, "req-1");
+    auto worker = worker_running(s, "req-1");
     ASSERT_TRUE(s.until([&] { return s.status("req-1") == "running"; }));
-    w->begin_anew();
+    worker->begin_anew();
     EXPECT_TRUE(s.done("req-1"));
     EXPECT_EQ(s.cloud->starts["req-1/0"], 2);
     EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
