--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -223,8 +223,8 @@
     auto theirs = peer_links(candidate_, now);
     if (!theirs) co_return;
     spdlog::info(
-        "links: transferring leadership to {}: own workers direct={} reachable={} known={}, its "
-        "workers direct={} reachable={}",
+        "links: transferring leadership to {}: own workers direct={} reachable={} known={}, "
+        "peer workers direct={} reachable={}",
         candidate_, own.direct_workers, own.reachable_workers, own.known_workers,
         theirs->direct_workers, theirs->reachable_workers);
     metrics_.count("hand_overs_total");
--- a/src/membership/worker_roster.cpp
+++ b/src/membership/worker_roster.cpp
@@ -19,52 +19,54 @@
 
 WorkerRoster::WorkerRoster(const Settings& settings) : settings_(settings) {}
 
-bool WorkerRoster::recently_redirected(const Worker& w, uint64_t leader_token, double now) const {
-    return w.redirected_to_token == leader_token &&
-           now - w.redirected_at < kRecentRedirectPatiences * settings_.worker_patience_s;
+bool WorkerRoster::recently_redirected(const Worker& worker, uint64_t leader_token,
+                                       double now) const {
+    return worker.redirected_to_token == leader_token &&
+           now - worker.redirected_at < kRecentRedirectPatiences * settings_.worker_patience_s;
 }
 
 // Returns whether the worker came back because it can't use the leader. A worker that comes back
 // after its own patience got no response from the leader. A worker that comes back sooner was
 // refused, for example by a leader that is not ready yet, and is redirected a few more times.
-bool WorkerRoster::came_back(const Worker& w, uint64_t leader_token, double now) const {
-    if (!recently_redirected(w, leader_token, now)) return false;
-    return now - w.redirected_at >= settings_.worker_patience_s || w.redirects >= kMaxRedirects;
+bool WorkerRoster::came_back(const Worker& worker, uint64_t leader_token, double now) const {
+    if (!recently_redirected(worker, leader_token, now)) return false;
+    return now - worker.redirected_at >= settings_.worker_patience_s ||
+           worker.redirects >= kMaxRedirects;
 }
 
 // Starts a relay of limited duration, after which the worker is redirected to the leader again. The
 // duration doubles each time that the worker comes back.
-void WorkerRoster::begin_relay(Worker& w, double now) const {
-    bool continued =
-        w.relay_until > 0 && now - w.relay_until < kRelayRenewalLeases * settings_.lease_s;
-    w.relay_duration_s = continued ? std::min(w.relay_duration_s * 2, kMaxRelay_s)
-                                   : std::max(kMinRelay_s, settings_.lease_s);
-    w.relay_until = now + w.relay_duration_s;
+void WorkerRoster::begin_relay(Worker& worker, double now) const {
+    bool continued = worker.relay_until > 0 &&
+                     now - worker.relay_until < kRelayRenewalLeases * settings_.lease_s;
+    worker.relay_duration_s = continued ? std::min(worker.relay_duration_s * 2, kMaxRelay_s)
+                                        : std::max(kMinRelay_s, settings_.lease_s);
+    worker.relay_until = now + worker.relay_duration_s;
 }
 
-void WorkerRoster::redirect(Worker& w, uint64_t leader_token, double now) const {
-    w.redirects = recently_redirected(w, leader_token, now) ? w.redirects + 1 : 1;
-    w.redirected_to_token = leader_token;
-    w.redirected_at = now;
+void WorkerRoster::redirect(Worker& worker, uint64_t leader_token, double now) const {
+    worker.redirects = recently_redirected(worker, leader_token, now) ? worker.redirects + 1 : 1;
+    worker.redirected_to_token = leader_token;
+    worker.redirected_at = now;
 }
 
 bool WorkerRoster::should_relay(const std::string& machine, uint64_t worker_token,
                                 uint64_t leader_token, double now) {
     if (workers_.size() > kMaxWorkers && !workers_.contains(machine)) workers_.clear();
-    auto& w = workers_[machine];
-    bool relayed = now < w.relay_until;
+    auto& worker = workers_[machine];
+    bool relayed = now < worker.relay_until;
     // The worker can't use the leader if it knows the leader and still reports here, or if it was
     // redirected and came back. If such a worker were redirected again, it would reach no leader
     // until its lease had expired.
     bool knows_leader = worker_token != 0 && worker_token >= leader_token;
-    bool leader_unreachable = relayed || knows_leader || came_back(w, leader_token, now);
+    bool leader_unreachable = relayed || knows_leader || came_back(worker, leader_token, now);
     if (leader_unreachable) {
-        w.leader_unreachable_at = now;
-        w.unreachable_leader_token = leader_token;
+        worker.leader_unreachable_at = now;
+        worker.unreachable_leader_token = leader_token;
     }
     if (leader_token == 0) return false;
-    if (!leader_unreachable) redirect(w, leader_token, now);
-    if (leader_unreachable && !relayed) begin_relay(w, now);
+    if (!leader_unreachable) redirect(worker, leader_token, now);
+    if (leader_unreachable && !relayed) begin_relay(worker, now);
     return leader_unreachable;
 }
 
@@ -77,15 +79,16 @@
 
 uint32_t WorkerRoster::workers_without_leader(uint64_t leader_token, double window_s,
                                               double now) const {
-    return static_cast<uint32_t>(std::count_if(workers_.begin(), workers_.end(), [&](auto& w) {
-        return now - w.second.leader_unreachable_at < window_s &&
-               (leader_token == 0 || w.second.unreachable_leader_token == leader_token);
+    return static_cast<uint32_t>(std::count_if(workers_.begin(), workers_.end(), [&](auto& entry) {
+        return now - entry.second.leader_unreachable_at < window_s &&
+               (leader_token == 0 || entry.second.unreachable_leader_token == leader_token);
     }));
 }
 
 size_t WorkerRoster::relayed_workers(double now) const {
-    return static_cast<size_t>(std::count_if(workers_.begin(), workers_.end(),
-                                             [&](auto& w) { return now < w.second.relay_until; }));
+    return static_cast<size_t>(std::count_if(workers_.begin(), workers_.end(), [&](auto& entry) {
+        return now < entry.second.relay_until;
+    }));
 }
 
 }  // namespace weirmill
--- a/src/membership/worker_roster.h
+++ b/src/membership/worker_roster.h
@@ -41,10 +41,10 @@
         double leader_unreachable_at = -1e9;
         uint64_t unreachable_leader_token = 0;  // fencing token of the leader that it can't use
     };
-    bool came_back(const Worker& w, uint64_t leader_token, double now) const;
-    bool recently_redirected(const Worker& w, uint64_t leader_token, double now) const;
-    void begin_relay(Worker& w, double now) const;
-    void redirect(Worker& w, uint64_t leader_token, double now) const;
+    bool came_back(const Worker& worker, uint64_t leader_token, double now) const;
+    bool recently_redirected(const Worker& worker, uint64_t leader_token, double now) const;
+    void begin_relay(Worker& worker, double now) const;
+    void redirect(Worker& worker, uint64_t leader_token, double now) const;
 
     const Settings& settings_;
     std::unordered_map<std::string, Worker> workers_;
