--- a/src/controller/cloud_client.cpp
+++ b/src/controller/cloud_client.cpp
@@ -37,7 +37,7 @@
         if (now >= back_off_until_ && rate_limiter_.available(now) >= 1) break;
         co_await sleep_s(kRateLimitPoll_s);
     }
-    rate_limiter_.take(1);
+    rate_limiter_.consume(1);
     auto response = co_await http_.request(method, std::move(target), std::move(body), timeout_s);
     if (needs_back_off(response)) {
         std::uniform_real_distribution<double> back_off_s(kMinBackOff_s, kMaxBackOff_s);
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -172,9 +172,9 @@
             task.start_seq >= heartbeat.seq)
             continue;
         if (reported.contains({job.spec.id, ref.task}))
-            observation.start_taken = true;
+            observation.launch_confirmed = true;
         else
-            observation.start_missing = true;
+            observation.launch_missing = true;
     }
     if (!observe_heartbeat(machine.downlink, observation, context_.settings, context_.now)) return;
     context_.metrics.count("machines_deaf_total");
--- a/src/controller/heartbeat_handler.h
+++ b/src/controller/heartbeat_handler.h
@@ -49,7 +49,8 @@
     // Returns whether the leader's lease has been invalid for longer than the grace period in which
     // heartbeats are still answered.
     [[nodiscard]] bool answering_grace_expired() const {
-        return context_.now > context_.term->lease_valid_until + answering_grace(context_.settings);
+        return context_.now >
+               context_.term->lease_valid_until + leader_grace_period(context_.settings);
     }
 
   private:
--- a/src/controller/instance_manager.cpp
+++ b/src/controller/instance_manager.cpp
@@ -88,7 +88,7 @@
 void InstanceManager::check_machine(Index index, Machine& machine, const FleetSummary& fleet) {
     // The tasks placed on the machine may be running until its lease has certainly expired.
     bool expired =
-        context_.now > worker_lease_expiry(context_.settings, machine, context_.term->won);
+        context_.now > worker_lease_expiry(context_.settings, machine, context_.term->won_at);
     if (expired && machine.up) return handle_expired_lease(index, machine);
     abandon_unreachable(machine, fleet);
     abandon_silent(machine, fleet);
@@ -135,7 +135,7 @@
     if (machine.up || !has_booted || machine.abandoned) return;
     bool zone_silent = machine.zone < fleet.silent_zones.size() && fleet.silent_zones[machine.zone];
     double silent_since =
-        std::max({machine.last_heartbeat, responses_blocked_at_, context_.term->won});
+        std::max({machine.last_heartbeat, responses_blocked_at_, context_.term->won_at});
     if (context_.now - silent_since <=
         context_.settings.lease_s + replacement_s(machine, zone_silent))
         return;
@@ -157,7 +157,7 @@
 // interrupted it. Terminating it costs nothing and proves that it is gone, long before its lease
 // expires.
 void InstanceManager::abandon_unlisted(Machine& machine) const {
-    bool silent = context_.now - std::max(machine.last_heartbeat, context_.term->won) >
+    bool silent = context_.now - std::max(machine.last_heartbeat, context_.term->won_at) >
                   silence_threshold_s(context_.settings);
     bool overdue = context_.now - machine.added > 2 * context_.settings.list_lag_s + 1;
     bool unlisted = list_received_ && (machine.listed ? machine.missing : overdue);
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -198,7 +198,7 @@
     // The cloud's list may not contain machines yet that an earlier leader has provisioned. Without
     // this delay, this leader would provision them again.
     if (!context_.cluster.jobs.empty())
-        instance_manager_.defer_scale_out(context_.term->won + 2 * context_.settings.list_lag_s);
+        instance_manager_.defer_scale_out(context_.term->won_at + 2 * context_.settings.list_lag_s);
     next_preemption_at_ = context_.now + context_.properties.preemption_round_s / 2;
     ready_ = true;
     spdlog::info("leader: ready token={} jobs={} machines={}", context_.term->fencing_token,
@@ -257,8 +257,9 @@
                 "queue: class {} of team {}, {} jobs waiting, {} of them abandon a deadline, "
                 "{:.0f} units in use, {:.0f} left, drains in {:.0f}s of {:.0f}s",
                 context_.cluster.names.classes.name(key.job_class),
-                context_.cluster.names.teams.name(key.team), queue.waiting_jobs, queue.jobs_abandoning_deadline,
-                queue.used_units, queue.units_after_higher_priority, queue.drain_s, queue.target_s);
+                context_.cluster.names.teams.name(key.team), queue.waiting_jobs,
+                queue.jobs_abandoning_deadline, queue.used_units, queue.units_after_higher_priority,
+                queue.drain_s, queue.target_s);
 }
 
 void Leader::handle(ScaleOutFinished& message) {
--- a/src/controller/leader_tracker.cpp
+++ b/src/controller/leader_tracker.cpp
@@ -5,7 +5,8 @@
 namespace weirmill {
 
 bool LeaderTracker::record_report(const std::string& leader, uint64_t fencing_token) {
-    bool is_newer = fencing_token > std::max(reported_fencing_token_, election_.as_of());
+    bool is_newer =
+        fencing_token > std::max(reported_fencing_token_, election_.observed_revision());
     if (!is_newer || leader.empty()) return false;
     reported_leader_ = leader;
     reported_fencing_token_ = fencing_token;
--- a/src/controller/request_router.cpp
+++ b/src/controller/request_router.cpp
@@ -50,19 +50,19 @@
 
 void RequestRouter::set_up_membership() {
     Membership::Hooks hooks;
-    hooks.workers = [this] {
+    hooks.worker_counts = [this] {
         double now = steady_now();
         if (leader_ && leader_->ready())
             return leader_links(leader_->cluster(), membership_->times(), settings_.lease_s, now);
         LinkStatus links;
-        links.direct_workers = roster_.stranded(leader_tracker_->fencing_token(),
-                                                membership_->times().controller_cycle_s, now);
+        links.direct_workers = roster_.workers_without_leader(
+            leader_tracker_->fencing_token(), membership_->times().controller_cycle_s, now);
         return links;
     };
-    hooks.leads_since = [this]() -> std::optional<double> {
+    hooks.leading_since = [this]() -> std::optional<double> {
         if (!leader_ || !leader_->ready() || !leader_->lease_valid(steady_now()))
             return std::nullopt;
-        return term_->won;
+        return term_->won_at;
     };
     hooks.transfer_leadership = [this](const TransferRecord& to) {
         leader_->transfer_leadership([this, to, term = std::weak_ptr(term_)] {
--- a/src/controller/state_log_writer.cpp
+++ b/src/controller/state_log_writer.cpp
@@ -47,7 +47,7 @@
         case KvOutcome::Invalid:
             return true;
         case KvOutcome::Conflict:
-            return !leadership_condition_failed(result.failed);
+            return !leadership_condition_failed(result.failed_keys);
         default:
             return false;
     }
@@ -110,7 +110,7 @@
     if (budget < (context_.state_log.urgent() ? kMinUrgentBatchChanges : kMinBatchChanges)) return;
     auto batch = context_.state_log.next(static_cast<int>(budget));
     if (batch.empty()) return;
-    rate_.take(static_cast<double>(batch.txn.changes.size()));
+    rate_.consume(static_cast<double>(batch.txn.changes.size()));
     set_end_sent(batch, true);
     in_flight_ = true;
     asio::co_spawn(context_.io, commit(context_.keep_alive(), std::move(batch)), asio::detached);
@@ -164,7 +164,7 @@
     if (key_state.applied) {
         result.outcome = KvOutcome::Ok;
         result.value = key_state.version;
-        result.failed.clear();
+        result.failed_keys.clear();
         return Reconciliation::Decided;
     }
     if (result.outcome != KvOutcome::Invalid) return Reconciliation::Decided;
@@ -189,7 +189,7 @@
     in_flight_ = false;
     auto& result = transaction.result;
     if (result.outcome == KvOutcome::Ok) return committed(transaction);
-    if (leadership_condition_failed(result.failed)) {
+    if (leadership_condition_failed(result.failed_keys)) {
         spdlog::info("leader: leadership lost, a transaction found another leader");
         context_.term->ended = true;
         return;
@@ -271,7 +271,7 @@
 // A conflict is expected only at the keys of a job that has already ended, or that a standby
 // controller has accepted or cancelled meanwhile. Any other conflict ends the term.
 void StateLogWriter::conflicted(TransactionFinished& transaction) {
-    auto& failed = transaction.result.failed;
+    auto& failed = transaction.result.failed_keys;
     std::vector<RetriedJob> retried;
     for (auto& entry : transaction.batch.entries) {
         if (entry.kind == EntryKind::Forget && std::erase(failed, entry.key) > 0) {
@@ -325,8 +325,8 @@
     // unchanged would block all records that wait to be written.
     if (transaction.result.outcome == KvOutcome::Invalid && context_.state_log.shrink())
         spdlog::error("state: transaction rejected as invalid; reducing the transaction size");
-    if (transaction.result.too_fast)
-        rate_.too_fast();
+    if (transaction.result.rate_limited)
+        rate_.reduce_rate();
     else
         rate_.drain();
     flush_not_before_ = context_.now + uniform(context_.random, kMinRetryDelay_s, kMaxRetryDelay_s);
