--- a/src/controller/request_router_forwarding.cpp
+++ b/src/controller/request_router_forwarding.cpp
@@ -80,7 +80,7 @@
     }
     leader_knowledge_->record_answer();
     if (submits && reply->status < 300)
-        forward_timeout_.record_answer(leader_knowledge_->answered_at() - asked);
+        forward_timeout_.record_response_time(leader_knowledge_->answered_at() - asked);
     co_return *reply;
 }
 
@@ -97,7 +97,7 @@
     bool probed = false;
     for (;;) {
         double quiet_until =
-            std::max(started, leader_knowledge_->answered_at()) + forward_timeout_.seconds();
+            std::max(started, leader_knowledge_->answered_at()) + forward_timeout_.timeout_s();
         double until = std::min(quiet_until, started + most_s);
         if (!probed) until = std::min(until, started + kProbe_s);
         double now = steady_now();
--- a/src/standby/forward_timeout.h
+++ b/src/standby/forward_timeout.h
@@ -1,6 +1,7 @@
-// How long a follower waits for the leader's answer to a submission before it serves the user
-// itself: the smoothed time plus four mean deviations, as TCP's retransmission timer has it (RFC
-// 6298, section 2), between fixed bounds. All times are in seconds.
+// Adaptive timeout for submissions that a follower forwards to the leader. When the leader stays
+// silent for longer, the follower serves the user itself. The timeout is the smoothed response time
+// plus four mean deviations, computed as in TCP's retransmission timer (RFC 6298, section 2) and
+// clamped between fixed bounds. All times are in seconds.
 #pragma once
 #include <algorithm>
 #include <cmath>
@@ -9,27 +10,27 @@
 
 class ForwardTimeout {
   public:
-    // The leader answered after `answer_s`.
-    void record_answer(double answer_s) {
-        if (mean_s_ == 0) {
-            mean_s_ = answer_s;
-            deviation_s_ = answer_s / 2;
+    // Updates the estimate with the leader's response time to one submission.
+    void record_response_time(double response_time_s) {
+        if (smoothed_s_ == 0) {
+            smoothed_s_ = response_time_s;
+            deviation_s_ = response_time_s / 2;
             return;
         }
-        deviation_s_ += (std::abs(answer_s - mean_s_) - deviation_s_) / 4;
-        mean_s_ += (answer_s - mean_s_) / 8;
+        deviation_s_ += (std::abs(response_time_s - smoothed_s_) - deviation_s_) / 4;
+        smoothed_s_ += (response_time_s - smoothed_s_) / 8;
     }
-    double seconds() const {
-        if (mean_s_ == 0) return kInitial_s;
-        return std::min(kMax_s, std::max(kMin_s, mean_s_ + 4 * deviation_s_));
+    double timeout_s() const {
+        if (smoothed_s_ == 0) return kInitialTimeout_s;
+        return std::min(kMaxTimeout_s, std::max(kMinTimeout_s, smoothed_s_ + 4 * deviation_s_));
     }
 
   private:
-    static constexpr double kInitial_s = 0.3;
-    static constexpr double kMin_s = 0.08;
-    static constexpr double kMax_s = 0.6;
-    double mean_s_ = 0;  // 0: no answer yet
-    double deviation_s_ = 0;
+    static constexpr double kInitialTimeout_s = 0.3;
+    static constexpr double kMinTimeout_s = 0.08;
+    static constexpr double kMaxTimeout_s = 0.6;
+    double smoothed_s_ = 0;   // smoothed response time; 0 before the first response
+    double deviation_s_ = 0;  // mean deviation of the response time
 };
 
 }  // namespace weirmill
--- a/src/standby/standby_decisions.h
+++ b/src/standby/standby_decisions.h
@@ -1,5 +1,5 @@
-// Decisions of the standby service: pure functions of what was read, in the order in which records
-// move (pending record, log, final state).
+// Decisions of the standby service, as pure functions of the records that it has read. A job's
+// state moves through three records: the pending record, the state log and the final state.
 #pragma once
 #include <optional>
 #include <string>
@@ -11,42 +11,45 @@
 
 namespace weirmill {
 
-// What was read of a job: its pending record first, then the log, then its final state. Records
-// move in this order, so a job that was accepted before the first read is found by one of them; the
-// one that is further along counts.
-struct JobReads {
+// The records that were read for one job: first its pending record, then the state log, then its
+// final state. A job moves through the records in this order, so reading them in the same order
+// finds every job that was accepted before the first read. If several records exist, the latest
+// stage applies.
+struct JobRecords {
     std::optional<PendingRecord> pending;
-    const StateLogView::Job* live = nullptr;  // in the log
-    bool live_cancelled = false;
-    std::optional<FinalState> ended;  // not read where the log holds the job
+    const StateLogView::Job* logged = nullptr;  // null: the log does not hold the job
+    bool cancelled_in_log = false;
+    std::optional<FinalState> final_state;  // not read if the log holds the job
 };
 
 // Where a job is recorded.
-enum class JobPlace : uint8_t {
-    Nowhere,  // it was never accepted
-    Unclear,  // a cancellation request for a job that is nowhere else: another read must tell
-    Pending,  // accepted by a standby controller, not adopted by a leader yet
-    Log,      // alive
-    Ended,
+enum class JobLocation : uint8_t {
+    NotFound,           // the job was never accepted
+    CancelRequestOnly,  // only a request to cancel the job was found; it has to be read again
+    Pending,            // a standby controller accepted the job, no leader has adopted it yet
+    Log,                // the state log holds the job, which has not ended
+    Ended,              // the job's final state is recorded
 };
 
-struct JobStanding {
-    JobPlace place = JobPlace::Nowhere;
+struct JobStatus {
+    JobLocation location = JobLocation::NotFound;
     JobState state = JobState::Queued;
-    uint32_t done = 0, running = 0;  // tasks
+    uint32_t done = 0, running = 0;  // number of tasks
 
-    // It has not ended, and is not cancelled either.
-    bool open() const { return state == JobState::Queued || state == JobState::Running; }
+    // Returns whether the job has neither ended nor been cancelled.
+    bool queued_or_running() const {
+        return state == JobState::Queued || state == JobState::Running;
+    }
 };
 
-[[nodiscard]] JobStanding job_standing(const JobReads& reads);
+[[nodiscard]] JobStatus resolve_job_status(const JobRecords& records);
 
-// The answer to a user's `op` (Submit, Status or Cancel) for the job. A cancellation that does not
-// hold yet is not reported as one. 503: not now.
-[[nodiscard]] PeerReply standby_reply(const std::string& id, const JobStanding& s, PeerOp op);
+// Returns the answer to a user's request about the job; `op` is Submit, Status or Cancel. Confirms
+// a cancellation only once it has taken effect. Status code 503 asks the user to try again.
+[[nodiscard]] PeerReply standby_reply(const std::string& id, const JobStatus& status, PeerOp op);
 
-// Whether every controller of the settings adopts pending records, as its adopter record says: only
-// then may any controller write one.
-[[nodiscard]] bool all_controllers_adopt(const Settings& settings, const KvPage& adopters);
+// Returns whether each controller named in the settings has written its adopter record, which
+// states that it adopts pending records. Until then no controller may write a pending record.
+[[nodiscard]] bool all_controllers_adopt(const Settings& settings, const KvPage& adopter_records);
 
 }  // namespace weirmill
--- a/src/standby/state_log_follower.h
+++ b/src/standby/state_log_follower.h
@@ -1,10 +1,12 @@
-// Reads the leader's log into a StateLogView. An actor that owns the view; reads of the log are
-// shared by all who wait for them. On the io_context's one thread.
+// Keeps a StateLogView up to date with the leader's log.
+//
+// An actor that owns the view and runs on the io_context's single thread. All callers that wait at
+// the same time share one read of the log.
 #pragma once
 #include <boost/asio.hpp>
 #include <deque>
 
-#include "standby/kv_answers.h"
+#include "standby/kv_response_tracker.h"
 #include "standby/state_log_view.h"
 #include "storage/kv_client.h"
 #include "transport/one_shot.h"
@@ -14,49 +16,52 @@
 class StateLogFollower {
   public:
     enum class Urgency : uint8_t {
-        Shared,     // waits a little for others, so that many share one read
-        Immediate,  // begins at once, for what was just recorded
+        Shared,     // may be delayed for a short time, so that more callers share the read
+        Immediate,  // starts without delay, to see what was just recorded
     };
 
-    // `reads` and `answers` are the standby service's and must outlive this.
-    StateLogFollower(boost::asio::io_context& io, KvClient& kv, RateLimiter& reads,
-                     KvAnswers& answers);
+    // `read_limiter` and `kv_responses` belong to the standby service and must outlive this object.
+    StateLogFollower(boost::asio::io_context& io, KvClient& kv, RateLimiter& read_limiter,
+                     KvResponseTracker& kv_responses);
 
-    // Waits until the view shows all that was recorded before this call. False: not known now.
+    // Waits until the view includes everything that was recorded before this call. Returns false if
+    // the log could not be read in time.
     boost::asio::awaitable<bool> refresh(Urgency urgency);
     const StateLogView& view() const { return view_; }
-    // The view holds the whole log as of its last read.
+    // Returns whether the view holds the whole log as of its last read.
     bool complete() const { return complete_; }
 
   private:
     enum class ReadResult : uint8_t {
         Complete,
-        Gap,     // segments are gone that were not read to their end
+        Gap,     // segments were deleted before they were read completely
         Failed,  // no answer, or a malformed record
     };
     struct Waiter {
-        uint64_t read = 0;  // the first that begins after it asked
+        uint64_t read_number = 0;  // the first read that starts after the call to refresh()
         OneShot<bool> done;
     };
     boost::asio::awaitable<void> read_loop();
     boost::asio::awaitable<void> wait_for_next_read();
-    // Reads the log forward to what was recorded when this began, or more.
+    // Reads the log up to at least what was recorded when the read started. If segments are
+    // missing, clears the view and reads the log from its start.
     boost::asio::awaitable<bool> read_log();
+    // Reads the log from the newest segment that the view holds to its end.
     boost::asio::awaitable<ReadResult> read_forward();
-    void start_over();
+    void reset_view();
 
     boost::asio::io_context& io_;
     KvClient& kv_;
-    RateLimiter& reads_;
-    KvAnswers& answers_;
+    RateLimiter& read_limiter_;
+    KvResponseTracker& kv_responses_;
     StateLogView view_;
     bool complete_ = false;
-    bool loop_runs_ = false;
-    uint64_t reads_begun_ = 0;
-    double last_began_at_ = -1e9;
-    bool urgent_ = false;  // somebody waits with Urgency::Immediate
-    boost::asio::steady_timer next_read_;
-    std::deque<Waiter> waiters_;  // in the order of their reads
+    bool loop_running_ = false;
+    uint64_t reads_started_ = 0;
+    double last_read_started_at_ = -1e9;  // steady clock, seconds
+    bool immediate_requested_ = false;    // a caller waits with Urgency::Immediate
+    boost::asio::steady_timer read_delay_timer_;
+    std::deque<Waiter> waiters_;  // ordered by read number
 };
 
 }  // namespace weirmill
--- a/src/standby/state_log_view.h
+++ b/src/standby/state_log_view.h
@@ -1,10 +1,10 @@
-// A view of what the leader's log tells of jobs, kept by a controller that does not lead: which are
-// alive, how far they are, and whether they are cancelled. Owned by StateLogFollower; the leader's
-// own state is ClusterState. Plain data, for one thread.
+// A read-only view of the jobs in the leader's log, kept by a controller that does not lead: which
+// jobs have not ended, their progress, and whether they are cancelled. StateLogFollower owns the
+// view; the leader keeps its own state in ClusterState. Not thread-safe.
 //
-// It is read forward: segments only grow and are only dropped from the oldest on, so that each read
-// continues at the newest known segment. A read that does not find that segment has missed some:
-// the view starts over.
+// The log is read forward. Segments only grow, and only the oldest ones are deleted, so each read
+// continues at the newest segment that the view has read. If a read does not find that segment, the
+// view has missed entries and has to be cleared.
 #pragma once
 #include <deque>
 #include <string>
@@ -20,48 +20,51 @@
 class StateLogView {
   public:
     struct Job {
-        uint32_t done = 0, placed = 0;
-        bool cancelled = false;  // by an entry of its own; see cancelled()
-        std::vector<std::string> awaits;
-        std::vector<uint8_t> tasks;  // TaskState of each
+        uint32_t done = 0, placed = 0;  // number of tasks
+        bool cancelled = false;         // by its own entry only; see is_cancelled()
+        std::vector<std::string> dependencies;
+        std::vector<uint8_t> task_states;  // a TaskState for each task
     };
 
-    // Starts over: what ends until the log has been read anew is not known.
+    // Empties the view. It can't tell which jobs end until the log has been read again.
     void clear();
-    // After which key the next read begins; empty: at the first.
+    // Returns the key after which the next read starts; empty for the start of the log.
     std::string resume_after() const;
-    // Applies one page of segments, in order; `first_page`: the first of a read. False: segments
-    // are gone that were not read to their end, and the view must start over. Throws BadMessage.
+    // Applies a page of segments, in log order. `first_page` marks the first page of a read.
+    // Returns false if segments were deleted before they were read completely; the view then has to
+    // be cleared. Throws BadMessage.
     [[nodiscard]] bool apply_page(const KvPage& page, bool first_page);
 
-    // Null: not alive.
+    // Returns null if the view does not hold the job. The pointer is valid until the next
+    // apply_page() or clear().
     const Job* find(const std::string& id) const;
-    // The job's cancellation is recorded, by its own entry or by that of a job that it depends on.
-    // `id` is alive.
-    bool cancelled(const std::string& id) const;
-    // How many ends of jobs were read so far.
-    uint64_t ends_read() const { return first_ended_ + ended_.size(); }
-    // Whether the job's end was read since `ends_read()` was `since`, or that is not known any
-    // more.
+    // Returns whether a cancellation is recorded for the job or for a job that it depends on,
+    // directly or indirectly. The view has to hold the job.
+    bool is_cancelled(const std::string& id) const;
+    // Returns a sequence number that each job end read, and each clear(), advances by one.
+    uint64_t job_ends_read() const { return first_recent_end_ + recent_ends_.size(); }
+    // Returns whether the job's end was read after job_ends_read() returned `since`, or may have
+    // been missed.
     bool may_have_ended(const std::string& id, uint64_t since) const;
-    size_t jobs() const { return jobs_.size(); }
-    size_t tasks() const { return tasks_; }
+    size_t job_count() const { return jobs_.size(); }
+    size_t task_count() const { return task_count_; }
 
   private:
-    void entry(const boost::json::array& e);
+    void apply_entry(const boost::json::array& entry);
     void add_job(const boost::json::object& record, const boost::json::value& body);
-    void add_rows(Job& job, const boost::json::array& e);
-    void end(const std::string& id);
-    // Makes `number` the newest segment. False: it does not follow on what was read.
-    bool enter_segment(uint64_t number, size_t entries);
+    void apply_task_rows(Job& job, const boost::json::array& entry);
+    void apply_end(const std::string& id);
+    // Makes segment `number`, which holds `entry_count` entries, the newest one. Returns false if
+    // entries between it and the last one read are missing.
+    bool advance_to_segment(uint64_t number, size_t entry_count);
 
     std::unordered_map<std::string, Job> jobs_;
-    JobRecordDecoder records_;
-    size_t tasks_ = 0;
-    uint64_t open_ = 0;              // the newest segment read; 0: none
-    size_t open_read_ = 0;           // entries of it that were applied
-    std::deque<std::string> ended_;  // the last ends read
-    uint64_t first_ended_ = 0;       // number of the first of them
+    JobRecordDecoder record_decoder_;
+    size_t task_count_ = 0;
+    uint64_t newest_segment_ = 0;          // the newest segment read; 0: none
+    size_t newest_segment_entries_ = 0;    // number of its entries that were applied
+    std::deque<std::string> recent_ends_;  // ids of the last jobs whose ends were read
+    uint64_t first_recent_end_ = 0;        // sequence number of the first of recent_ends_
 };
 
 }  // namespace weirmill
--- a/tests/state_log_test.cpp
+++ b/tests/state_log_test.cpp
@@ -232,7 +232,7 @@
                     auto* job = fresh.cluster.find_job(id);
                     ASSERT_TRUE(job && job->cancel_recorded)
                         << types << " types, " << id << " at a new leader, seed " << seed;
-                    ASSERT_TRUE(view.cancelled(id))
+                    ASSERT_TRUE(view.is_cancelled(id))
                         << types << " types, " << id << " at a door, seed " << seed;
                     ++kept;
                 }
