--- a/tests/standby_service_test.cpp
+++ b/tests/standby_service_test.cpp
@@ -1,5 +1,5 @@
-// Doors over loopback: users are served while no leader answers, and each job that was accepted
-// runs once.
+// The standby service over loopback: controllers serve users while no leader answers, and each
+// accepted job runs exactly once.
 #include "service.h"
 #include "state/pending_records.h"
 
@@ -9,24 +9,26 @@
 namespace json = boost::json;
 using test::Service;
 
-struct Doors : Service {
-    explicit Doors(int count, With with = {})
+struct StandbyCluster : Service {
+    explicit StandbyCluster(int count, With with = {})
         : Service(count, [&] {
               with.doors = true;
               return with;
           }()) {
-        std::string warm = "req-1";
-        EXPECT_EQ(submit(warm, "array", 1), 201);
-        EXPECT_TRUE(done(warm));
+        // Completes one job, so that a leader is elected and has a machine.
+        std::string first_job = "req-1";
+        EXPECT_EQ(submit(first_job, "array", 1), 201);
+        EXPECT_TRUE(done(first_job));
     }
-    int leading() { return leader().back() - '0'; }
+    int leader_index() { return leader().back() - '0'; }
     std::vector<int> followers() {
         std::vector<int> out;
         for (int i = 0; i < static_cast<int>(nodes.size()); ++i)
-            if (alive[i] && i != leading()) out.push_back(i);
+            if (alive[i] && i != leader_index()) out.push_back(i);
         return out;
     }
-    // Uploaded for the workers, as every job of a user is.
+    // Registers the job's behaviour with the simulated cloud, whose workers run it. Returns the
+    // submission.
     std::string upload(const std::string& id, int tasks, fakes::Job job = {}) {
         job.tasks = static_cast<uint32_t>(tasks);
         auto body = submission(id, "array", tasks);
@@ -34,12 +36,14 @@
         cloud->jobs[id] = std::move(job);
         return body;
     }
-    // Once the node's door is open; -1: it never answers other than 503.
+    // Submits at one node and retries while it answers 503. Returns the HTTP status, or -1 if the
+    // node answers nothing else in time.
     int submit_at(int node, const std::string& body) {
-        return at(node, "POST", "/v2/runs", body).status;
+        return ask_until_served(node, "POST", "/v2/runs", body).status;
     }
-    HttpAnswer at(int node, const char* method, const std::string& target,
-                  const std::string& body = "") {
+    // Sends a request to one node, with the same retries. Returns status -1 on timeout.
+    HttpAnswer ask_until_served(int node, const char* method, const std::string& target,
+                                const std::string& body = "") {
         HttpAnswer out{-1, ""};
         until([&] {
             auto reply = ask_node(static_cast<size_t>(node), method, target, body);
@@ -48,220 +52,231 @@
         });
         return out;
     }
+    // Returns the job's state as the node reports it, or the HTTP status if it is not 200.
     std::string state_at(int node, const std::string& id) {
-        auto a = at(node, "GET", "/v2/runs/" + id);
-        return a.status == 200 ? std::string(json::parse(a.body).at("status").as_string())
-                               : std::to_string(a.status);
+        auto answer = ask_until_served(node, "GET", "/v2/runs/" + id);
+        return answer.status == 200 ? std::string(json::parse(answer.body).at("status").as_string())
+                                    : std::to_string(answer.status);
     }
-    size_t door_records() { return state->count(kPendingPrefix); }
-    bool collected() {
-        return until([&] { return door_records() == 0; });
+    size_t pending_records() { return state->count(kPendingPrefix); }
+    bool all_adopted() {
+        return until([&] { return pending_records() == 0; });
     }
-    int starts(const std::string& id, int tasks) {
-        int n = 0;
-        for (int t = 0; t < tasks; ++t) n += cloud->starts[id + "/" + std::to_string(t)];
-        return n;
+    // Returns how often workers have started tasks of the job, counting each repeated start.
+    int task_starts(const std::string& id, int tasks) {
+        int starts = 0;
+        for (int task = 0; task < tasks; ++task)
+            starts += cloud->starts[id + "/" + std::to_string(task)];
+        return starts;
     }
-    void expect_no_rule_broken() { EXPECT_TRUE(cloud->broken.empty()) << cloud->broken[0]; }
-    // Every controller has left its mark.
-    void opened() {
+    void expect_no_violations() { EXPECT_TRUE(cloud->broken.empty()) << cloud->broken[0]; }
+    // Waits until every controller has written its adopter record.
+    void await_adopter_records() {
         EXPECT_TRUE(until([&] { return state->count(kAdopterPrefix) == settings.size(); }));
     }
 };
 
-TEST(StandbyService, AJobTakenWhileNobodyLeadsOutlivesTheFollowerThatTookIt) {
-    Doors s(3);
-    s.opened();
-    auto old = s.leading();
-    s.crash(old);
-    int taker = old == 0 ? 1 : 0;
-    auto body = s.upload("req-2", 3);
-    // At once, by the door: no other node leads yet.
-    auto status = s.submit_at(taker, body);
+TEST(StandbyService, AcceptedJobSurvivesCrashOfItsController) {
+    StandbyCluster cluster(3);
+    cluster.await_adopter_records();
+    auto old_leader = cluster.leader_index();
+    cluster.crash(old_leader);
+    int acceptor = old_leader == 0 ? 1 : 0;
+    auto body = cluster.upload("req-2", 3);
+    // No other node leads yet, so the standby service is to accept the job.
+    auto status = cluster.submit_at(acceptor, body);
     EXPECT_TRUE(status == 201 || status == 200) << status;
-    s.crash(taker);
-    EXPECT_TRUE(s.done("req-2"));
-    EXPECT_EQ(s.starts("req-2", 3), 3);
-    EXPECT_TRUE(s.collected());
-    s.expect_no_rule_broken();
+    cluster.crash(acceptor);
+    EXPECT_TRUE(cluster.done("req-2"));
+    EXPECT_EQ(cluster.task_starts("req-2", 3), 3);
+    EXPECT_TRUE(cluster.all_adopted());
+    cluster.expect_no_violations();
 }
 
-TEST(StandbyService, ControllersThatRefuseEachOtherServeTheirUsersAllTheSame) {
-    Doors s(3, {false, true, 0, 40, 12});
-    s.opened();
-    auto f = s.followers();
-    // Two nodes record the same job, and a third, the leader, is asked to take it as well.
-    auto body = s.upload("req-2", 2);
-    for (int node : {f[0], f[1], s.leading()}) {
-        auto status = s.submit_at(node, body);
+TEST(StandbyService, ServesUsersWhilePeersAreUnreachable) {
+    StandbyCluster cluster(3, {false, true, 0, 40, 12});
+    cluster.await_adopter_records();
+    auto followers = cluster.followers();
+    // Two followers record the same job, and the leader gets the same submission.
+    auto body = cluster.upload("req-2", 2);
+    for (int node : {followers[0], followers[1], cluster.leader_index()}) {
+        auto status = cluster.submit_at(node, body);
         EXPECT_TRUE(status == 201 || status == 200) << status;
     }
-    // What waits for a job that may not be collected yet.
-    fakes::Job second;
-    second.awaits = {"req-2"};
-    EXPECT_EQ(s.submit_at(f[0], s.upload("req-3", 2, second)), 201);
-    EXPECT_TRUE(s.done("req-2"));
-    EXPECT_TRUE(s.done("req-3"));
-    for (int node : f) {
-        EXPECT_EQ(s.state_at(node, "req-3"), "done");
-        EXPECT_EQ(s.state_at(node, "req-999"), "404");
-        EXPECT_EQ(s.submit_at(node, body), 200);
+    // A job may depend on one that the leader may not have adopted yet.
+    fakes::Job dependent;
+    dependent.awaits = {"req-2"};
+    EXPECT_EQ(cluster.submit_at(followers[0], cluster.upload("req-3", 2, dependent)), 201);
+    EXPECT_TRUE(cluster.done("req-2"));
+    EXPECT_TRUE(cluster.done("req-3"));
+    for (int node : followers) {
+        EXPECT_EQ(cluster.state_at(node, "req-3"), "done");
+        EXPECT_EQ(cluster.state_at(node, "req-999"), "404");
+        EXPECT_EQ(cluster.submit_at(node, body), 200);
     }
     struct Row {
-        const char* what;
+        const char* name;
         std::string body;
         int status;
     };
-    auto unknown = Service::with(Service::submission("req-8", "array", 1), "consignor", "nobody");
+    auto unknown_team =
+        Service::with(Service::submission("req-8", "array", 1), "consignor", "nobody");
     const Row rows[] = {
         {"not JSON", "{", 400},
-        {"an unknown team", unknown, 422},
+        {"unknown team", unknown_team, 422},
         {"fits no machine", Service::submission("req-8", "array", 1, 100), 422},
-        {"waits for what was never accepted",
+        {"depends on a job that was never accepted",
          Service::with(Service::submission("req-8", "array", 1), "awaits", json::array{"req-997"}),
          422},
-        {"waits for itself",
+        {"depends on itself",
          Service::with(Service::submission("req-8", "array", 1), "awaits", json::array{"req-8"}),
          422},
-        {"waits for what has ended",
-         Service::with(s.upload("req-9", 1), "awaits", json::array{"req-2"}), 201},
+        {"depends on a job that has ended",
+         Service::with(cluster.upload("req-9", 1), "awaits", json::array{"req-2"}), 201},
     };
-    for (auto& row : rows) EXPECT_EQ(s.submit_at(f[0], row.body), row.status) << row.what;
-    EXPECT_TRUE(s.done("req-9"));
-    EXPECT_EQ(s.starts("req-2", 2) + s.starts("req-3", 2), 4);
-    EXPECT_TRUE(s.collected());
-    s.expect_no_rule_broken();
+    for (auto& row : rows)
+        EXPECT_EQ(cluster.submit_at(followers[0], row.body), row.status) << row.name;
+    EXPECT_TRUE(cluster.done("req-9"));
+    EXPECT_EQ(cluster.task_starts("req-2", 2) + cluster.task_starts("req-3", 2), 4);
+    EXPECT_TRUE(cluster.all_adopted());
+    cluster.expect_no_violations();
 }
 
-TEST(StandbyService, ACancellationAtADoorHoldsWhereverTheJobIs) {
-    Doors s(2, {false, true, 0, 40, 12});
-    s.opened();
-    auto node = s.followers()[0];
+TEST(StandbyService, CancelsPendingAndRecordedJobs) {
+    StandbyCluster cluster(2, {false, true, 0, 40, 12});
+    cluster.await_adopter_records();
+    auto node = cluster.followers()[0];
     fakes::Job endless;
     endless.run_s = 1000;
-    EXPECT_EQ(s.submit_at(node, s.upload("req-2", 2, endless)), 201);
-    ASSERT_TRUE(s.until([&] { return s.cloud->on_some_machine("req-2"); }));
-    // In the log by now: the door leaves a request, and tells what the leader made of it.
-    auto a = s.at(node, "POST", "/v2/runs/req-2/cancel");
-    EXPECT_EQ(a.status, 200);
-    EXPECT_EQ(json::parse(a.body).at("status"), "aborted");
-    ASSERT_TRUE(s.until([&] { return s.state->keys().count("f/req-2") > 0; }));
-    EXPECT_FALSE(s.cloud->on_some_machine("req-2"));
-    // Not collected: no controller leads any more that can be asked, and none will for a while.
-    s.crash(s.leading());
-    EXPECT_EQ(s.submit_at(node, s.upload("req-3", 2)), 201);
-    a = s.at(node, "POST", "/v2/runs/req-3/cancel");
-    EXPECT_EQ(json::parse(a.body).at("status"), "aborted");
-    EXPECT_EQ(s.state_at(node, "req-3"), "aborted");
-    EXPECT_EQ(s.submit_at(node, s.upload("req-3", 2)), 200);
-    ASSERT_TRUE(s.until([&] { return s.state->keys().count("f/req-3") > 0; }));
-    EXPECT_EQ(s.state_at(node, "req-3"), "aborted");
-    EXPECT_EQ(s.starts("req-3", 2), 0);
-    // What names a cancelled job is cancelled with it.
-    EXPECT_EQ(
-        s.submit_at(node, Service::with(s.upload("req-4", 1), "awaits", json::array{"req-3"})),
-        201);
-    EXPECT_EQ(s.state_at(node, "req-4"), "aborted");
-    // Nobody accepted it.
-    EXPECT_EQ(s.at(node, "POST", "/v2/runs/req-999/cancel").status, 404);
-    EXPECT_TRUE(s.collected());
-    s.expect_no_rule_broken();
+    EXPECT_EQ(cluster.submit_at(node, cluster.upload("req-2", 2, endless)), 201);
+    ASSERT_TRUE(cluster.until([&] { return cluster.cloud->on_some_machine("req-2"); }));
+    // The job is in the log by now. The standby records a cancellation request and reports how the
+    // leader executed it.
+    auto answer = cluster.ask_until_served(node, "POST", "/v2/runs/req-2/cancel");
+    EXPECT_EQ(answer.status, 200);
+    EXPECT_EQ(json::parse(answer.body).at("status"), "aborted");
+    ASSERT_TRUE(cluster.until([&] { return cluster.state->keys().count("f/req-2") > 0; }));
+    EXPECT_FALSE(cluster.cloud->on_some_machine("req-2"));
+    // After the leader's crash no leader adopts the job for some time, so it is cancelled in its
+    // pending record.
+    cluster.crash(cluster.leader_index());
+    EXPECT_EQ(cluster.submit_at(node, cluster.upload("req-3", 2)), 201);
+    answer = cluster.ask_until_served(node, "POST", "/v2/runs/req-3/cancel");
+    EXPECT_EQ(json::parse(answer.body).at("status"), "aborted");
+    EXPECT_EQ(cluster.state_at(node, "req-3"), "aborted");
+    EXPECT_EQ(cluster.submit_at(node, cluster.upload("req-3", 2)), 200);
+    ASSERT_TRUE(cluster.until([&] { return cluster.state->keys().count("f/req-3") > 0; }));
+    EXPECT_EQ(cluster.state_at(node, "req-3"), "aborted");
+    EXPECT_EQ(cluster.task_starts("req-3", 2), 0);
+    // A job that depends on a cancelled job is cancelled as well.
+    EXPECT_EQ(cluster.submit_at(
+                  node, Service::with(cluster.upload("req-4", 1), "awaits", json::array{"req-3"})),
+              201);
+    EXPECT_EQ(cluster.state_at(node, "req-4"), "aborted");
+    // The job was never accepted.
+    EXPECT_EQ(cluster.ask_until_served(node, "POST", "/v2/runs/req-999/cancel").status, 404);
+    EXPECT_TRUE(cluster.all_adopted());
+    cluster.expect_no_violations();
 }
 
-TEST(StandbyService, ARetryAtAThirdNodeWhileTheFirstRecordIsUnknown) {
-    Doors s(3);
-    s.opened();
-    auto old = s.leading();
-    s.crash(old);
-    std::vector<int> left;
+TEST(StandbyService, RetryAfterUnknownOutcomeRunsJobOnce) {
+    StandbyCluster cluster(3);
+    cluster.await_adopter_records();
+    auto old_leader = cluster.leader_index();
+    cluster.crash(old_leader);
+    std::vector<int> survivors;
     for (int i = 0; i < 3; ++i)
-        if (i != old) left.push_back(i);
-    auto body = s.upload("req-2", 2);
-    s.state->delay_txns = 1;  // executed late, after its sender gave up
-    auto first = s.ask_node(static_cast<size_t>(left[0]), "POST", "/v2/runs", body);
-    ASSERT_TRUE(first);
-    EXPECT_TRUE(first->status == 503 || first->status < 300) << first->status;
-    EXPECT_LT(s.submit_at(left[1], body), 300);
-    EXPECT_TRUE(s.done("req-2"));
-    EXPECT_TRUE(s.collected());
-    EXPECT_EQ(s.starts("req-2", 2), 2);
-    EXPECT_EQ(s.status("req-2"), "done");
-    s.expect_no_rule_broken();
+        if (i != old_leader) survivors.push_back(i);
+    auto body = cluster.upload("req-2", 2);
+    cluster.state->delay_txns = 1;  // executed late, after its sender's timeout
+    auto first_reply =
+        cluster.ask_node(static_cast<size_t>(survivors[0]), "POST", "/v2/runs", body);
+    ASSERT_TRUE(first_reply);
+    EXPECT_TRUE(first_reply->status == 503 || first_reply->status < 300) << first_reply->status;
+    EXPECT_LT(cluster.submit_at(survivors[1], body), 300);
+    EXPECT_TRUE(cluster.done("req-2"));
+    EXPECT_TRUE(cluster.all_adopted());
+    EXPECT_EQ(cluster.task_starts("req-2", 2), 2);
+    EXPECT_EQ(cluster.status("req-2"), "done");
+    cluster.expect_no_violations();
 }
 
-TEST(StandbyService, ANodeThatTheStateServiceRefusesAloneTellsItsUsersToComeBack) {
-    Doors s(3, {false, true, 0, 40, 12});
-    s.opened();
-    auto f = s.followers();
-    s.state->refused.insert(f[0]);
-    auto body = s.upload("req-2", 1);
-    auto reply = s.ask_node(static_cast<size_t>(f[0]), "POST", "/v2/runs", body);
+TEST(StandbyService, Answers503WhenTheKvStoreRefusesTheNode) {
+    StandbyCluster cluster(3, {false, true, 0, 40, 12});
+    cluster.await_adopter_records();
+    auto followers = cluster.followers();
+    cluster.state->refused.insert(followers[0]);
+    auto body = cluster.upload("req-2", 1);
+    auto reply = cluster.ask_node(static_cast<size_t>(followers[0]), "POST", "/v2/runs", body);
     ASSERT_TRUE(reply);
     EXPECT_EQ(reply->status, 503);
-    EXPECT_LT(s.submit_at(f[1], body), 300);
-    EXPECT_TRUE(s.done("req-2"));
-    s.expect_no_rule_broken();
+    EXPECT_LT(cluster.submit_at(followers[1], body), 300);
+    EXPECT_TRUE(cluster.done("req-2"));
+    cluster.expect_no_violations();
 }
 
-TEST(StandbyService, StayClosedWhileAControllerMayBeOfAVersionThatDoesNotCollect) {
-    // Such a leader would call an accepted job unknown.
-    Doors s(2, {false, true, 1, 40, 12});
-    auto node = static_cast<size_t>(s.followers()[0]);
-    for (int i = 0; i < 3000; ++i) s.turn();
-    auto reply = s.ask_node(node, "POST", "/v2/runs", s.upload("req-2", 1));
+TEST(StandbyService, UnavailableUntilEveryControllerAdopts) {
+    // A leader of a version that does not adopt pending records would answer 404 for a job that a
+    // standby accepted.
+    StandbyCluster cluster(2, {false, true, 1, 40, 12});
+    auto node = static_cast<size_t>(cluster.followers()[0]);
+    for (int i = 0; i < 3000; ++i) cluster.turn();
+    auto reply = cluster.ask_node(node, "POST", "/v2/runs", cluster.upload("req-2", 1));
     ASSERT_TRUE(reply);
     EXPECT_EQ(reply->status, 503);
-    EXPECT_EQ(s.door_records(), 0u);
-    // Its mark comes, as when it is replaced by this version.
-    s.state->put(adopter_key("stranger-0"), json::object{{"collects", 1}});
-    EXPECT_LT(s.submit_at(static_cast<int>(node), s.upload("req-2", 1)), 300);
-    EXPECT_TRUE(s.done("req-2"));
-    s.expect_no_rule_broken();
+    EXPECT_EQ(cluster.pending_records(), 0u);
+    // The missing adopter record is written, as when that controller is upgraded.
+    cluster.state->put(adopter_key("stranger-0"), json::object{{"collects", 1}});
+    EXPECT_LT(cluster.submit_at(static_cast<int>(node), cluster.upload("req-2", 1)), 300);
+    EXPECT_TRUE(cluster.done("req-2"));
+    cluster.expect_no_violations();
 }
 
-TEST(StandbyService, AJobThatHasEndedIsKnownHoweverLongItsRecordIsLeftOver) {
-    // Its polls were answered 503 for as long as the record could not be deleted.
-    Doors s(1);
-    s.crash(0);
-    PendingRecord record{json::parse(s.upload("req-2", 1)), wall_now(), false};
-    s.asked_elsewhere("req-2");
-    s.state->put("f/req-2", json::parse(final_record(JobState::Done, 1)));
-    s.state->put(pending_key("req-2"), json::parse(pending_record(record)));
-    s.state->refuse_drops = true;
-    s.add_node(1);
-    EXPECT_EQ(s.state_at(1, "req-2"), "done");
-    EXPECT_EQ(s.submit_at(1, s.upload("req-2", 1)), 200);
-    EXPECT_EQ(json::parse(s.at(1, "POST", "/v2/runs/req-2/cancel").body).at("status"), "done");
-    EXPECT_EQ(s.door_records(), 1u);
-    s.state->refuse_drops = false;
-    EXPECT_TRUE(s.collected());
-    EXPECT_EQ(s.starts("req-2", 1), 0);
-    s.expect_no_rule_broken();
+TEST(StandbyService, ReportsEndedJobWithLeftoverPendingRecord) {
+    // Guards against answering polls with 503 for as long as the pending record can't be deleted.
+    StandbyCluster cluster(1);
+    cluster.crash(0);
+    PendingRecord record{json::parse(cluster.upload("req-2", 1)), wall_now(), false};
+    cluster.asked_elsewhere("req-2");
+    cluster.state->put("f/req-2", json::parse(final_record(JobState::Done, 1)));
+    cluster.state->put(pending_key("req-2"), json::parse(pending_record(record)));
+    cluster.state->refuse_drops = true;
+    cluster.add_node(1);
+    EXPECT_EQ(cluster.state_at(1, "req-2"), "done");
+    EXPECT_EQ(cluster.submit_at(1, cluster.upload("req-2", 1)), 200);
+    EXPECT_EQ(
+        json::parse(cluster.ask_until_served(1, "POST", "/v2/runs/req-2/cancel").body).at("status"),
+        "done");
+    EXPECT_EQ(cluster.pending_records(), 1u);
+    cluster.state->refuse_drops = false;
+    EXPECT_TRUE(cluster.all_adopted());
+    EXPECT_EQ(cluster.task_starts("req-2", 1), 0);
+    cluster.expect_no_violations();
 }
 
-TEST(StandbyService, AnInboxOfTwoThousandIsCollectedByTheLeaderThatStarts) {
-    Doors s(1, {false, false, 0, 4000, 200});
-    s.crash(0);
+TEST(StandbyService, NewLeaderAdoptsTwoThousandPendingRecords) {
+    StandbyCluster cluster(1, {false, false, 0, 4000, 200});
+    cluster.crash(0);
     constexpr int kJobs = 2000;
     for (int i = 0; i < kJobs; ++i) {
         auto id = "req-" + std::to_string(10000 + i);
         PendingRecord record{json::parse(Service::submission(id, "array", 1)), wall_now(),
                              i % 100 != 0};
-        s.asked_elsewhere(id, record.cancelled);
-        s.cloud->jobs[id] = {};
-        s.state->put(pending_key(id), json::parse(pending_record(record)));
+        cluster.asked_elsewhere(id, record.cancelled);
+        cluster.cloud->jobs[id] = {};
+        cluster.state->put(pending_key(id), json::parse(pending_record(record)));
     }
-    s.state->put(pending_key("req-5"),
-                 json::object{{"cancelled", true}});  // of a job that nobody knows
-    s.state->put(pending_key("req-6"),
-                 json::object{{"job", 7}, {"at", wall_now()}});  // of nobody's making
-    s.add_node(1);
-    ASSERT_TRUE(s.until([&] { return s.state->count("f/") == kJobs + 1; }));
-    EXPECT_EQ(s.status("req-10000"), "done");
-    EXPECT_EQ(s.status("req-10001"), "aborted");
-    EXPECT_TRUE(s.until([&] { return s.door_records() == 1; }))
-        << s.door_records();  // the malformed one stays
-    s.expect_no_rule_broken();
+    cluster.state->put(pending_key("req-5"),
+                       json::object{{"cancelled", true}});  // request for an unknown job
+    cluster.state->put(pending_key("req-6"),
+                       json::object{{"job", 7}, {"at", wall_now()}});  // malformed
+    cluster.add_node(1);
+    ASSERT_TRUE(cluster.until([&] { return cluster.state->count("f/") == kJobs + 1; }));
+    EXPECT_EQ(cluster.status("req-10000"), "done");
+    EXPECT_EQ(cluster.status("req-10001"), "aborted");
+    EXPECT_TRUE(cluster.until([&] { return cluster.pending_records() == 1; }))
+        << cluster.pending_records();  // the malformed record stays
+    cluster.expect_no_violations();
 }
 
 }  // namespace
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -1,4 +1,5 @@
-// The doors' decisions and their copy of the log, as tables of cases and random histories.
+// Unit tests of the standby service: pending records, decisions, the forward timeout, and the state
+// log view, also under random histories.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -15,14 +16,15 @@
 using test::Store;
 using test::World;
 
-constexpr StateLogLimits kSmall{12, 4};
+constexpr StateLogLimits kSmallLimits{12, 4};
 
-KvPage page_of(const Store& store, const std::string& after, size_t most) {
+// Returns at most `max_items` log segments with keys after `after`.
+KvPage segment_page(const Store& store, const std::string& after, size_t max_items) {
     KvPage page;
     page.revision = store.revision;
     for (auto& [key, value] : store.keys) {
         if (!key.starts_with(kSegmentPrefix) || key <= after) continue;
-        if (page.items.size() == most) {
+        if (page.items.size() == max_items) {
             page.more = true;
             break;
         }
@@ -31,273 +33,289 @@
     return page;
 }
 
-// As StateLogFollower::read_log, with small pages.
-void follow(StateLogView& view, const Store& store) {
-    for (int tries = 0; tries < 2; ++tries) {
+// Reads the log as StateLogFollower::read_log does, in small pages.
+void read_log(StateLogView& view, const Store& store) {
+    for (int attempt = 0; attempt < 2; ++attempt) {
         std::string after = view.resume_after();
-        bool first_page = true, in_order = true;
-        for (bool more = true; more && in_order; first_page = false) {
-            auto page = page_of(store, after, 3);
-            in_order = view.apply_page(page, first_page);
+        bool first_page = true, complete = true;
+        for (bool more = true; more && complete; first_page = false) {
+            auto page = segment_page(store, after, 3);
+            complete = view.apply_page(page, first_page);
             more = page.more;
             if (more) after = page.items.back().key;
         }
-        if (in_order) return;
+        if (complete) return;
         view.clear();
     }
-    FAIL() << "not read in two tries";
+    FAIL() << "the log was not read in two attempts";
 }
 
-TEST(PendingRecords, TheLeadersTransactionsAreThoseOfTheModel) {
-    // tests/standby_model_test.cpp takes these conditions for granted.
+TEST(PendingRecords, LeaderTransactionsMatchTheModel) {
+    // tests/standby_model_test.cpp assumes these conditions.
     struct Row {
-        uint64_t standby;
+        uint64_t pending_version;
         std::map<std::string, uint64_t> conditions;
     };
     for (auto& row :
          {Row{0, {{"leader", 41}, {"log", 0}, {segment_key(1), 0}, {"f/req-1", 0}, {"d/req-1", 0}}},
           Row{7,
               {{"leader", 41}, {"log", 0}, {segment_key(1), 0}, {"f/req-1", 0}, {"d/req-1", 7}}}}) {
-        World w;
-        StateLog state_log(w.cluster, 41, kSmall);
-        auto j = w.cluster.add_job(w.spec("req-1", JobKind::Array, 2, 1), 1000, w.now);
-        state_log.new_job(j, row.standby);
-        auto b = state_log.next(12);
-        std::map<std::string, uint64_t> seen;
-        for (auto& c : b.txn.conditions) seen[c.key] = c.version;
-        EXPECT_EQ(seen, row.conditions);
-        state_log.committed(b, 50);
+        World world;
+        StateLog state_log(world.cluster, 41, kSmallLimits);
+        auto job =
+            world.cluster.add_job(world.spec("req-1", JobKind::Array, 2, 1), 1000, world.now);
+        state_log.new_job(job, row.pending_version);
+        auto batch = state_log.next(12);
+        std::map<std::string, uint64_t> conditions;
+        for (auto& condition : batch.txn.conditions) conditions[condition.key] = condition.version;
+        EXPECT_EQ(conditions, row.conditions);
+        state_log.committed(batch, 50);
         state_log.forget("d/req-1", 7);
-        b = state_log.next(12);
-        seen.clear();
-        for (auto& c : b.txn.conditions) seen[c.key] = c.version;
-        EXPECT_EQ(seen,
+        batch = state_log.next(12);
+        conditions.clear();
+        for (auto& condition : batch.txn.conditions) conditions[condition.key] = condition.version;
+        EXPECT_EQ(conditions,
                   (std::map<std::string, uint64_t>{{"leader", 41}, {"log", 0}, {"d/req-1", 7}}));
-        ASSERT_EQ(b.txn.changes.size(), 1u);
-        EXPECT_TRUE(b.txn.changes[0].value.empty());
-        // Half of a transaction is left to users, but one record goes with each.
-        state_log.rejected(b);
+        ASSERT_EQ(batch.txn.changes.size(), 1u);
+        EXPECT_TRUE(batch.txn.changes[0].value.empty());
+        // Deletions of pending records take at least one and at most half of a transaction's
+        // changes. The rest is left for users' requests.
+        state_log.rejected(batch);
         for (int i = 2; i <= 20; ++i) state_log.forget("d/req-" + std::to_string(i), 7);
         EXPECT_EQ(state_log.next(3).txn.changes.size(), 1u);
         EXPECT_EQ(state_log.next(12).txn.changes.size(), 6u);
     }
 }
 
-TEST(PendingRecords, ManyJobsFromDoorsStayWithinTheLimitsOfATransaction) {
-    World w;
-    StateLog state_log(w.cluster, 41, kSmall);
+TEST(PendingRecords, ManyAdoptedJobsStayWithinTransactionLimits) {
+    World world;
+    StateLog state_log(world.cluster, 41, kSmallLimits);
     Store store;
     for (int i = 0; i < 300; ++i) {
         auto id = "req-" + std::to_string(i);
         store.keys[pending_key(id)] = {"{}", 5};
-        state_log.new_job(w.cluster.add_job(w.spec(id, JobKind::Array, 1, 0.01), 1000, w.now), 5);
+        state_log.new_job(
+            world.cluster.add_job(world.spec(id, JobKind::Array, 1, 0.01), 1000, world.now), 5);
         state_log.forget(pending_key(id), 5);
     }
-    test::flush(state_log, w.cluster, store, kSmall, w.now);
+    test::flush(state_log, world.cluster, store, kSmallLimits, world.now);
     EXPECT_TRUE(store.keys.lower_bound(kPendingPrefix) == store.keys.lower_bound("d0"))
-        << "records are left";
-    World fresh;
-    StateLog loaded(fresh.cluster, 42, kSmall);
-    store.load(loaded, fresh.now);
-    EXPECT_EQ(fresh.cluster.job_index.size(), 300u);
+        << "pending records are left";
+    World new_world;
+    StateLog loaded(new_world.cluster, 42, kSmallLimits);
+    store.load(loaded, new_world.now);
+    EXPECT_EQ(new_world.cluster.job_index.size(), 300u);
 }
 
-TEST(PendingRecords, AreReadAsTheyWereWrittenAndRefusedWhenTheyMakeNoSense) {
-    World w;
-    PendingRecord r{submission_json(w.spec("req-1", JobKind::Gang, 3, 2), w.cluster.names), 1234.5,
-                    true};
-    auto again = parse_pending_record(json::parse(pending_record(r)));
-    EXPECT_EQ(again.job, r.job);
-    EXPECT_EQ(again.at, 1234.5);
-    EXPECT_TRUE(again.cancelled && again.accepted());
+TEST(PendingRecords, RoundTripAndRejectMalformedRecords) {
+    World world;
+    PendingRecord record{
+        submission_json(world.spec("req-1", JobKind::Gang, 3, 2), world.cluster.names), 1234.5,
+        true};
+    auto parsed = parse_pending_record(json::parse(pending_record(record)));
+    EXPECT_EQ(parsed.job, record.job);
+    EXPECT_EQ(parsed.at, 1234.5);
+    EXPECT_TRUE(parsed.cancelled && parsed.accepted());
     EXPECT_FALSE(parse_pending_record(json::parse(pending_record({nullptr, 0, true}))).accepted());
     for (const char* bad : {"[]", "{}", R"({"job":{}})", R"({"job":{},"at":-1})",
                             R"({"cancelled":false})", R"({"cancelled":3})"})
         EXPECT_THROW(parse_pending_record(json::parse(bad)), BadMessage) << bad;
 }
 
-TEST(StandbyDecision, WhatIsFurtherAlongCounts) {
-    PendingRecord taken{json::object{}, 1, false}, cancelled{json::object{}, 1, true},
+TEST(StandbyDecision, LatestRecordDeterminesTheAnswer) {
+    PendingRecord accepted{json::object{}, 1, false}, cancelled{json::object{}, 1, true},
         request{nullptr, 0, true};
     StateLogView::Job waiting, running;
     running.placed = 2;
     running.done = 1;
     struct Row {
-        const char* what;
-        JobReads seen;
-        JobPlace place;
+        const char* name;
+        JobRecords records;
+        JobLocation location;
         JobState state;
-        int submit, status, cancel;  // what its user is told
+        int submit, status, cancel;  // HTTP status of the answer to each request
     };
-    auto seen = [](std::optional<PendingRecord> d, const StateLogView::Job* live = nullptr,
-                   bool gone = false, std::optional<FinalState> f = {}) {
-        return JobReads{std::move(d), live, gone, f};
+    auto records = [](std::optional<PendingRecord> pending,
+                      const StateLogView::Job* logged = nullptr, bool cancelled_in_log = false,
+                      std::optional<FinalState> final_state = {}) {
+        return JobRecords{std::move(pending), logged, cancelled_in_log, final_state};
     };
     FinalState done{JobState::Done, 3}, aborted{JobState::Cancelled, 0};
     const Row rows[] = {
-        {"never accepted", seen({}), JobPlace::Nowhere, JobState::Queued, 404, 404, 404},
-        {"at a door", seen(taken), JobPlace::Pending, JobState::Queued, 200, 200, 503},
-        {"cancelled at a door", seen(cancelled), JobPlace::Pending, JobState::Cancelled, 200, 200,
-         200},
-        {"a request for a job that was not found", seen(request), JobPlace::Unclear,
-         JobState::Queued, 503, 503, 503},
-        {"alive", seen({}, &waiting), JobPlace::Log, JobState::Queued, 200, 200, 503},
-        {"running", seen({}, &running), JobPlace::Log, JobState::Running, 200, 200, 503},
-        {"alive, its door record is left over", seen(taken, &running), JobPlace::Log,
+        {"never accepted", records({}), JobLocation::NotFound, JobState::Queued, 404, 404, 404},
+        {"accepted by a standby", records(accepted), JobLocation::Pending, JobState::Queued, 200,
+         200, 503},
+        {"cancelled at a standby", records(cancelled), JobLocation::Pending, JobState::Cancelled,
+         200, 200, 200},
+        {"cancellation request for a job that was not found", records(request),
+         JobLocation::CancelRequestOnly, JobState::Queued, 503, 503, 503},
+        {"in the log", records({}, &waiting), JobLocation::Log, JobState::Queued, 200, 200, 503},
+        {"running", records({}, &running), JobLocation::Log, JobState::Running, 200, 200, 503},
+        {"running, pending record not deleted yet", records(accepted, &running), JobLocation::Log,
          JobState::Running, 200, 200, 503},
-        {"alive, a door asked for its end", seen(cancelled, &running), JobPlace::Log,
+        {"running, cancelled at a standby", records(cancelled, &running), JobLocation::Log,
          JobState::Running, 200, 200, 503},
-        {"alive, the leader cancelled it", seen(request, &running, true), JobPlace::Log,
+        {"running, cancelled by the leader", records(request, &running, true), JobLocation::Log,
          JobState::Cancelled, 200, 200, 200},
-        {"done", seen({}, nullptr, false, done), JobPlace::Ended, JobState::Done, 200, 200, 200},
-        {"done before a door's cancellation", seen(cancelled, nullptr, false, done),
-         JobPlace::Ended, JobState::Done, 200, 200, 200},
-        {"ended as cancelled, its record is left over", seen(taken, nullptr, false, aborted),
-         JobPlace::Ended, JobState::Cancelled, 200, 200, 200},
+        {"done", records({}, nullptr, false, done), JobLocation::Ended, JobState::Done, 200, 200,
+         200},
+        {"done before the cancellation at a standby", records(cancelled, nullptr, false, done),
+         JobLocation::Ended, JobState::Done, 200, 200, 200},
+        {"cancelled and ended, pending record not deleted yet",
+         records(accepted, nullptr, false, aborted), JobLocation::Ended, JobState::Cancelled, 200,
+         200, 200},
     };
     for (auto& row : rows) {
-        auto s = job_standing(row.seen);
-        EXPECT_EQ(s.place, row.place) << row.what;
-        EXPECT_EQ(s.state, row.state) << row.what;
-        EXPECT_EQ(standby_reply("req-1", s, PeerOp::Submit).status, row.submit) << row.what;
-        EXPECT_EQ(standby_reply("req-1", s, PeerOp::Status).status, row.status) << row.what;
-        EXPECT_EQ(standby_reply("req-1", s, PeerOp::Cancel).status, row.cancel) << row.what;
+        auto status = resolve_job_status(row.records);
+        EXPECT_EQ(status.location, row.location) << row.name;
+        EXPECT_EQ(status.state, row.state) << row.name;
+        EXPECT_EQ(standby_reply("req-1", status, PeerOp::Submit).status, row.submit) << row.name;
+        EXPECT_EQ(standby_reply("req-1", status, PeerOp::Status).status, row.status) << row.name;
+        EXPECT_EQ(standby_reply("req-1", status, PeerOp::Cancel).status, row.cancel) << row.name;
     }
 }
 
-TEST(StandbyDecision, DoorsOpenOnceEveryControllerHasLeftItsMark) {
-    auto s = test::small_settings();
-    s.peers = {{"node-1", "a", {}}, {"node-2", "b", {}}};
+TEST(StandbyDecision, EveryControllerMustHaveAnAdopterRecord) {
+    auto settings = test::small_settings();
+    settings.peers = {{"node-1", "a", {}}, {"node-2", "b", {}}};
     struct Row {
-        std::vector<std::string> marks;
-        bool open;
+        std::vector<std::string> adopters;
+        bool all_adopt;
     };
     for (auto& row : {Row{{}, false}, Row{{"node-0"}, false}, Row{{"node-1", "node-2"}, false},
                       Row{{"node-0", "node-1"}, false}, Row{{"node-0", "node-1", "node-2"}, true},
                       Row{{"node-0", "node-1", "node-2", "node-9"}, true}}) {
         KvPage page;
-        for (auto& m : row.marks) page.items.push_back({adopter_key(m), json::object{}, 1, 0});
-        EXPECT_EQ(all_controllers_adopt(s, page), row.open) << row.marks.size();
+        for (auto& name : row.adopters)
+            page.items.push_back({adopter_key(name), json::object{}, 1, 0});
+        EXPECT_EQ(all_controllers_adopt(settings, page), row.all_adopt) << row.adopters.size();
     }
 }
 
-TEST(StandbyDecision, PatienceFollowsTheLeadersAnswersWithinBounds) {
+TEST(ForwardTimeout, FollowsResponseTimesWithinBounds) {
     struct Row {
-        const char* what;
-        std::vector<double> took;
-        double low, high;
+        const char* name;
+        std::vector<double> response_times;  // seconds
+        double min_timeout, max_timeout;     // seconds
     };
     const Row rows[] = {
-        {"nothing known", {}, 0.3, 0.3},
-        {"steady and quick", std::vector<double>(50, 0.01), 0.08, 0.08},
-        {"steady", std::vector<double>(50, 0.2), 0.2, 0.25},
-        {"now and then slow", {0.03, 0.03, 0.25, 0.03, 0.03, 0.03, 0.25, 0.03}, 0.2, 0.6},
+        {"no responses", {}, 0.3, 0.3},
+        {"constant and short", std::vector<double>(50, 0.01), 0.08, 0.08},
+        {"constant", std::vector<double>(50, 0.2), 0.2, 0.25},
+        {"occasionally slow", {0.03, 0.03, 0.25, 0.03, 0.03, 0.03, 0.25, 0.03}, 0.2, 0.6},
         {"very slow", std::vector<double>(20, 5.0), 0.6, 0.6},
     };
     for (auto& row : rows) {
-        ForwardTimeout p;
-        for (double s : row.took) p.record_answer(s);
-        EXPECT_GE(p.seconds(), row.low) << row.what;
-        EXPECT_LE(p.seconds(), row.high) << row.what;
+        ForwardTimeout timeout;
+        for (double response_time_s : row.response_times)
+            timeout.record_response_time(response_time_s);
+        EXPECT_GE(timeout.timeout_s(), row.min_timeout) << row.name;
+        EXPECT_LE(timeout.timeout_s(), row.max_timeout) << row.name;
     }
 }
 
-TEST(StateLogView, ShowsWhatWasRecordedWhateverSegmentsWereDroppedMeanwhile) {
+TEST(StateLogView, MatchesTheClusterStateDespiteCompaction) {
     for (unsigned seed = 1; seed <= 12; ++seed) {
         std::mt19937 random(seed);
         auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
-        World w;
+        World world;
         Store store;
-        StateLog state_log(w.cluster, 41, kSmall);
-        StateLogView often, seldom;  // one that reads all the time, one that misses whole segments
+        StateLog state_log(world.cluster, 41, kSmallLimits);
+        // `frequent` is read often, `rare` so seldom that it misses whole segments.
+        StateLogView frequent, rare;
         std::vector<Index> machines;
-        for (int i = 0; i < 4; ++i) machines.push_back(w.machine("vm-00000" + std::to_string(i)));
-        int jobs = 0, compared = 0, drops = 0;
-        uint64_t moment = 0;
+        for (int i = 0; i < 4; ++i)
+            machines.push_back(world.machine("vm-00000" + std::to_string(i)));
+        int jobs = 0, comparisons = 0, compactions = 0;
+        uint64_t last_ends_read = 0;
         std::set<std::string> ended;
         for (int step = 0; step < 1200; ++step) {
-            if (below(8) == 0 && w.cluster.job_index.size() < 10)
-                state_log.new_job(w.cluster.add_job(
-                    w.spec("req-" + std::to_string(++jobs), JobKind::Array, 1 + below(50), 0.01),
-                    1000, w.now));
-            test::live_on(w.cluster, state_log, machines, below, 300, w.now);
-            auto b = state_log.next(2 + static_cast<int>(below(11)));
-            if (b.empty()) continue;
-            auto revision = store.apply(b.txn);
+            if (below(8) == 0 && world.cluster.job_index.size() < 10)
+                state_log.new_job(
+                    world.cluster.add_job(world.spec("req-" + std::to_string(++jobs),
+                                                     JobKind::Array, 1 + below(50), 0.01),
+                                          1000, world.now));
+            test::live_on(world.cluster, state_log, machines, below, 300, world.now);
+            auto batch = state_log.next(2 + static_cast<int>(below(11)));
+            if (batch.empty()) continue;
+            auto revision = store.apply(batch.txn);
             ASSERT_NE(revision, 0u);
-            drops += b.first != 0 && b.txn.changes.back().key == kLogKey;
-            state_log.committed(b, revision);
-            for (auto& e : b.entries) {
-                if (e.kind != EntryKind::Finish) continue;
-                ended.insert(w.cluster.jobs[e.job]->spec.id);
-                w.cluster.remove_job(e.job, w.now);
+            compactions += batch.first != 0 && batch.txn.changes.back().key == kLogKey;
+            state_log.committed(batch, revision);
+            for (auto& entry : batch.entries) {
+                if (entry.kind != EntryKind::Finish) continue;
+                ended.insert(world.cluster.jobs[entry.job]->spec.id);
+                world.cluster.remove_job(entry.job, world.now);
             }
             if (below(3) == 0) {
-                follow(often, store);
-                // Every end since the last look is known to the one that reads all the time.
+                read_log(frequent, store);
+                // The frequently read view knows every end since its last read.
                 for (auto& id : ended)
-                    EXPECT_TRUE(often.may_have_ended(id, moment)) << id << " seed " << seed;
+                    EXPECT_TRUE(frequent.may_have_ended(id, last_ends_read))
+                        << id << " seed " << seed;
                 ended.clear();
-                moment = often.ends_read();
+                last_ends_read = frequent.job_ends_read();
             }
             if (below(400) != 0) continue;
-            test::flush(state_log, w.cluster, store, kSmall, w.now);
-            follow(often, store);
-            follow(seldom, store);
+            test::flush(state_log, world.cluster, store, kSmallLimits, world.now);
+            read_log(frequent, store);
+            read_log(rare, store);
             ended.clear();
-            moment = often.ends_read();
-            ++compared;
-            for (auto* view : {&often, &seldom}) {
-                EXPECT_EQ(view->jobs(), w.cluster.job_index.size()) << "seed " << seed;
-                for (auto& [id, index] : w.cluster.job_index) {
-                    auto* seen = view->find(id);
-                    auto& job = *w.cluster.jobs[index];
-                    ASSERT_NE(seen, nullptr) << id;
-                    EXPECT_EQ(seen->done, job.done) << id << " seed " << seed;
-                    EXPECT_EQ(seen->placed, job.placed) << id << " seed " << seed;
-                    EXPECT_EQ(view->cancelled(id), job.cancel_recorded) << id;
+            last_ends_read = frequent.job_ends_read();
+            ++comparisons;
+            for (auto* view : {&frequent, &rare}) {
+                EXPECT_EQ(view->job_count(), world.cluster.job_index.size()) << "seed " << seed;
+                for (auto& [id, index] : world.cluster.job_index) {
+                    auto* viewed = view->find(id);
+                    auto& job = *world.cluster.jobs[index];
+                    ASSERT_NE(viewed, nullptr) << id;
+                    EXPECT_EQ(viewed->done, job.done) << id << " seed " << seed;
+                    EXPECT_EQ(viewed->placed, job.placed) << id << " seed " << seed;
+                    EXPECT_EQ(view->is_cancelled(id), job.cancel_recorded) << id;
                 }
             }
         }
-        EXPECT_GT(compared, 0) << seed;
-        EXPECT_GT(drops, 0) << seed;
+        EXPECT_GT(comparisons, 0) << seed;
+        EXPECT_GT(compactions, 0) << seed;
     }
 }
 
-TEST(StateLogView, AGapInTheSegmentsStartsItOver) {
+TEST(StateLogView, DetectsMissingSegments) {
     auto page = [](std::initializer_list<uint64_t> numbers) {
         KvPage p;
         for (auto n : numbers) p.items.push_back({segment_key(n), json::array{}, n, 0});
         return p;
     };
     struct Row {
-        const char* what;
+        const char* name;
         KvPage first, second;
-        bool first_page, kept;
+        bool first_page, applied;
     };
     const Row rows[] = {
-        {"the open one again", page({3, 4}), page({4}), true, true},
-        {"and more", page({3, 4}), page({4, 5, 6}), true, true},
-        {"the open one is gone", page({3, 4}), page({5, 6}), true, false},
-        {"all are gone", page({3, 4}), page({}), true, false},
-        {"a further page", page({3, 4}), page({5}), false, true},
-        {"a hole between pages", page({3, 4}), page({6}), false, false},
-        {"a hole within a page", page({3, 4}), page({4, 6}), true, false},
+        {"the newest segment again", page({3, 4}), page({4}), true, true},
+        {"the newest segment and more", page({3, 4}), page({4, 5, 6}), true, true},
+        {"the newest segment is deleted", page({3, 4}), page({5, 6}), true, false},
+        {"all segments are deleted", page({3, 4}), page({}), true, false},
+        {"the next page", page({3, 4}), page({5}), false, true},
+        {"a gap between pages", page({3, 4}), page({6}), false, false},
+        {"a gap within a page", page({3, 4}), page({4, 6}), true, false},
     };
     for (auto& row : rows) {
         StateLogView view;
         ASSERT_TRUE(view.apply_page(row.first, true));
-        EXPECT_EQ(view.apply_page(row.second, row.first_page), row.kept) << row.what;
+        EXPECT_EQ(view.apply_page(row.second, row.first_page), row.applied) << row.name;
     }
-    // What ended while it was read anew can't be told.
+}
+
+TEST(StateLogView, ClearMakesEarlierEndsUncertain) {
     StateLogView view;
-    auto moment = view.ends_read();
-    EXPECT_FALSE(view.may_have_ended("req-1", moment));
+    auto ends_read = view.job_ends_read();
+    EXPECT_FALSE(view.may_have_ended("req-1", ends_read));
     view.clear();
-    EXPECT_TRUE(view.may_have_ended("req-1", moment));
+    EXPECT_TRUE(view.may_have_ended("req-1", ends_read));
 }
 
-TEST(StateLogView, ACancellationIsThatOfAllWhoNeedTheJob) {
+TEST(StateLogView, CancellationAppliesToDependentJobs) {
     StateLogView view;
     auto job = [](const char* id, json::array awaits) {
         json::object body{{"name_id", id}, {"lots", 1}};
@@ -311,17 +329,17 @@
                      job("req-4", {}), json::array{"c", "req-1"}},
          1, 0});
     ASSERT_TRUE(view.apply_page(page, true));
-    EXPECT_TRUE(view.cancelled("req-1"));
-    EXPECT_TRUE(view.cancelled("req-2"));
-    EXPECT_TRUE(view.cancelled("req-3"));
-    EXPECT_FALSE(view.cancelled("req-4"));
+    EXPECT_TRUE(view.is_cancelled("req-1"));
+    EXPECT_TRUE(view.is_cancelled("req-2"));
+    EXPECT_TRUE(view.is_cancelled("req-3"));
+    EXPECT_FALSE(view.is_cancelled("req-4"));
     for (const char* bad :
          {R"([[1,"x"]])", R"([["j",{}]])", R"([["t",5]])", R"([["z","req-1"]])",
           R"([["t","req-4",[7,1]]])", R"([["p","req-5"]])", R"([["t","req-4",[0,3,"d"]]])"}) {
-        StateLogView fresh = view;
+        StateLogView copy = view;
         KvPage next;
         next.items.push_back({segment_key(2), json::parse(bad), 2, 0});
-        EXPECT_THROW((void)fresh.apply_page(next, false), BadMessage) << bad;
+        EXPECT_THROW((void)copy.apply_page(next, false), BadMessage) << bad;
     }
 }
 
