--- a/tests/standby_model_test.cpp
+++ b/tests/standby_model_test.cpp
@@ -172,7 +172,7 @@
             return;
         }
         if (answer == kReportedAccepted && (known & (kReportedCancelled | kReportedDone)))
-            fail("a cancelled or done job is reported as waiting");
+            fail("a cancelled or done job is reported as unfinished");
         if (answer == kReportedCancelled && (known & kReportedDone))
             fail("a done job is reported as cancelled");
         if (answer == kReportedDone && (known & kReportedCancelled))
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -122,7 +122,7 @@
         EXPECT_THROW(parse_pending_record(json::parse(bad)), BadMessage) << bad;
 }
 
-TEST(StandbyDecision, LatestRecordDeterminesTheAnswer) {
+TEST(StandbyDecisions, LatestRecordDeterminesTheAnswer) {
     PendingRecord accepted{json::object{}, 1, false}, cancelled{json::object{}, 1, true},
         request{nullptr, 0, true};
     StateLogView::Job waiting, running;
@@ -175,7 +175,7 @@
     }
 }
 
-TEST(StandbyDecision, EveryControllerMustHaveAnAdopterRecord) {
+TEST(StandbyDecisions, EveryControllerMustHaveAnAdopterRecord) {
     auto settings = test::small_settings();
     settings.peers = {{"node-1", "a", {}}, {"node-2", "b", {}}};
     struct Row {
