--- a/src/controller/request_router_forwarding.cpp
+++ b/src/controller/request_router_forwarding.cpp
@@ -80,7 +80,7 @@
     }
     leader_tracker_->record_answer();
     if (is_submission && reply->status < 300)
-        forward_timeout_.record_answer(leader_tracker_->answered_at() - sent_at);
+        forward_timeout_.record_response_time(leader_tracker_->answered_at() - sent_at);
     co_return *reply;
 }
 
@@ -98,7 +98,7 @@
     bool probed = false;
     for (;;) {
         double silence_deadline =
-            std::max(started, leader_tracker_->answered_at()) + forward_timeout_.seconds();
+            std::max(started, leader_tracker_->answered_at()) + forward_timeout_.timeout_s();
         double until = std::min(silence_deadline, started + max_wait_s);
         if (!probed) until = std::min(until, started + kProbeDelay_s);
         double now = steady_now();
