--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -1,7 +1,9 @@
-// The autoscaler: how large the fleet should be. It only plans, from the cluster's state and the
-// present time; the controller carries the plans out. Nothing here keeps state between calls.
+// The autoscaler decides how many machines of which types the fleet needs. Its functions only
+// compute plans from the cluster state and the present time and keep no state between calls; the
+// controller carries the plans out.
 //
-// Times are seconds on the leader's steady clock; durations end in _s.
+// Points in time (`now`) are seconds on the leader's steady clock; durations in seconds have the
+// suffix _s.
 #pragma once
 #include <string>
 #include <vector>
@@ -11,7 +13,7 @@
 
 namespace weirmill {
 
-// So many machines of one type in one zone, to be requested from the cloud.
+// A request to the cloud for `count` machines of one type in one zone.
 struct ScaleOutRequest {
     Index type, zone;
     bool spot;
@@ -23,32 +25,36 @@
     // How long an idle machine is kept, in nominal boot times of its type.
     double idle_keep_boots = 0.3;
     double heartbeat_interval_s = 1;
-    // For how many job shapes an index of the machines is kept up to date between jobs; 0: it is
-    // rebuilt for each job. The plan is the same either way.
+    // The number of job shapes for which an index of the machines is kept up to date between jobs.
+    // With 0 the index is rebuilt for each job. The plan does not depend on this value.
     size_t max_cached_shapes = 8;
-    // How long it takes to clear a machine of lower work for a job that arrives now.
-    double clear_s = 13;
+    // Seconds from the arrival of a job until the tasks of lower priority on a machine have been
+    // preempted for it.
+    double preemption_duration_s = 13;
 };
 
-// The room that recent arrivals of classes with a start objective call for.
+// Returns the free capacity that should be kept for job classes with a start objective, estimated
+// from their recent arrivals.
 std::vector<Headroom> planned_headroom(const ClusterState& cluster,
                                        const AutoscalerSettings& settings, double now);
 
-// By zone index: whether most machines there that have reported before are silent. Such a zone is
-// partitioned off: its machines are sound, but one requested there could not be used.
+// Returns, by zone index, whether most of the zone's machines that have reported before are silent.
+// Such a zone is taken to be partitioned from this controller: its machines still run, but a new
+// machine there could not be used.
 std::vector<bool> silent_zones(const ClusterState& cluster, const Usable& usable);
 
-// The machines that waiting work needs beyond those that are up or booting.
+// Returns the machines that waiting jobs and planned headroom need beyond those that are up or
+// booting.
 std::vector<ScaleOutRequest> plan_scale_out(const ClusterState& cluster, const Usable& usable,
                                             const AutoscalerSettings& settings, double now);
 
-// The machine whose drain saves most: all its tasks can write a checkpoint and continue where there
-// is room already, and moving them costs less than the machine would until they end. kNone: there
-// is none.
+// Returns the machine whose drain saves the most, or kNone. A machine qualifies if all its tasks
+// can write a checkpoint and restart in capacity that is free on other machines, and if moving them
+// costs less than keeping the machine until they end.
 Index plan_drain(const ClusterState& cluster, const Usable& usable, double now);
 
-// The machines to terminate: failed, abandoned or draining ones, and idle ones past their keep
-// time.
+// Returns the machines to terminate: failed and abandoned machines, empty ones that are draining or
+// quarantined, and idle ones whose keep time has passed.
 std::vector<Index> plan_scale_in(const ClusterState& cluster, const AutoscalerSettings& settings,
                                  double now);
 
--- a/src/autoscaler/capacity_forecast.cpp
+++ b/src/autoscaler/capacity_forecast.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-// To update an index for a change costs about as much as to rebuild it for so many machines.
+// Updating an index for one change costs about as much as rebuilding it for this many machines.
 constexpr size_t kMachinesPerChange = 10;
 
 }  // namespace
@@ -18,10 +18,10 @@
 
 const ShapeIndex& CapacityForecast::index_for(const JobSpec& spec) {
     auto& cached = cached_index(spec);
-    cached.last_used = ++uses_;
+    cached.last_used = ++use_counter_;
     if (!cached.built || max_shapes_ == 0 || rebuild_is_cheaper(cached)) rebuild(cached);
-    for (; cached.changes_seen < changes_.size(); ++cached.changes_seen) {
-        const size_t machine = changes_[cached.changes_seen];
+    for (; cached.changes_applied < changes_.size(); ++cached.changes_applied) {
+        const size_t machine = changes_[cached.changes_applied];
         cached.index.update(machine, machines_[machine]);
     }
     return cached.index;
@@ -34,7 +34,7 @@
     return it != indexes_.end() ? *it : add_index(spec);
 }
 
-// In place of the least recently used one where there are as many as may be.
+// Replaces the least recently used index if the cache is full.
 CapacityForecast::CachedIndex& CapacityForecast::add_index(const JobSpec& spec) {
     CachedIndex added{ShapeIndex(cluster_, spec)};
     if (indexes_.size() < std::max<size_t>(max_shapes_, 1)) {
@@ -48,21 +48,21 @@
 
 void CapacityForecast::rebuild(CachedIndex& cached) const {
     cached.index.rebuild(machines_, cluster_.names.zones.size());
-    cached.changes_seen = changes_.size();
+    cached.changes_applied = changes_.size();
     cached.built = true;
 }
 
 bool CapacityForecast::rebuild_is_cheaper(const CachedIndex& cached) const {
-    return (changes_.size() - cached.changes_seen) * kMachinesPerChange > machines_.size();
+    return (changes_.size() - cached.changes_applied) * kMachinesPerChange > machines_.size();
 }
 
 void CapacityForecast::apply(std::map<size_t, ExpectedCapacity> changed) {
-    for (auto& [i, c] : changed) {
-        changes_.push_back(i);
-        if (i < machines_.size())
-            machines_[i] = std::move(c);
+    for (auto& [machine, capacity] : changed) {
+        changes_.push_back(machine);
+        if (machine < machines_.size())
+            machines_[machine] = std::move(capacity);
         else
-            machines_.push_back(std::move(c));
+            machines_.push_back(std::move(capacity));
     }
 }
 
--- a/src/autoscaler/drain.cpp
+++ b/src/autoscaler/drain.cpp
@@ -1,4 +1,5 @@
-// Drain: the machine whose tasks are cheaper to move than to let end where they run.
+// Selects the machine to drain: one whose tasks are cheaper to move to other machines than to leave
+// running until they end.
 #include <algorithm>
 #include <optional>
 #include <utility>
@@ -11,19 +12,20 @@
 
 namespace {
 
-// A task that has just started is left where it is.
+// Tasks that have run for less than this are not moved.
 constexpr double kMinRunBeforeMove_s = 30;
-// From a task's exit to its start elsewhere.
+// The time from the exit of a task to its start on another machine.
 constexpr double kRestart_s = 6;
-// What is left to run has to be so many times what the move takes.
+// The remaining run time must be at least this many times the duration of the move.
 constexpr double kMinRemainingPerMove = 2;
 
+// A machine that can take over tasks of the drained one.
 struct Destination {
     const Machine* machine;
-    Resources room;
+    Resources available;
 };
 
-bool movable(const ClusterState& cluster, const TaskRef& ref, double now) {
+bool is_movable(const ClusterState& cluster, const TaskRef& ref, double now) {
     const auto& job = *cluster.jobs[ref.job];
     const auto& task = job.tasks[ref.task];
     const auto& spec = job.spec;
@@ -33,58 +35,59 @@
            now - task.running_at >= kMinRunBeforeMove_s;
 }
 
-bool drainable(const ClusterState& cluster, const Machine& m, const Usable& usable,
-               const std::vector<Index>& waiting, double now) {
-    if (m.tasks.empty() || !usable(m) || m.reserved_for != kNone) return false;
-    if (!std::ranges::all_of(m.tasks,
-                             [&](const TaskRef& ref) { return movable(cluster, ref, now); }))
+bool is_drainable(const ClusterState& cluster, const Machine& machine, const Usable& usable,
+                  const std::vector<Index>& waiting, double now) {
+    if (machine.tasks.empty() || !usable(machine) || machine.reserved_for != kNone) return false;
+    if (!std::ranges::all_of(machine.tasks,
+                             [&](const TaskRef& ref) { return is_movable(cluster, ref, now); }))
         return false;
-    return std::ranges::none_of(waiting,
-                                [&](Index j) { return could_use(cluster, *cluster.jobs[j], m); });
+    return std::ranges::none_of(
+        waiting, [&](Index job) { return may_start_on(cluster, *cluster.jobs[job], machine); });
 }
 
-// Machines that stay in use anyway.
-std::vector<Destination> destinations(const ClusterState& cluster, const Machine& from,
-                                      const Usable& usable) {
-    std::vector<Destination> out;
-    for (const auto& m : cluster.machines) {
-        if (!m || m.get() == &from || !usable(*m)) continue;
-        if (m->tasks.empty() || m->tasks.size() < from.tasks.size()) continue;
-        out.push_back({m.get(), m->room()});
+// Returns the machines with at least as many tasks as `source`, as these stay in use in any case.
+std::vector<Destination> find_destinations(const ClusterState& cluster, const Machine& source,
+                                           const Usable& usable) {
+    std::vector<Destination> destinations;
+    for (const auto& machine : cluster.machines) {
+        if (!machine || machine.get() == &source || !usable(*machine)) continue;
+        if (machine->tasks.empty() || machine->tasks.size() < source.tasks.size()) continue;
+        destinations.push_back({machine.get(), machine->room()});
     }
-    return out;
+    return destinations;
 }
 
-// Takes the room that the task would have elsewhere, where its image is at hand; false: there is
+// Reserves resources for a task on a destination that has its image. Returns false if there is
 // none.
-bool move_task(const ClusterState& cluster, const JobSpec& spec, std::vector<Destination>& to) {
-    const auto place = std::ranges::find_if(to, [&](const Destination& d) {
-        return cluster.machine_allowed(spec, *d.machine) && spec.demand.fits_in(d.room) &&
+bool reserve_destination(const ClusterState& cluster, const JobSpec& spec,
+                         std::vector<Destination>& destinations) {
+    const auto destination = std::ranges::find_if(destinations, [&](const Destination& d) {
+        return cluster.machine_allowed(spec, *d.machine) && spec.demand.fits_in(d.available) &&
                d.machine->has_image(spec.image);
     });
-    if (place == to.end()) return false;
-    place->room -= spec.demand;
+    if (destination == destinations.end()) return false;
+    destination->available -= spec.demand;
     return true;
 }
 
-// What the drain saves, in the price's unit times seconds; nothing: the tasks can't all move, or
-// are soon over.
-std::optional<double> drain_savings(const ClusterState& cluster, const Machine& m,
+// Returns what the drain saves, in the unit of the price times seconds, or nullopt if not all tasks
+// can be moved or they end too soon for the move to pay off.
+std::optional<double> drain_savings(const ClusterState& cluster, const Machine& machine,
                                     const Usable& usable, double now) {
-    auto to = destinations(cluster, m, usable);
+    auto destinations = find_destinations(cluster, machine, usable);
     double longest_run_s = 0, longest_move_s = 0;
-    for (const auto& ref : m.tasks) {
+    for (const auto& ref : machine.tasks) {
         const auto& job = *cluster.jobs[ref.job];
         const auto& spec = job.spec;
-        if (!move_task(cluster, spec, to)) return std::nullopt;
+        if (!reserve_destination(cluster, spec, destinations)) return std::nullopt;
         const double ran_s = now - job.tasks[ref.task].running_at;
         longest_run_s =
             std::max(longest_run_s, remaining_run_s(cluster.expected_run_s(spec), ran_s));
         longest_move_s = std::max(longest_move_s, spec.checkpoint_duration_s + kRestart_s);
     }
     if (longest_run_s < kMinRemainingPerMove * longest_move_s) return std::nullopt;
-    const auto& type = cluster.types[m.type].type;
-    return (longest_run_s - longest_move_s) * (m.spot ? type.spot_price : type.price);
+    const auto& type = cluster.types[machine.type].type;
+    return (longest_run_s - longest_move_s) * (machine.spot ? type.spot_price : type.price);
 }
 
 }  // namespace
@@ -94,9 +97,9 @@
     double best_savings = 0;
     const auto waiting = waiting_jobs(cluster, now);
     for (Index i = 0; i < cluster.machines.size(); ++i) {
-        const auto* m = cluster.machines[i].get();
-        if (!m || !drainable(cluster, *m, usable, waiting, now)) continue;
-        const auto savings = drain_savings(cluster, *m, usable, now);
+        const auto* machine = cluster.machines[i].get();
+        if (!machine || !is_drainable(cluster, *machine, usable, waiting, now)) continue;
+        const auto savings = drain_savings(cluster, *machine, usable, now);
         if (!savings || *savings <= best_savings) continue;
         best = i;
         best_savings = *savings;
--- a/src/autoscaler/expected_capacity.cpp
+++ b/src/autoscaler/expected_capacity.cpp
@@ -9,47 +9,50 @@
 
 namespace {
 
-// A machine that an earlier leader requested is likely to report for the first time within this.
+// A machine that a previous leader requested should send its first heartbeat to this leader within
+// this time after it has been discovered.
 constexpr double kFirstHeartbeat_s = 15;
-// A task that was told to stop is taken to be gone after this.
-constexpr double kStopping_s = 3;
-// The least that is left of a task's run, as a share of its expected run, or of the longer one that
-// it has had.
-constexpr double kMinRemainingShare = 0.15;
-// The least that is left of a boot, as a share of the type's boot time.
-constexpr double kMinRemainingBoot = 0.2;
-// A zone is silent if its silent machines outnumber the others by more than this.
+// A task that has been told to stop is assumed to end after this time.
+constexpr double kStopDuration_s = 3;
+// The minimum remaining run time of a task, as a share of its expected run time, or of the elapsed
+// one if that is longer.
+constexpr double kMinRemainingRunShare = 0.15;
+// The minimum remaining boot time of a machine, as a share of its type's boot time.
+constexpr double kMinRemainingBootShare = 0.2;
+// A zone is silent if its silent machines outnumber its usable ones by more than this.
 constexpr int kMaxSilentExcess = 2;
 
-bool is_booting(const Machine& m, double now) {
-    // A machine that a change of leader has just revealed is likely to report soon.
-    return !m.up && (m.status == MachineStatus::Booting || now - m.added < kFirstHeartbeat_s);
+bool is_booting(const Machine& machine, double now) {
+    const bool recently_added = now - machine.added < kFirstHeartbeat_s;
+    return !machine.up && (machine.status == MachineStatus::Booting || recently_added);
 }
 
-double remaining_boot_s(const ClusterState& cluster, const Machine& m, double now) {
-    const double boot_s = cluster.types[m.type].type.boot_s;
-    return std::max(kMinRemainingBoot * boot_s,
-                    m.requested_at + cluster.boot_factor * boot_s - now);
+double remaining_boot_s(const ClusterState& cluster, const Machine& machine, double now) {
+    const double boot_s = cluster.types[machine.type].type.boot_s;
+    return std::max(kMinRemainingBootShare * boot_s,
+                    machine.requested_at + cluster.boot_factor * boot_s - now);
 }
 
-double remaining_task_s(const ClusterState& cluster, const Machine& m, const JobSpec& spec,
+double remaining_task_s(const ClusterState& cluster, const Machine& machine, const JobSpec& spec,
                         const Task& task, double now) {
-    if (task.stopping) return kStopping_s;
+    if (task.stopping) return kStopDuration_s;
     const double run_s = cluster.expected_run_s(spec);
     if (task.running_at > 0) return remaining_run_s(run_s, now - task.running_at);
-    return run_s + std::max(0.0, cluster.fetch_s(spec, m.type) - (now - task.placed_at));
+    return run_s + std::max(0.0, cluster.fetch_s(spec, machine.type) - (now - task.placed_at));
 }
 
 bool ends_before(const TaskEnd& a, const TaskEnd& b) { return a.in_s < b.in_s; }
 
-// Services do not end.
-std::vector<TaskEnd> task_ends(const ClusterState& cluster, const Machine& m, double now) {
+// Leaves out services, whose tasks do not end by themselves.
+std::vector<TaskEnd> expected_task_ends(const ClusterState& cluster, const Machine& machine,
+                                        double now) {
     std::vector<TaskEnd> ends;
-    for (const auto& ref : m.tasks) {
+    for (const auto& ref : machine.tasks) {
         const auto& job = *cluster.jobs[ref.job];
         if (job.spec.kind == JobKind::Service) continue;
-        ends.push_back(
-            {remaining_task_s(cluster, m, job.spec, job.tasks[ref.task], now), job.spec.demand});
+        const double remaining_s =
+            remaining_task_s(cluster, machine, job.spec, job.tasks[ref.task], now);
+        ends.push_back({remaining_s, job.spec.demand});
     }
     std::ranges::sort(ends, ends_before);
     return ends;
@@ -58,66 +61,75 @@
 }  // namespace
 
 EarliestStart ExpectedCapacity::earliest_start(const Resources& demand) const {
-    auto sum = room;
-    EarliestStart start{from_s, 0};
+    auto sum = available;
+    EarliestStart start{available_in_s, 0};
     while (!demand.fits_in(sum)) {
-        if (start.ends == ends.size()) return {kNever_s, start.ends};
-        const auto& end = ends[start.ends];
-        sum += end.frees;
+        if (start.tasks_ended == task_ends.size()) return {kNever_s, start.tasks_ended};
+        const auto& end = task_ends[start.tasks_ended];
+        sum += end.released;
         start.in_s = std::max(start.in_s, end.in_s);
-        ++start.ends;
+        ++start.tasks_ended;
     }
     return start;
 }
 
 void ExpectedCapacity::assign(const Resources& demand, const EarliestStart& start,
                               double duration_s) {
-    for (size_t i = 0; i < start.ends; ++i) room += ends[i].frees;
-    ends.erase(ends.begin(), ends.begin() + static_cast<long>(start.ends));
-    room -= demand;
-    if (start.ends > 0) from_s = std::max(from_s, start.in_s);
+    for (size_t i = 0; i < start.tasks_ended; ++i) available += task_ends[i].released;
+    task_ends.erase(task_ends.begin(), task_ends.begin() + static_cast<long>(start.tasks_ended));
+    available -= demand;
+    if (start.tasks_ended > 0) available_in_s = std::max(available_in_s, start.in_s);
     const TaskEnd end{start.in_s + duration_s, demand};
-    ends.insert(std::ranges::upper_bound(ends, end, ends_before), end);
+    task_ends.insert(std::ranges::upper_bound(task_ends, end, ends_before), end);
 }
 
-bool capacity_suits(const ClusterState& cluster, const JobSpec& spec, const ExpectedCapacity& c) {
-    return market_suits(spec, c.spot, c.zone) && type_suits(cluster, spec, c.type);
+bool capacity_suits(const ClusterState& cluster, const JobSpec& spec,
+                    const ExpectedCapacity& capacity) {
+    return market_suits(spec, capacity.spot, capacity.zone) &&
+           type_suits(cluster, spec, capacity.type);
 }
 
 double remaining_run_s(double expected_s, double ran_s) {
-    return std::max(kMinRemainingShare * std::max(expected_s, ran_s), expected_s - ran_s);
+    return std::max(kMinRemainingRunShare * std::max(expected_s, ran_s), expected_s - ran_s);
 }
 
 std::vector<ExpectedCapacity> expected_capacity(const ClusterState& cluster, const Usable& usable,
                                                 double now) {
-    std::vector<ExpectedCapacity> out;
-    for (const auto& m : cluster.machines) {
-        if (!m || m->type == kNone || m->abandoned || m->terminating) continue;
-        if (m->type >= cluster.types.size() || !cluster.types[m->type].offered) continue;
-        const bool booting = is_booting(*m, now);
-        if (!booting && !usable(*m)) continue;
-        const double from_s = booting ? remaining_boot_s(cluster, *m, now) : 0;
-        out.push_back(
-            {m->type, m->zone, m->spot, from_s, m->room(), task_ends(cluster, *m, now), booting});
+    std::vector<ExpectedCapacity> capacities;
+    for (const auto& machine : cluster.machines) {
+        if (!machine || machine->type == kNone || machine->abandoned || machine->terminating)
+            continue;
+        if (machine->type >= cluster.types.size() || !cluster.types[machine->type].offered)
+            continue;
+        const bool booting = is_booting(*machine, now);
+        if (!booting && !usable(*machine)) continue;
+        const double available_in_s = booting ? remaining_boot_s(cluster, *machine, now) : 0;
+        capacities.push_back({machine->type, machine->zone, machine->spot, available_in_s,
+                              machine->room(), expected_task_ends(cluster, *machine, now),
+                              booting});
     }
-    return out;
+    return capacities;
 }
 
 std::vector<bool> silent_zones(const ClusterState& cluster, const Usable& usable) {
     std::vector<int> silent_excess(cluster.names.zones.size(), 0);
-    for (const auto& m : cluster.machines) {
-        if (!m || m->zone == kNone || m->abandoned || m->terminating) continue;
-        if (m->up && usable(*m))
-            --silent_excess[m->zone];
-        else if (m->status == MachineStatus::Running && m->interruption_at < 0 && !m->missing)
-            ++silent_excess[m->zone];
+    for (const auto& machine : cluster.machines) {
+        if (!machine || machine->zone == kNone || machine->abandoned || machine->terminating)
+            continue;
+        const bool was_running = machine->status == MachineStatus::Running &&
+                                 machine->interruption_at < 0 && !machine->missing;
+        if (machine->up && usable(*machine))
+            --silent_excess[machine->zone];
+        else if (was_running)
+            ++silent_excess[machine->zone];
     }
-    std::vector<bool> out;
-    out.reserve(silent_excess.size());
-    for (const int excess : silent_excess) out.push_back(excess > kMaxSilentExcess);
-    // If all zones are silent, it is rather this controller that is partitioned off.
-    if (std::ranges::all_of(out, [](bool silent) { return silent; })) out.assign(out.size(), false);
-    return out;
+    std::vector<bool> silent;
+    silent.reserve(silent_excess.size());
+    for (const int excess : silent_excess) silent.push_back(excess > kMaxSilentExcess);
+    // If all zones are silent, it is more likely that this controller is the one partitioned off.
+    if (std::ranges::all_of(silent, [](bool zone_silent) { return zone_silent; }))
+        silent.assign(silent.size(), false);
+    return silent;
 }
 
 }  // namespace weirmill
--- a/src/autoscaler/expected_capacity.h
+++ b/src/autoscaler/expected_capacity.h
@@ -1,5 +1,5 @@
-// What room each machine has and will have, as far as it can be told: machines that are up, booting
-// or planned to be requested, and the ends expected of the tasks that run on them.
+// The capacity that each machine has now and is expected to have later. Covers machines that are
+// up, booting or planned to be requested, and takes into account when running tasks should end.
 #pragma once
 #include <vector>
 
@@ -8,44 +8,47 @@
 
 namespace weirmill {
 
-// A start time that stands for none; anything beyond kHorizon_s counts as never.
+// The start delay of a task that can never start.
 inline constexpr double kNever_s = 1e18;
+// Delays beyond this count as never.
 inline constexpr double kHorizon_s = 1e17;
 
-// What a running task frees when it ends.
+// The expected end of a running task.
 struct TaskEnd {
-    double in_s = 0;  // from now
-    Resources frees;
+    double in_s = 0;     // seconds from now
+    Resources released;  // resources that become available
 };
 
 struct EarliestStart {
-    double in_s;  // from now; kNever_s: the machine is too small
-    size_t ends;  // how many of the machine's task ends it waits for
+    double in_s;         // seconds from now; kNever_s if the machine is too small
+    size_t tasks_ended;  // how many of the machine's tasks have to end first
 };
 
-// A machine that is up, booting or planned to be requested.
+// The capacity of one machine that is up, booting or planned to be requested.
 struct ExpectedCapacity {
     Index type, zone;
     bool spot;
-    double from_s;  // from now, when `room` is there
-    Resources room;
-    std::vector<TaskEnd> ends;  // of running tasks, soonest first
-    bool booting = false;       // not up yet
+    double available_in_s;  // seconds from now until `available` can be used
+    Resources available;
+    std::vector<TaskEnd> task_ends;  // of the running tasks, earliest first
+    bool booting = false;            // requested or planned, but not up yet
 
     EarliestStart earliest_start(const Resources& demand) const;
-    // Assigns it a task that starts as `start` says and then lasts `duration_s`.
+    // Reserves resources for a task that starts at `start` and runs for `duration_s` seconds.
     void assign(const Resources& demand, const EarliestStart& start, double duration_s);
 };
 
-// Whether tasks of the job may run on the machine, its room aside.
-bool capacity_suits(const ClusterState& cluster, const JobSpec& spec, const ExpectedCapacity& c);
+// Returns whether tasks of the job may run on the machine, regardless of its available resources.
+bool capacity_suits(const ClusterState& cluster, const JobSpec& spec,
+                    const ExpectedCapacity& capacity);
 
-// What is left of a task's run, in seconds, at least a share of what it should have been: the
-// longer a task is overdue, the longer it is taken to last. Taken for as good as over, tasks of a
-// wrong estimate kept others waiting for their room for as long as they ran.
+// Returns the expected remaining run time of a task in seconds. The result is at least a fixed
+// share of the expected run time, or of the elapsed one if that is longer, so that a task which
+// exceeds its estimate is not assumed to end at once: other tasks would be planned to wait for it
+// for as long as it runs.
 double remaining_run_s(double expected_s, double ran_s);
 
-// The machines that are up and usable, and those that boot.
+// Returns the machines that are up and usable, and those that are booting.
 std::vector<ExpectedCapacity> expected_capacity(const ClusterState& cluster, const Usable& usable,
                                                 double now);
 
--- a/src/autoscaler/job_planner.cpp
+++ b/src/autoscaler/job_planner.cpp
@@ -9,21 +9,23 @@
 
 namespace {
 
-// A new machine has to be sooner than present ones by this factor to be worth its price.
+// A new machine is requested only if the wait for an existing one would be longer than the boot of
+// the new one by at least this factor.
 constexpr double kMinSpeedup = 1.3;
-// And however cheap it is, by no less than this share of the factor.
+// At least this share of kMinSpeedup applies, however cheap the new machine is.
 constexpr double kMinSpeedupShare = 0.3;
-// The share of its slack that a job may wait for room.
-constexpr double kPatience = 0.15;
-// As much more of it, in proportion to the part of a new machine that would stay empty.
-constexpr double kEmptyMachinePatience = 0.85;
+// The share of its slack that a job may wait for an existing machine.
+constexpr double kMaxWaitShare = 0.15;
+// The additional share of its slack that a job may wait, in proportion to the part of a new machine
+// that would stay empty.
+constexpr double kEmptyMachineWaitShare = 0.85;
 
-// Of the largest machine that the job fits.
+// Returns how many of the job's tasks fit on the largest suitable machine type.
 int64_t max_tasks_per_machine(const ClusterState& cluster, const JobSpec& spec) {
     int64_t most = 0;
-    for (Index t = 0; t < cluster.types.size(); ++t) {
-        if (!cluster.type_fits(spec, t)) continue;
-        most = std::max(most, spec.demand.times_in(cluster.types[t].type.size));
+    for (Index type = 0; type < cluster.types.size(); ++type) {
+        if (!cluster.type_fits(spec, type)) continue;
+        most = std::max(most, spec.demand.times_in(cluster.types[type].type.size));
     }
     return most;
 }
@@ -38,109 +40,112 @@
       index_(index),
       spec_(request.job.spec),
       request_(request),
-      rule_(context.cluster, request.job),
-      zones_ruled_(spec_.one_zone || spec_.spread),
+      zone_rule_(context.cluster, request.job),
+      zone_constrained_(spec_.one_zone || spec_.spread),
       run_s_(cluster_.expected_run_s(spec_)),
       max_tasks_per_machine_(max_tasks_per_machine(cluster_, spec_)),
-      next_opening_(index.openings().first()),
-      next_booting_(index.booting().first()),
+      next_slot_(index.slots().first()),
+      next_booting_(index.booting_slots().first()),
       next_machine_(machines.size()) {}
 
 JobPlan JobPlanner::plan() {
-    auto& uses = context_.uses;
+    auto& use_counts = context_.use_counts;
     const size_t max_machines = machines_.size() + request_.tasks;
-    if (uses.size() < max_machines) uses.resize(max_machines, 0);
+    if (use_counts.size() < max_machines) use_counts.resize(max_machines, 0);
     size_t remaining = request_.tasks;
     while (remaining > 0 && place_task(remaining)) --remaining;
     plan_.complete = remaining == 0;
-    for (const auto& [machine, c] : plan_.machines) uses[machine] = 0;
+    for (const auto& [machine, capacity] : plan_.machines) use_counts[machine] = 0;
     return std::move(plan_);
 }
 
-// False: nothing can take it.
+// Returns false if no machine and no offer can take the task.
 bool JobPlanner::place_task(size_t remaining) {
-    const auto soonest = soonest_opening();
-    // With fewer tasks left than a machine holds the offers' order may change, as it may with the
-    // zones that are allowed.
-    if (remaining == request_.tasks || zones_ruled_ ||
+    const auto earliest = earliest_slot();
+    // The cheapest offer can change when the remaining tasks no longer fill a machine, and when a
+    // placement changes which zones are allowed.
+    if (remaining == request_.tasks || zone_constrained_ ||
         static_cast<int64_t>(remaining) < max_tasks_per_machine_)
         update_offer(remaining);
-    // Waiting for room that will be there no later than a new machine costs nothing; longer waits
-    // are taken as far as the job can afford them.
-    const double patience = patience_s(remaining);
-    if (soonest && (!offer_ || soonest->opening.start.in_s <=
-                                   std::max(boot_share_to_wait() * boot_s(), patience))) {
-        if (soonest->reused) pop_reused();
-        plan_.late =
-            plan_.late || soonest->opening.start.in_s > std::max(kMinSpeedup * boot_s(), patience);
-        assign(soonest->opening);
+    // Waiting for an existing machine that is available no later than a new one would be costs
+    // nothing. Longer waits are accepted as far as the job's slack allows.
+    const double slack_wait_s = max_wait_s(remaining);
+    if (earliest && (!offer_ || earliest->slot.start.in_s <=
+                                    std::max(max_wait_boots() * boot_s(), slack_wait_s))) {
+        if (earliest->reused) pop_reused();
+        plan_.late = plan_.late ||
+                     earliest->slot.start.in_s > std::max(kMinSpeedup * boot_s(), slack_wait_s);
+        assign(earliest->slot);
         return true;
     }
-    auto opening = booting_opening();
-    if (!opening) opening = request_machine();
-    if (!opening) return false;
-    assign(*opening);
+    auto slot = booting_slot();
+    if (!slot) slot = request_machine();
+    if (!slot) return false;
+    assign(*slot);
     return true;
 }
 
-// From the index as far as this plan has not used the machines, and from those that it has.
-std::optional<JobPlanner::SoonestOpening> JobPlanner::soonest_opening() {
-    while (!reused_.empty() && stale(reused_.front().opening, reused_.front().uses)) pop_reused();
+// Returns the earlier of the first index slot on a machine that this plan has not used and the
+// first slot on a machine that it has.
+std::optional<JobPlanner::EarliestSlot> JobPlanner::earliest_slot() {
+    while (!reused_.empty() && is_stale(reused_.front().slot, reused_.front().use_count))
+        pop_reused();
     const auto* indexed =
-        index_.openings().next(next_opening_, [this](const Opening& o) { return skipped(o); });
-    if (indexed && (reused_.empty() || *indexed < reused_.front().opening))
-        return SoonestOpening{*indexed, false};
+        index_.slots().next(next_slot_, [this](const StartSlot& slot) { return is_skipped(slot); });
+    if (indexed && (reused_.empty() || *indexed < reused_.front().slot))
+        return EarliestSlot{*indexed, false};
     if (reused_.empty()) return std::nullopt;
-    return SoonestOpening{reused_.front().opening, true};
+    return EarliestSlot{reused_.front().slot, true};
 }
 
-// What is booting was requested for such work already: worth waiting for if it is up hardly later
-// than a new machine.
-std::optional<Opening> JobPlanner::booting_opening() {
+// Returns a slot on a booting machine, as it was probably requested for jobs like this one, unless
+// the machine comes up much later than a new one would.
+std::optional<StartSlot> JobPlanner::booting_slot() {
     while (!reused_booting_.empty() &&
-           stale(reused_booting_.back().opening, reused_booting_.back().uses))
+           is_stale(reused_booting_.back().slot, reused_booting_.back().use_count))
         reused_booting_.pop_back();
-    const auto* soonest =
+    const auto* earliest =
         !reused_booting_.empty()
-            ? &reused_booting_.back().opening
-            : index_.booting().next(next_booting_, [this](const Opening& o) { return skipped(o); });
-    if (!soonest || soonest->start.in_s > kMinSpeedup * boot_s()) return std::nullopt;
-    const Opening opening = *soonest;
-    // One of the index is skipped from now on, as its machine is used.
+            ? &reused_booting_.back().slot
+            : index_.booting_slots().next(
+                  next_booting_, [this](const StartSlot& slot) { return is_skipped(slot); });
+    if (!earliest || earliest->start.in_s > kMinSpeedup * boot_s()) return std::nullopt;
+    const StartSlot slot = *earliest;
+    // A slot from the index needs no removal: it is skipped once its machine is used.
     if (!reused_booting_.empty()) reused_booting_.pop_back();
-    return opening;
+    return slot;
 }
 
-std::optional<Opening> JobPlanner::request_machine() {
+std::optional<StartSlot> JobPlanner::request_machine() {
     if (!offer_) return std::nullopt;
     auto& count = plan_.requests[offer_of(*offer_)];
     if (count >= kMaxMachinesPerRequest) return std::nullopt;
     ++count;
-    ++plan_.requested;
+    ++plan_.new_machines;
     const size_t machine = next_machine_++;
     plan_.machines.emplace(machine, *offer_);
-    return Opening{{offer_->from_s, 0}, machine};
+    return StartSlot{{offer_->available_in_s, 0}, machine};
 }
 
-void JobPlanner::assign(const Opening& o) {
-    plan_.latest_start_s = std::max(plan_.latest_start_s, o.start.in_s);
-    auto it = plan_.machines.find(o.machine);
+void JobPlanner::assign(const StartSlot& slot) {
+    plan_.latest_start_s = std::max(plan_.latest_start_s, slot.start.in_s);
+    auto it = plan_.machines.find(slot.machine);
     if (it == plan_.machines.end())
-        it = plan_.machines.emplace(o.machine, machines_[o.machine]).first;
-    auto& c = it->second;
-    c.assign(spec_.demand, o.start, run_s_ + cluster_.fetch_s(spec_, c.type));
-    ++context_.uses[o.machine];
-    rule_.add(c.zone);
-    add_reused(o.machine, c);
+        it = plan_.machines.emplace(slot.machine, machines_[slot.machine]).first;
+    auto& capacity = it->second;
+    capacity.assign(spec_.demand, slot.start, run_s_ + cluster_.fetch_s(spec_, capacity.type));
+    ++context_.use_counts[slot.machine];
+    zone_rule_.add(capacity.zone);
+    add_reused(slot.machine, capacity);
 }
 
-void JobPlanner::add_reused(size_t machine, const ExpectedCapacity& c) {
-    const Opening o{c.earliest_start(spec_.demand), machine};
-    if (o.start.in_s > kHorizon_s) return;
-    const ReusedOpening reused{o, context_.uses[machine]};
+void JobPlanner::add_reused(size_t machine, const ExpectedCapacity& capacity) {
+    const StartSlot slot{capacity.earliest_start(spec_.demand), machine};
+    if (slot.start.in_s > kHorizon_s) return;
+    const ReusedSlot reused{slot, context_.use_counts[machine]};
     reused_.push_back(reused);
     std::ranges::push_heap(reused_, std::greater<>());
-    if (c.booting && o.start.ends == 0) reused_booting_.push_back(reused);
+    if (capacity.booting && slot.start.tasks_ended == 0) reused_booting_.push_back(reused);
 }
 
 void JobPlanner::pop_reused() {
@@ -149,36 +154,44 @@
 }
 
 void JobPlanner::update_offer(size_t remaining) {
-    offer_ = cheapest_offer(cluster_, spec_, remaining, request_.only_zone, rule_,
+    offer_ = cheapest_offer(cluster_, spec_, remaining, request_.only_zone, zone_rule_,
                             context_.silent_zones, context_.now);
 }
 
-bool JobPlanner::stale(const Opening& o, uint32_t uses) const {
-    return uses != context_.uses[o.machine] || (zones_ruled_ && !rule_.allows(zone_of(o.machine)));
+// Returns whether the machine has been used since the slot was computed, or its zone is no longer
+// allowed.
+bool JobPlanner::is_stale(const StartSlot& slot, uint32_t use_count) const {
+    return use_count != context_.use_counts[slot.machine] ||
+           (zone_constrained_ && !zone_rule_.allows(zone_of(slot.machine)));
 }
 
-bool JobPlanner::skipped(const Opening& o) const {
-    if (index_.stale(o)) return true;
-    if (request_.only_zone != kNone && machines_[o.machine].zone != request_.only_zone) return true;
-    return stale(o, 0);
+// Returns whether the plan can't use this slot of the index.
+bool JobPlanner::is_skipped(const StartSlot& slot) const {
+    if (index_.is_stale(slot)) return true;
+    if (request_.only_zone != kNone && machines_[slot.machine].zone != request_.only_zone)
+        return true;
+    return is_stale(slot, 0);
 }
 
 Index JobPlanner::zone_of(size_t machine) const {
     return machine < machines_.size() ? machines_[machine].zone : plan_.machines.at(machine).zone;
 }
 
-double JobPlanner::patience_s(size_t remaining) const {
-    double filled = 1;
+// Returns how many seconds of its slack the job may wait for an existing machine rather than
+// request a new one.
+double JobPlanner::max_wait_s(size_t remaining) const {
+    double filled_share = 1;
     if (offer_)
-        filled = std::min(1.0, static_cast<double>(remaining) /
-                                   static_cast<double>(spec_.demand.times_in(offer_->room)));
-    return (kPatience + kEmptyMachinePatience * (1 - filled)) * request_.slack_s;
+        filled_share =
+            std::min(1.0, static_cast<double>(remaining) /
+                              static_cast<double>(spec_.demand.times_in(offer_->available)));
+    return (kMaxWaitShare + kEmptyMachineWaitShare * (1 - filled_share)) * request_.slack_s;
 }
 
-// A machine is requested where room comes later than this share of its boot. A cheap one is
-// requested sooner: where work never stops, tasks used to wait as long as a boot for each other's
-// room, whatever more machines cost.
-double JobPlanner::boot_share_to_wait() const {
+// Returns the longest wait for an existing machine, in boot times of the offered one, before a new
+// one is requested. It is shorter for a cheap machine: on a fleet that is always busy, tasks would
+// otherwise wait as long as a boot for each other's resources, even if another machine costs little.
+double JobPlanner::max_wait_boots() const {
     if (!offer_ || context_.highest_price <= 0) return kMinSpeedup;
     const double price = cluster_.types[offer_->type].type.price;
     return kMinSpeedup * std::max(kMinSpeedupShare, std::sqrt(price / context_.highest_price));
--- a/src/autoscaler/job_planner.h
+++ b/src/autoscaler/job_planner.h
@@ -1,4 +1,4 @@
-// Where one job's tasks would run: on machines that are there or coming, or on new ones.
+// Plans where the tasks of one job would run: on machines that are up or booting, or on new ones.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -11,76 +11,83 @@
 
 namespace weirmill {
 
-// What one job's tasks would take, and when they would start. It changes nothing by itself.
+// The machines that the tasks of one job would use, and when the tasks would start. A plan takes
+// effect only when its owner applies it.
 struct JobPlan {
-    bool complete = false;  // every task has its place
-    bool late = false;      // a task starts later than the job would like, for want of offers
-    double latest_start_s = 0;
-    int requested = 0;                            // new machines
-    std::map<size_t, ExpectedCapacity> machines;  // as they would be, the new ones among them
-    std::map<Offer, int> requests;                // how many new ones of each
+    bool complete = false;  // every task has a machine
+    bool late = false;      // a task starts later than the job can afford, as no offer is available
+    double latest_start_s = 0;                    // seconds from now
+    int new_machines = 0;                         // number of machines to request
+    std::map<size_t, ExpectedCapacity> machines;  // used machines after the plan, new ones included
+    std::map<Offer, int> requests;                // number of machines to request of each offer
 
-    // Of several zones the least: where the job starts in time, with the fewest new machines.
+    // The plan with the lowest rank is preferred when a job is planned in several zones: one that
+    // is not late, with the fewest new machines.
     [[nodiscard]] auto rank() const {
-        return std::make_tuple(late, late ? latest_start_s : 0, requested, latest_start_s);
+        return std::make_tuple(late, late ? latest_start_s : 0, new_machines, latest_start_s);
     }
 };
 
-// What the plans of one pass have in common.
+// State that is shared by the plans of one scale-out pass.
 struct PlanningContext {
     const ClusterState& cluster;
     double now;
     std::vector<bool> silent_zones;
-    double highest_price;        // see highest_price()
-    std::vector<uint32_t> uses;  // scratch of JobPlanner: by machine, all 0 between plans
+    double highest_price;  // see highest_price()
+    // Scratch space of JobPlanner: how often the current plan has used each machine, by machine
+    // index. All entries are 0 between plans.
+    std::vector<uint32_t> use_counts;
 };
 
 // The part of a job that is to be planned.
 struct JobRequest {
     const Job& job;
-    size_t tasks;
-    Index only_zone;  // kNone: any
-    double slack_s;   // how long the job could wait and still start and end as asked
+    size_t tasks;     // number of tasks to plan
+    Index only_zone;  // kNone: any zone
+    double slack_s;   // how long the job can wait and still meet its start and end times
 };
 
-// Greedy: each task in turn goes to the machine with room the soonest if it can wait for that, or
-// else to a booting one that is soon up, or else to a new one.
+// Greedy planner for one job. It assigns each task in turn to the machine where it can start
+// earliest if the job can wait that long, else to a booting machine that is up soon, else to a new
+// machine.
 class JobPlanner {
   public:
-    // `index`: that of the job's shape in `machines`, up to date.
+    // `index` is the up-to-date index of `machines` for the job's shape. All arguments must outlive
+    // the planner.
     JobPlanner(PlanningContext& context, const std::vector<ExpectedCapacity>& machines,
                const ShapeIndex& index, const JobRequest& request);
 
-    // To be called once. Incomplete where machines run out.
+    // Returns the plan; may be called only once. The plan is incomplete if there are not enough
+    // machines and offers.
     [[nodiscard]] JobPlan plan();
 
   private:
-    // An opening of a machine that this plan has used, and how often it had when this was found.
-    struct ReusedOpening {
-        Opening opening;
-        uint32_t uses = 0;
-        bool operator>(const ReusedOpening& o) const { return opening > o.opening; }
+    // A start slot on a machine that this plan has used already.
+    struct ReusedSlot {
+        StartSlot slot;
+        uint32_t use_count = 0;  // of the machine when the slot was computed
+        bool operator>(const ReusedSlot& other) const { return slot > other.slot; }
     };
-    struct SoonestOpening {
-        Opening opening;
+    struct EarliestSlot {
+        StartSlot slot;
         bool reused = false;
     };
 
     bool place_task(size_t remaining);
-    std::optional<SoonestOpening> soonest_opening();
-    std::optional<Opening> booting_opening();
-    std::optional<Opening> request_machine();
-    void assign(const Opening& o);
-    void add_reused(size_t machine, const ExpectedCapacity& c);
+    std::optional<EarliestSlot> earliest_slot();
+    std::optional<StartSlot> booting_slot();
+    std::optional<StartSlot> request_machine();
+    void assign(const StartSlot& slot);
+    void add_reused(size_t machine, const ExpectedCapacity& capacity);
     void pop_reused();
     void update_offer(size_t remaining);
 
-    [[nodiscard]] bool stale(const Opening& o, uint32_t uses) const;
-    [[nodiscard]] bool skipped(const Opening& o) const;
+    [[nodiscard]] bool is_stale(const StartSlot& slot, uint32_t use_count) const;
+    [[nodiscard]] bool is_skipped(const StartSlot& slot) const;
     [[nodiscard]] Index zone_of(size_t machine) const;
-    [[nodiscard]] double patience_s(size_t remaining) const;
-    [[nodiscard]] double boot_share_to_wait() const;
-    [[nodiscard]] double boot_s() const { return offer_ ? offer_->from_s : 0; }
+    [[nodiscard]] double max_wait_s(size_t remaining) const;
+    [[nodiscard]] double max_wait_boots() const;
+    [[nodiscard]] double boot_s() const { return offer_ ? offer_->available_in_s : 0; }
 
     PlanningContext& context_;
     const ClusterState& cluster_;
@@ -88,15 +95,15 @@
     const ShapeIndex& index_;
     const JobSpec& spec_;
     JobRequest request_;
-    ZoneRule rule_;
-    bool zones_ruled_;
+    ZoneRule zone_rule_;
+    bool zone_constrained_;
     double run_s_;
     int64_t max_tasks_per_machine_;
-    OpeningList::Cursor next_opening_, next_booting_;
-    std::vector<ReusedOpening> reused_;          // a heap, soonest first
-    std::vector<ReusedOpening> reused_booting_;  // a stack
-    std::optional<ExpectedCapacity> offer_;      // the cheapest for the tasks that remain
-    size_t next_machine_;                        // index of the next new one
+    StartSlotList::Cursor next_slot_, next_booting_;
+    std::vector<ReusedSlot> reused_;          // a heap, earliest slot first
+    std::vector<ReusedSlot> reused_booting_;  // a stack
+    std::optional<ExpectedCapacity> offer_;   // the cheapest offer for the remaining tasks
+    size_t next_machine_;                     // index of the next new machine
     JobPlan plan_;
 };
 
--- a/src/autoscaler/offers.cpp
+++ b/src/autoscaler/offers.cpp
@@ -8,45 +8,50 @@
 
 namespace {
 
-// Costs closer than this are equal: the earlier type and zone, and the spot instance, go first.
-constexpr double kEqualCost = 1e-12;
+// Offers whose costs differ by less than this count as equally cheap. Of these, the one considered
+// first wins: the earlier machine type, then the earlier zone, then the spot instance.
+constexpr double kCostTolerance = 1e-12;
 
 struct BestOffer {
-    double cost = 0;
+    double cost = 0;  // price per task
     std::optional<Offer> offer;
 };
 
-// The spot instance and the regular one of a type in a zone; `fits`: tasks on one machine.
-void consider_markets(const ClusterState& cluster, const JobSpec& spec, Index t, Index z,
-                      int64_t fits, double now, BestOffer& best) {
-    const auto& type = cluster.types[t].type;
+// Replaces `best` if the spot or the on-demand machine of the type in the zone is cheaper.
+void consider_markets(const ClusterState& cluster, const JobSpec& spec, Index type_index,
+                      Index zone, int64_t tasks_per_machine, double now, BestOffer& best) {
+    const auto& type = cluster.types[type_index].type;
     for (const bool spot : {true, false}) {
-        if (!market_suits(spec, spot, z) || cluster.refused(t, z, spot, now)) continue;
-        const double cost = (spot ? type.spot_price : type.price) / static_cast<double>(fits);
-        const bool cheaper = !best.offer || cost < best.cost - kEqualCost;
-        if (cheaper) best = {cost, Offer{t, z, spot}};
+        if (!market_suits(spec, spot, zone) || cluster.refused(type_index, zone, spot, now))
+            continue;
+        const double price = spot ? type.spot_price : type.price;
+        const double cost = price / static_cast<double>(tasks_per_machine);
+        const bool cheaper = !best.offer || cost < best.cost - kCostTolerance;
+        if (cheaper) best = {cost, Offer{type_index, zone, spot}};
     }
 }
 
 }  // namespace
 
 std::optional<ExpectedCapacity> cheapest_offer(const ClusterState& cluster, const JobSpec& spec,
-                                               size_t tasks, Index only_zone, const ZoneRule& rule,
+                                               size_t tasks, Index only_zone,
+                                               const ZoneRule& zone_rule,
                                                const std::vector<bool>& silent_zones, double now) {
-    const auto zone_allowed = [&](Index z) {
-        if (z == kNone || (only_zone != kNone && z != only_zone)) return false;
-        const bool silent = z < silent_zones.size() && silent_zones[z];
-        return !silent && rule.allows(z);
+    const auto zone_allowed = [&](Index zone) {
+        if (zone == kNone || (only_zone != kNone && zone != only_zone)) return false;
+        const bool silent = zone < silent_zones.size() && silent_zones[zone];
+        return !silent && zone_rule.allows(zone);
     };
     BestOffer best;
-    for (Index t = 0; t < cluster.types.size(); ++t) {
-        if (!type_suits(cluster, spec, t)) continue;
-        const auto& type = cluster.types[t].type;
-        const auto fits =
+    for (Index type_index = 0; type_index < cluster.types.size(); ++type_index) {
+        if (!type_suits(cluster, spec, type_index)) continue;
+        const auto& type = cluster.types[type_index].type;
+        const auto tasks_per_machine =
             std::min<int64_t>(spec.demand.times_in(type.size), static_cast<int64_t>(tasks));
         for (const auto& zone_name : type.zones) {
-            const auto z = cluster.names.zones.find(zone_name);
-            if (zone_allowed(z)) consider_markets(cluster, spec, t, z, fits, now, best);
+            const auto zone = cluster.names.zones.find(zone_name);
+            if (zone_allowed(zone))
+                consider_markets(cluster, spec, type_index, zone, tasks_per_machine, now, best);
         }
     }
     if (!best.offer) return std::nullopt;
@@ -58,8 +63,8 @@
 
 double highest_price(const ClusterState& cluster) {
     double highest = 0;
-    for (const auto& t : cluster.types)
-        if (t.offered) highest = std::max(highest, t.type.price);
+    for (const auto& type_state : cluster.types)
+        if (type_state.offered) highest = std::max(highest, type_state.type.price);
     return highest;
 }
 
--- a/src/autoscaler/offers.h
+++ b/src/autoscaler/offers.h
@@ -1,4 +1,4 @@
-// What the cloud offers, and the cheapest of it for a job.
+// The machines that the cloud offers, and the cheapest offer for a job.
 #pragma once
 #include <compare>
 #include <optional>
@@ -10,25 +10,29 @@
 
 namespace weirmill {
 
-// What machines are requested by: type, zone and market.
+// A kind of machine that can be requested: its type, zone and market (spot or on-demand).
 struct Offer {
     Index type, zone;
     bool spot;
     auto operator<=>(const Offer&) const = default;
 };
 
-// Machines in one request to the cloud.
+// The most machines in one request to the cloud.
 inline constexpr int kMaxMachinesPerRequest = 50;
 
-// The new machine that costs least for each of at most `tasks` tasks of the job, a spot instance
-// where it may use one; nothing: no offer suits. `only_zone`: kNone for any.
+// Returns a new machine of the offer with the lowest price per task, given that at most `tasks`
+// tasks of the job run on it, or nullopt if no offer suits the job. Spot instances are considered
+// only if the job allows them. `only_zone` is kNone if any zone will do.
 std::optional<ExpectedCapacity> cheapest_offer(const ClusterState& cluster, const JobSpec& spec,
-                                               size_t tasks, Index only_zone, const ZoneRule& rule,
+                                               size_t tasks, Index only_zone,
+                                               const ZoneRule& zone_rule,
                                                const std::vector<bool>& silent_zones, double now);
 
-inline Offer offer_of(const ExpectedCapacity& c) { return {c.type, c.zone, c.spot}; }
+inline Offer offer_of(const ExpectedCapacity& capacity) {
+    return {capacity.type, capacity.zone, capacity.spot};
+}
 
-// The highest price among the types offered.
+// Returns the highest on-demand price among the offered machine types.
 double highest_price(const ClusterState& cluster);
 
 }  // namespace weirmill
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -1,4 +1,4 @@
-// Scale in: the machines that serve nothing any more.
+// Plans the termination of machines that are no longer needed.
 #include <algorithm>
 
 #include "autoscaler/autoscaler.h"
@@ -8,14 +8,14 @@
 
 namespace {
 
-// A machine is charged for this long even if it is terminated sooner.
+// The cloud charges for a machine at least for this time, even if it is terminated earlier.
 constexpr double kMinCharge_s = 60;
 
-// Gangs that wait, one of each team and shape.
+// Returns the waiting gangs, one per team and job shape.
 std::vector<const Job*> waiting_gangs(const ClusterState& cluster, double now) {
     std::vector<const Job*> gangs;
-    for (const auto j : waiting_jobs(cluster, now)) {
-        const auto& job = *cluster.jobs[j];
+    for (const auto index : waiting_jobs(cluster, now)) {
+        const auto& job = *cluster.jobs[index];
         const auto& spec = job.spec;
         if (spec.kind != JobKind::Gang) continue;
         const bool known = std::ranges::any_of(gangs, [&](const Job* other) {
@@ -26,27 +26,30 @@
     return gangs;
 }
 
-// Whether it can be terminated whatever work there is.
-bool is_unusable(const Machine& m, double now) {
-    if (m.abandoned || m.status == MachineStatus::Failed) return true;
-    return m.up && m.tasks.empty() && (m.draining || m.quarantined_until > now);
+// Returns whether the machine can be terminated regardless of waiting jobs.
+bool is_unusable(const Machine& machine, double now) {
+    if (machine.abandoned || machine.status == MachineStatus::Failed) return true;
+    return machine.up && machine.tasks.empty() &&
+           (machine.draining || machine.quarantined_until > now);
 }
 
-// Up and without work for as long as it is kept for work to come.
-bool is_idle(const ClusterState& cluster, const Machine& m, const AutoscalerSettings& settings,
-             double now) {
-    if (!m.up || !m.tasks.empty() || m.reserved(now)) return false;
-    if (m.type >= cluster.types.size() || !cluster.types[m.type].offered) return false;
-    const double keep_s = settings.idle_keep_boots * cluster.types[m.type].type.boot_s;
-    return now - m.requested_at >= kMinCharge_s && now - std::max(m.empty_since, m.up_at) >= keep_s;
+// Returns whether the machine is up and has had no tasks for longer than its keep time.
+bool is_idle(const ClusterState& cluster, const Machine& machine,
+             const AutoscalerSettings& settings, double now) {
+    if (!machine.up || !machine.tasks.empty() || machine.reserved(now)) return false;
+    if (machine.type >= cluster.types.size() || !cluster.types[machine.type].offered) return false;
+    const double keep_s = settings.idle_keep_boots * cluster.types[machine.type].type.boot_s;
+    return now - machine.requested_at >= kMinCharge_s &&
+           now - std::max(machine.empty_since, machine.up_at) >= keep_s;
 }
 
-// Takes the machine for the first headroom that it suits; false: none needs it.
-bool keep_for_headroom(const ClusterState& cluster, const Machine& m,
+// Assigns the machine to the first headroom that it suits and deducts its tasks there. Returns
+// false if no headroom needs the machine.
+bool keep_for_headroom(const ClusterState& cluster, const Machine& machine,
                        std::vector<Headroom>& headroom) {
-    for (auto& h : headroom) {
-        if (h.tasks <= 0 || !machine_suits(cluster, *h.like, m)) continue;
-        h.tasks -= h.like->demand.times_in(m.room());
+    for (auto& entry : headroom) {
+        if (entry.tasks <= 0 || !machine_suits(cluster, *entry.like, machine)) continue;
+        entry.tasks -= entry.like->demand.times_in(machine.room());
         return true;
     }
     return false;
@@ -56,26 +59,26 @@
 
 std::vector<Index> plan_scale_in(const ClusterState& cluster, const AutoscalerSettings& settings,
                                  double now) {
-    std::vector<Index> out;
+    std::vector<Index> to_terminate;
     const auto gangs = waiting_gangs(cluster, now);
     auto headroom = planned_headroom(cluster, settings, now);
     for (Index i = 0; i < cluster.machines.size(); ++i) {
-        const auto* m = cluster.machines[i].get();
-        if (!m || m->terminating) continue;
-        if (is_unusable(*m, now)) {
-            out.push_back(i);
+        const auto* machine = cluster.machines[i].get();
+        if (!machine || machine->terminating) continue;
+        if (is_unusable(*machine, now)) {
+            to_terminate.push_back(i);
             continue;
         }
-        if (!is_idle(cluster, *m, settings, now)) continue;
-        // Only a gang has to wait for several machines at once: a single task that could be placed
-        // here would have been. Hundreds of idle machines were once kept for jobs held back by
-        // their team's limit.
-        if (std::ranges::any_of(gangs,
-                                [&](const Job* job) { return could_use(cluster, *job, *m); }))
+        if (!is_idle(cluster, *machine, settings, now)) continue;
+        // Only gangs have to wait for several machines at once. A single task that could run here
+        // would have been placed, so other waiting jobs do not keep the machine: jobs held back by
+        // their team's limit would keep hundreds of idle machines.
+        if (std::ranges::any_of(
+                gangs, [&](const Job* gang) { return may_start_on(cluster, *gang, *machine); }))
             continue;
-        if (!keep_for_headroom(cluster, *m, headroom)) out.push_back(i);
+        if (!keep_for_headroom(cluster, *machine, headroom)) to_terminate.push_back(i);
     }
-    return out;
+    return to_terminate;
 }
 
 }  // namespace weirmill
--- a/src/autoscaler/scale_out.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -1,4 +1,4 @@
-// Scale out: the new machines that waiting work and planned headroom need.
+// Plans the new machines that waiting jobs and planned headroom need.
 #include <algorithm>
 #include <map>
 #include <optional>
@@ -13,20 +13,20 @@
 
 namespace {
 
-// Of one job, planned one by one in a pass.
+// The most tasks of one job that a pass plans, as each task is planned separately.
 constexpr size_t kMaxTasksPerJob = 400;
 
 double slowest_fetch_s(const ClusterState& cluster, const JobSpec& spec) {
     double slowest_s = 0;
-    for (Index t = 0; t < cluster.types.size(); ++t) {
-        if (!cluster.type_fits(spec, t)) continue;
-        slowest_s = std::max(slowest_s, cluster.fetch_s(spec, t));
+    for (Index type = 0; type < cluster.types.size(); ++type) {
+        if (!cluster.type_fits(spec, type)) continue;
+        slowest_s = std::max(slowest_s, cluster.fetch_s(spec, type));
     }
     return slowest_s;
 }
 
-// How long the job could wait for room and still start and end as asked; without a time for either,
-// as long as it runs.
+// Returns how many seconds the job can wait for resources and still meet its start and end times.
+// For a job without such times, returns its expected run time.
 double slack_s(const ClusterState& cluster, const Job& job, double now) {
     const auto& spec = job.spec;
     const double fetch_s = slowest_fetch_s(cluster, spec);
@@ -43,6 +43,7 @@
     return slack > kHorizon_s ? run_s : std::max(0.0, slack);
 }
 
+// Collects the machines to request in one pass over the waiting jobs and the headroom.
 class ScaleOutPlanner {
   public:
     ScaleOutPlanner(const ClusterState& cluster, const Usable& usable, size_t max_shapes,
@@ -57,17 +58,18 @@
     [[nodiscard]] std::vector<ScaleOutRequest> requests() const;
 
   private:
-    // Of the pending tasks, those that the team's limit leaves room for.
+    // Returns how many of the job's pending tasks the team's limit allows.
     [[nodiscard]] size_t tasks_within_limit(const Job& job) const;
-    [[nodiscard]] std::vector<Index> zones_by_room(const ShapeIndex& index,
-                                                   const ZoneRule& rule) const;
+    [[nodiscard]] std::vector<Index> zones_by_capacity(const ShapeIndex& index,
+                                                       const ZoneRule& zone_rule) const;
     [[nodiscard]] std::optional<JobPlan> best_plan(const Job& job, size_t tasks);
-    [[nodiscard]] int64_t tasks_in_present_room(const JobSpec& spec) const;
+    // Returns how many tasks fit into the resources that are available after the planned jobs.
+    [[nodiscard]] int64_t tasks_in_available_resources(const JobSpec& spec) const;
 
     PlanningContext context_;
     const ClusterState& cluster_;
     CapacityForecast forecast_;
-    std::vector<Resources> planned_;  // by team index: for jobs that were added
+    std::vector<Resources> planned_;  // by team index: demand of the jobs added so far
     std::map<Offer, int> requests_;
 };
 
@@ -82,12 +84,12 @@
     return tasks;
 }
 
-// The zones that the rule allows, the one with the most room first.
-std::vector<Index> ScaleOutPlanner::zones_by_room(const ShapeIndex& index,
-                                                  const ZoneRule& rule) const {
+// Returns the zones that the rule allows, the one with the most available capacity first.
+std::vector<Index> ScaleOutPlanner::zones_by_capacity(const ShapeIndex& index,
+                                                      const ZoneRule& zone_rule) const {
     std::vector<Index> zones;
-    for (Index z = 0; z < cluster_.names.zones.size(); ++z)
-        if (rule.allows(z)) zones.push_back(z);
+    for (Index zone = 0; zone < cluster_.names.zones.size(); ++zone)
+        if (zone_rule.allows(zone)) zones.push_back(zone);
     std::ranges::stable_sort(
         zones, [&](Index a, Index b) { return index.tasks_in_zone(a) > index.tasks_in_zone(b); });
     return zones;
@@ -99,12 +101,13 @@
     const auto& index = forecast_.index_for(job.spec);
     const double slack = slack_s(cluster_, job, context_.now);
     const auto zones =
-        one_zone ? zones_by_room(index, ZoneRule(cluster_, job)) : std::vector<Index>{kNone};
+        one_zone ? zones_by_capacity(index, ZoneRule(cluster_, job)) : std::vector<Index>{kNone};
     std::optional<JobPlan> best;
     for (const Index zone : zones) {
         auto plan =
             JobPlanner(context_, forecast_.machines(), index, {job, tasks, zone, slack}).plan();
-        if (!plan.complete && (one_zone || gang)) continue;  // all or nothing: the next zone
+        // Gangs and jobs bound to one zone are planned as a whole or not at all.
+        if (!plan.complete && (one_zone || gang)) continue;
         if (!best || plan.rank() < best->rank()) best = std::move(plan);
     }
     return best;
@@ -120,10 +123,11 @@
     forecast_.apply(std::move(plan->machines));
 }
 
-int64_t ScaleOutPlanner::tasks_in_present_room(const JobSpec& spec) const {
+int64_t ScaleOutPlanner::tasks_in_available_resources(const JobSpec& spec) const {
     int64_t tasks = 0;
-    for (const auto& c : forecast_.machines())
-        if (capacity_suits(cluster_, spec, c)) tasks += spec.demand.times_in(c.room);
+    for (const auto& capacity : forecast_.machines())
+        if (capacity_suits(cluster_, spec, capacity))
+            tasks += spec.demand.times_in(capacity.available);
     return tasks;
 }
 
@@ -132,24 +136,24 @@
     Job unplaced;
     unplaced.spec = spec;
     const ZoneRule any_zone(cluster_, unplaced);
-    auto room = tasks_in_present_room(spec);
-    while (room < headroom.tasks) {
-        const auto missing = static_cast<size_t>(headroom.tasks - room);
+    auto covered_tasks = tasks_in_available_resources(spec);
+    while (covered_tasks < headroom.tasks) {
+        const auto missing = static_cast<size_t>(headroom.tasks - covered_tasks);
         const auto offer = cheapest_offer(cluster_, spec, missing, kNone, any_zone,
                                           context_.silent_zones, context_.now);
         if (!offer) return;
         ++requests_[offer_of(*offer)];
-        room += std::max<int64_t>(1, spec.demand.times_in(offer->room));
+        covered_tasks += std::max<int64_t>(1, spec.demand.times_in(offer->available));
     }
 }
 
 std::vector<ScaleOutRequest> ScaleOutPlanner::requests() const {
-    std::vector<ScaleOutRequest> out;
-    out.reserve(requests_.size());
+    std::vector<ScaleOutRequest> requests;
+    requests.reserve(requests_.size());
     for (const auto& [offer, count] : requests_)
-        out.push_back(
+        requests.push_back(
             {offer.type, offer.zone, offer.spot, std::min(count, kMaxMachinesPerRequest)});
-    return out;
+    return requests;
 }
 
 }  // namespace
@@ -157,7 +161,7 @@
 std::vector<ScaleOutRequest> plan_scale_out(const ClusterState& cluster, const Usable& usable,
                                             const AutoscalerSettings& settings, double now) {
     ScaleOutPlanner planner(cluster, usable, settings.max_cached_shapes, now);
-    for (const auto j : waiting_jobs(cluster, now)) planner.add_job(*cluster.jobs[j]);
+    for (const auto index : waiting_jobs(cluster, now)) planner.add_job(*cluster.jobs[index]);
     for (const auto& headroom : planned_headroom(cluster, settings, now))
         planner.add_headroom(headroom);
     return planner.requests();
--- a/src/autoscaler/shape_index.cpp
+++ b/src/autoscaler/shape_index.cpp
@@ -8,65 +8,67 @@
 
 namespace {
 
-bool booting_with_room(const ExpectedCapacity& c, const Opening& o) {
-    return c.booting && o.start.ends == 0;
+bool is_booting_slot(const ExpectedCapacity& capacity, const StartSlot& slot) {
+    return capacity.booting && slot.start.tasks_ended == 0;
 }
 
 }  // namespace
 
 ShapeIndex::ShapeIndex(const ClusterState& cluster, const JobSpec& shape) : shape_(shape) {
-    for (Index t = 0; t < cluster.types.size(); ++t)
-        suitable_types_.push_back(type_suits(cluster, shape, t));
+    for (Index type = 0; type < cluster.types.size(); ++type)
+        suitable_types_.push_back(type_suits(cluster, shape, type));
 }
 
-bool ShapeIndex::suits(const ExpectedCapacity& c) const {
-    return suitable_types_[c.type] && market_suits(shape_, c.spot, c.zone);
+bool ShapeIndex::suits(const ExpectedCapacity& capacity) const {
+    return suitable_types_[capacity.type] && market_suits(shape_, capacity.spot, capacity.zone);
 }
 
-void ShapeIndex::count_tasks(size_t machine, const ExpectedCapacity& c) {
-    if (c.zone >= zone_tasks_.size()) zone_tasks_.resize(c.zone + 1, 0);
+void ShapeIndex::count_tasks(size_t machine, const ExpectedCapacity& capacity) {
+    if (capacity.zone >= zone_tasks_.size()) zone_tasks_.resize(capacity.zone + 1, 0);
     auto& tasks = machine_tasks_[machine];
-    zone_tasks_[c.zone] -= tasks;
-    tasks = suits(c) ? shape_.demand.times_in(c.room) : 0;
-    zone_tasks_[c.zone] += tasks;
+    zone_tasks_[capacity.zone] -= tasks;
+    tasks = suits(capacity) ? shape_.demand.times_in(capacity.available) : 0;
+    zone_tasks_[capacity.zone] += tasks;
 }
 
-std::optional<Opening> ShapeIndex::opening(size_t machine, const ExpectedCapacity& c) {
+// Advances the machine's version, which makes its earlier slots stale, and updates its task count.
+std::optional<StartSlot> ShapeIndex::compute_slot(size_t machine,
+                                                  const ExpectedCapacity& capacity) {
     ++versions_[machine];
-    count_tasks(machine, c);
-    if (!suits(c)) return std::nullopt;
-    const Opening o{c.earliest_start(shape_.demand), machine, versions_[machine]};
-    if (o.start.in_s > kHorizon_s) return std::nullopt;
-    return o;
+    count_tasks(machine, capacity);
+    if (!suits(capacity)) return std::nullopt;
+    const StartSlot slot{capacity.earliest_start(shape_.demand), machine, versions_[machine]};
+    if (slot.start.in_s > kHorizon_s) return std::nullopt;
+    return slot;
 }
 
-void ShapeIndex::rebuild(const std::vector<ExpectedCapacity>& machines, size_t zones) {
+void ShapeIndex::rebuild(const std::vector<ExpectedCapacity>& machines, size_t zone_count) {
     versions_.assign(machines.size(), 0);
     machine_tasks_.assign(machines.size(), 0);
-    zone_tasks_.assign(zones, 0);
-    std::vector<Opening> all, booting;
+    zone_tasks_.assign(zone_count, 0);
+    std::vector<StartSlot> slots, booting_slots;
     for (size_t i = 0; i < machines.size(); ++i) {
-        const auto o = opening(i, machines[i]);
-        if (!o) continue;
-        all.push_back(*o);
-        if (booting_with_room(machines[i], *o)) booting.push_back(*o);
+        const auto slot = compute_slot(i, machines[i]);
+        if (!slot) continue;
+        slots.push_back(*slot);
+        if (is_booting_slot(machines[i], *slot)) booting_slots.push_back(*slot);
     }
-    openings_.assign(std::move(all));
-    booting_.assign(std::move(booting));
+    slots_.assign(std::move(slots));
+    booting_slots_.assign(std::move(booting_slots));
 }
 
-void ShapeIndex::update(size_t machine, const ExpectedCapacity& c) {
+void ShapeIndex::update(size_t machine, const ExpectedCapacity& capacity) {
     if (machine >= versions_.size()) {
         versions_.resize(machine + 1, 0);
         machine_tasks_.resize(machine + 1, 0);
     }
-    if (const auto o = opening(machine, c)) {
-        openings_.insert(*o);
-        if (booting_with_room(c, *o)) booting_.insert(*o);
+    if (const auto slot = compute_slot(machine, capacity)) {
+        slots_.insert(*slot);
+        if (is_booting_slot(capacity, *slot)) booting_slots_.insert(*slot);
     }
-    const auto is_stale = [this](const Opening& o) { return stale(o); };
-    openings_.compact(is_stale);
-    booting_.compact(is_stale);
+    const auto stale = [this](const StartSlot& slot) { return is_stale(slot); };
+    slots_.compact(stale);
+    booting_slots_.compact(stale);
 }
 
 }  // namespace weirmill
--- a/src/controller/planning_inputs.cpp
+++ b/src/controller/planning_inputs.cpp
@@ -24,7 +24,7 @@
     s.heartbeat_interval_s = context.settings.heartbeat_interval_s;
     // A preemption round may just be over; then tasks save, and their workers say that they are
     // gone.
-    s.clear_s = context.properties.preemption_round_s + kStopDuration_s;
+    s.preemption_duration_s = context.properties.preemption_round_s + kStopDuration_s;
     return s;
 }
 
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -1,4 +1,5 @@
-// Placement, preemption and sizing: pure functions of tables and a given time.
+// Tests of placement, preemption and the autoscaler: pure functions of the cluster state and a
+// given time.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -16,28 +17,29 @@
 using test::any_machine;
 using test::World;
 
-// Figure 5 of the Aryl paper: a on servers 1 and 2, b on 3, c on 4 and 5, d on 5 and 6.
-struct Figure5 {
-    std::vector<ClearCandidate> servers{{0, {0}, 0}, {1, {0}, 0},    {2, {1}, 0},
-                                        {3, {2}, 0}, {4, {2, 3}, 0}, {5, {3}, 0}};
+// The example in figure 5 of the Aryl paper, with its servers 1 to 6 as machines 0 to 5: job a runs
+// on servers 1 and 2, job b on 3, job c on 4 and 5, and job d on 5 and 6.
+struct ArylFigure5 {
+    std::vector<ClearCandidate> machines{{0, {0}, 0}, {1, {0}, 0},    {2, {1}, 0},
+                                         {3, {2}, 0}, {4, {2, 3}, 0}, {5, {3}, 0}};
     std::vector<uint32_t> spans{2, 1, 2, 2};
 };
 
-TEST(Preemption, CostsOfThePapersTable1) {
-    Figure5 f;
+TEST(Preemption, CostMatchesArylTable1) {
+    ArylFigure5 example;
     const double expected[] = {0.5, 0.5, 1, 0.5, 1, 0.5};
-    for (size_t i = 0; i < f.servers.size(); ++i)
-        EXPECT_DOUBLE_EQ(preemption_cost(f.servers[i], f.spans), expected[i]) << i;
+    for (size_t i = 0; i < example.machines.size(); ++i)
+        EXPECT_DOUBLE_EQ(preemption_cost(example.machines[i], example.spans), expected[i]) << i;
 }
 
-TEST(Preemption, PicksAsInThePapersFigure5) {
-    Figure5 f;
+TEST(Preemption, PickOrderMatchesArylFigure5) {
+    ArylFigure5 example;
     struct Row {
-        size_t n;
+        size_t count;
         std::vector<size_t> picked;
     };
-    // Server 2 costs nothing once job a is stopped; then c goes from 4, which leaves 5 with half a
-    // job.
+    // Once job a has been stopped for machine 0, machine 1 costs nothing. The stop of job c for
+    // machine 3 then halves the cost of machine 4.
     const Row rows[] = {{0, {}},
                         {1, {0}},
                         {2, {0, 1}},
@@ -45,22 +47,24 @@
                         {4, {0, 1, 3, 4}},
                         {5, {0, 1, 3, 4, 5}},
                         {9, {0, 1, 3, 4, 5, 2}}};
-    for (auto& row : rows) EXPECT_EQ(pick_cheapest(f.servers, f.spans, row.n), row.picked) << row.n;
+    for (auto& row : rows)
+        EXPECT_EQ(pick_cheapest(example.machines, example.spans, row.count), row.picked)
+            << row.count;
 }
 
-TEST(Preemption, ClearsTheCheapestMachineAndStopsOnlyThere) {
+TEST(Preemption, StopsTasksOnlyOnTheCheapestMachine) {
     World w;
     auto m0 = w.machine("m0"), m1 = w.machine("m1");
-    auto many = w.running(w.spec("req-1", JobKind::Array, 3, 2, 0, Priority::Low), {m0, m0, m1});
-    auto big = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
+    auto array = w.running(w.spec("req-1", JobKind::Array, 3, 2, 0, Priority::Low), {m0, m0, m1});
+    auto large = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
     auto round = plan_preemption(w.cluster, any_machine, w.now);
     ASSERT_EQ(round.clearings.size(), 1u);
-    EXPECT_EQ(round.clearings[0].job, big);
+    EXPECT_EQ(round.clearings[0].job, large);
     EXPECT_EQ(round.clearings[0].machines, std::vector<Index>{m1});
-    EXPECT_EQ(round.stops, (std::vector<TaskRef>{{many, 2}}));
+    EXPECT_EQ(round.stops, (std::vector<TaskRef>{{array, 2}}));
 }
 
-TEST(Preemption, StopsGangsEverywhereAndCountsTheirOtherMachinesAsFree) {
+TEST(Preemption, StopsWholeGangsAndUsesAllTheirMachines) {
     World w;
     auto m0 = w.machine("m0"), m1 = w.machine("m1"), m2 = w.machine("m2");
     w.running(w.spec("req-1", JobKind::Array, 1, 4, 0, Priority::Low), {m0});
@@ -72,9 +76,9 @@
     EXPECT_EQ(round.stops, (std::vector<TaskRef>{{gang, 0}, {gang, 1}}));
 }
 
-TEST(Preemption, LeavesAloneWhatMayNotBeStopped) {
+TEST(Preemption, RespectsPriorityGuaranteeAndTaskSize) {
     struct Row {
-        const char* why;
+        const char* description;
         Priority victim, waiting;
         const char *victim_team, *waiting_team;
         double waiting_cpus;
@@ -84,20 +88,20 @@
         {"equal priority", Priority::High, Priority::High, "blue", "blue", 7, 0},
         {"higher priority", Priority::High, Priority::Low, "blue", "blue", 7, 0},
         {"lower priority", Priority::Low, Priority::Normal, "blue", "blue", 7, 1},
-        {"beyond its guarantee, for a team that is owed", Priority::High, Priority::Low, "blue",
-         "red", 7, 1},
-        {"within its own guarantee", Priority::High, Priority::Low, "red", "red", 7, 0},
-        {"a small task needs no machine to itself", Priority::Low, Priority::High, "blue", "blue",
-         2, 0},
+        {"victim above its guarantee, waiting team below its own", Priority::High, Priority::Low,
+         "blue", "red", 7, 1},
+        {"victim within its own guarantee", Priority::High, Priority::Low, "red", "red", 7, 0},
+        {"a small task needs no whole machine", Priority::Low, Priority::High, "blue", "blue", 2,
+         0},
     };
     for (auto& row : rows) {
         World w;
-        auto m = w.machine("m0");
-        w.running(w.spec("req-1", JobKind::Array, 1, 8, 0, row.victim, row.victim_team), {m});
+        auto machine = w.machine("m0");
+        w.running(w.spec("req-1", JobKind::Array, 1, 8, 0, row.victim, row.victim_team), {machine});
         w.job(
             w.spec("req-2", JobKind::Array, 1, row.waiting_cpus, 0, row.waiting, row.waiting_team));
         EXPECT_EQ(plan_preemption(w.cluster, any_machine, w.now).clearings.size(), row.clearings)
-            << row.why;
+            << row.description;
     }
 }
 
@@ -105,15 +109,15 @@
     World w;
     auto m0 = w.machine("m0"), m1 = w.machine("m1");
     w.running(w.spec("req-1", JobKind::Array, 2, 4, 0, Priority::Low), {m0, m1});
-    auto big = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
-    w.cluster.machines[m0]->reserved_for = big;
+    auto large = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
+    w.cluster.machines[m0]->reserved_for = large;
     w.cluster.machines[m0]->reserved_until = w.now + 10;
     EXPECT_TRUE(plan_preemption(w.cluster, any_machine, w.now).clearings.empty());
 }
 
-TEST(Preemption, JobsOfARoundDoNotCountOnTheSameFreeRoom) {
-    // Eight gangs of 32 once counted on the same 13 free machines each: all had 19 cleared, and
-    // none began.
+TEST(Preemption, JobsOfARoundDoNotShareFreeMachines) {
+    // If each of eight gangs of 32 tasks counted on the same 13 free machines, 19 machines would be
+    // cleared for each of them and none could start.
     World w;
     auto free = w.machine("free");
     std::vector<Index> busy;
@@ -135,7 +139,7 @@
     EXPECT_TRUE(round.clearings[1].kept.empty());
 }
 
-TEST(Placement, WhatWasKeptForAJobIsFreeOnceItHasItsPlaces) {
+TEST(Placement, ReleasesReservationsOfPlacedJobs) {
     World w;
     auto m0 = w.machine("m0"), m1 = w.machine("m1");
     auto gang = w.job(w.spec("req-1", JobKind::Gang, 1, 7, 0, Priority::High));
@@ -149,21 +153,21 @@
               (std::vector<Placement>{{next, 0, m1, 1}}));
 }
 
-TEST(Placement, AGangGoesWhereItsImageIsAndNotOnSpotMachines) {
-    // It waits for its last machine to fetch the image, and loses the work of all with any one of
-    // them.
+TEST(Placement, GangPrefersCachedImagesAndOnDemandMachines) {
+    // A gang waits until the last of its machines has fetched the image, and all its tasks restart
+    // if one machine is lost.
     struct Row {
-        const char* why;
+        const char* description;
         uint32_t tasks;
         std::vector<std::string> image_on;
         std::vector<std::string> expected;
     };
     const Row rows[] = {
-        {"nowhere: the first zone", 2, {}, {"a0", "a1"}},
-        {"the zone where more of its tasks find it", 2, {"a0", "b0", "b1"}, {"b0", "b1"}},
-        {"within the zone, machines that have it", 2, {"a1", "a2"}, {"a1", "a2"}},
-        {"one task alone: spot first, as for any", 1, {}, {"as"}},
-        {"more than its tasks counts no more", 1, {"a2", "b0", "b1"}, {"a2"}},
+        {"image on no machine: the first zone", 2, {}, {"a0", "a1"}},
+        {"the zone where more of its tasks find the image", 2, {"a0", "b0", "b1"}, {"b0", "b1"}},
+        {"within the zone, machines with the image", 2, {"a1", "a2"}, {"a1", "a2"}},
+        {"single task: spot first, as for other jobs", 1, {}, {"as"}},
+        {"capacity beyond its tasks does not count", 1, {"a2", "b0", "b1"}, {"a2"}},
     };
     for (auto& row : rows) {
         World w;
@@ -176,16 +180,16 @@
         for (auto& name : row.image_on)
             w.cluster.machines[w.cluster.find_machine(name)]->images = {spec.image};
         w.job(spec);
-        std::vector<std::string> on;
-        for (auto& p : place_waiting(w.cluster, any_machine, w.now))
-            on.push_back(w.cluster.machines[p.machine]->name);
-        EXPECT_EQ(on, row.expected) << row.why;
+        std::vector<std::string> used_machines;
+        for (auto& placement : place_waiting(w.cluster, any_machine, w.now))
+            used_machines.push_back(w.cluster.machines[placement.machine]->name);
+        EXPECT_EQ(used_machines, row.expected) << row.description;
     }
 }
 
-TEST(ClusterState, ImagesOfAMachineAreThoseThatItsCacheHolds) {
+TEST(ClusterState, EvictsLeastRecentlyUsedImages) {
     World w;
-    auto m = w.machine("m0");  // of 50 GB
+    auto machine_index = w.machine("m0");  // its image cache holds 50 GB
     std::vector<JobSpec> specs;
     for (int i = 0; i < 4; ++i) {
         specs.push_back(w.spec("req-" + std::to_string(i), JobKind::Array, 1, 1));
@@ -193,91 +197,96 @@
         specs.back().image_gb = 20;
         w.job(specs.back());
     }
-    auto& machine = *w.cluster.machines[m];
+    auto& machine = *w.cluster.machines[machine_index];
     for (int i : {0, 1, 0, 2}) w.cluster.saw_image(machine, specs[i]);
     EXPECT_EQ(machine.images, (std::vector<Index>{specs[0].image, specs[2].image}));
 }
 
-TEST(GangLaunch, TasksThatWouldWaitTooLongForAFetchAreLaunchedAfterIt) {
-    // An image that takes longer to fetch than tasks wait for each other: those that had it gave
-    // up, the fetch was given up with them, and the gang began anew for ever.
+TEST(GangLaunch, LaunchesTasksThatFetchTheImageFirst) {
+    // If an image takes longer to fetch than tasks wait for each other, the tasks on machines with
+    // the image give up before the fetch ends, which aborts it, and the gang restarts forever.
     struct Row {
-        const char* why;
-        double gb;                   // at 1 GB/s, by protocol up to half as long again
-        bool launched;               // the task that fetches
-        double ago;                  // when
-        std::vector<bool> has;       // of three tasks
-        std::vector<bool> launches;  // whether each may be launched
+        const char* description;
+        double image_gb;  // fetched at 1 GB/s; the protocol allows 1.5 times the nominal fetch time
+        bool fetch_launched;  // whether task 1, which fetches the image, has been launched
+        double launched_s_ago;
+        std::vector<bool> has_image;   // by task
+        std::vector<bool> may_launch;  // by task, as expected
     };
-    // Patience: 30 s, less a late report of 2.5 s and one to spare.
+    // Tasks wait 30 s for each other, less 2.5 s for a late heartbeat and 1 s as a margin.
     const Row rows[] = {
         {"a short fetch", 15, false, 0, {true, false, true}, {true, true, true}},
-        {"a long one: who fetches goes first",
+        {"a long fetch: the fetching task goes first",
          30,
          false,
          0,
          {true, false, true},
          {false, true, false}},
         {"just launched", 30, true, 0, {true, false, true}, {false, true, false}},
-        {"it may take 45 s, 15 have gone", 30, true, 15, {true, false, true}, {false, true, false}},
-        {"19 have gone", 30, true, 19, {true, false, true}, {true, true, true}},
-        {"all have it", 30, false, 0, {true, true, true}, {true, true, true}},
-        {"nobody has it", 30, false, 0, {false, false, false}, {true, true, true}},
+        {"the fetch may take 45 s, 15 s have passed",
+         30,
+         true,
+         15,
+         {true, false, true},
+         {false, true, false}},
+        {"19 s have passed", 30, true, 19, {true, false, true}, {true, true, true}},
+        {"all machines have the image", 30, false, 0, {true, true, true}, {true, true, true}},
+        {"no machine has the image", 30, false, 0, {false, false, false}, {true, true, true}},
     };
     for (auto& row : rows) {
         World w;
-        std::vector<Index> on{w.machine("m0"), w.machine("m1"), w.machine("m2")};
+        std::vector<Index> machines{w.machine("m0"), w.machine("m1"), w.machine("m2")};
         auto spec = w.spec("req-1", JobKind::Gang, 3, 7);
-        spec.image_gb = row.gb;
-        auto j = w.running(spec, on);
-        auto& job = *w.cluster.jobs[j];
+        spec.image_gb = row.image_gb;
+        auto job_index = w.running(spec, machines);
+        auto& job = *w.cluster.jobs[job_index];
         for (uint32_t t = 0; t < 3; ++t)
-            if (row.has[t]) w.cluster.machines[on[t]]->images = {spec.image};
-        if (row.launched) {
+            if (row.has_image[t]) w.cluster.machines[machines[t]]->images = {spec.image};
+        if (row.fetch_launched) {
             job.tasks[1].start_seq = 7;
-            job.tasks[1].placed_at = static_cast<float>(w.now - row.ago);
+            job.tasks[1].placed_at = static_cast<float>(w.now - row.launched_s_ago);
         }
         for (uint32_t t = 0; t < 3; ++t)
-            EXPECT_EQ(may_launch(w.cluster, job, t, 30, 2, w.now), row.launches[t])
-                << row.why << ", task " << t;
+            EXPECT_EQ(may_launch(w.cluster, job, t, 30, 2, w.now), row.may_launch[t])
+                << row.description << ", task " << t;
     }
 }
 
-TEST(Placement, LowerWorkLeavesMachinesEmptyForGangsThatComeOften) {
-    // Each machine that a gang left was filled by small tasks and cleared for the next gang seconds
-    // later.
+TEST(Placement, LowPriorityTasksLeaveHeadroomEmpty) {
+    // Without headroom, small tasks fill each machine that a gang releases, and are preempted for
+    // the next gang seconds later.
     World w;
-    auto partly = w.machine("m0");
+    auto partly_used = w.machine("m0");
     for (auto* name : {"m1", "m2", "m3"}) w.machine(name);
-    w.running(w.spec("req-9", JobKind::Array, 1, 4), {partly});
+    w.running(w.spec("req-9", JobKind::Array, 1, 4), {partly_used});
     auto gang = w.spec("req-8", JobKind::Gang, 1, 7, 0, Priority::High);
     std::vector<Headroom> headroom{{&gang, 2, 2}};
     w.job(w.spec("req-1", JobKind::Array, 20, 4, 0, Priority::Low));
     auto placed = place_waiting(w.cluster, any_machine, w.now, 100, headroom);
-    EXPECT_EQ(placed.size(),
-              3u);  // one beside the other, two on the one empty machine that is not kept
-    auto first = w.job(w.spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
+    // One task fits on the machine in use and two on the one empty machine that is not headroom.
+    EXPECT_EQ(placed.size(), 3u);
+    auto high = w.job(w.spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
     place_waiting(w.cluster, any_machine, w.now, 100, headroom);
-    EXPECT_EQ(w.cluster.jobs[first]->placed, 2u);
+    EXPECT_EQ(w.cluster.jobs[high]->placed, 2u);
 }
 
-TEST(Autoscaler, MachinesStayEmptyForGangsThatComeBeforeOthersAreCleared) {
+TEST(Autoscaler, HeadroomIncludesEmptyMachinesForGangs) {
     struct Row {
-        const char* why;
+        const char* description;
         JobKind kind;
-        double cpus, start_within_s, clear_s;
+        double cpus, start_within_s, preemption_duration_s;
         int machines;
-        std::vector<std::pair<int64_t, int64_t>> kept;  // tasks, of those at once
+        std::vector<std::pair<int64_t, int64_t>> headroom;  // tasks, and those on empty machines
     };
-    // Six jobs of two tasks in two minutes: 0.1 tasks a second. A boot takes 33 s and two
-    // reports 4.
+    // Six jobs of two tasks in two minutes are 0.1 tasks per second. A boot takes 33 s, and two
+    // heartbeat intervals 4 s.
     const Row rows[] = {
         {"gangs", JobKind::Gang, 7, 25, 10, 30, {{6, 2}}},
-        {"clearing takes too long", JobKind::Gang, 7, 25, 60, 30, {{6, 0}}},
-        {"small tasks need no machine cleared", JobKind::Array, 1, 25, 10, 30, {{6, 0}}},
-        {"they may wait for a boot", JobKind::Gang, 7, 60, 10, 30, {}},
-        {"a tenth of the machines at the most", JobKind::Gang, 7, 25, 10, 14, {{6, 1}}},
-        {"a fleet of three lets lower work run", JobKind::Gang, 7, 25, 10, 3, {{6, 0}}},
+        {"preemption takes too long", JobKind::Gang, 7, 25, 60, 30, {{6, 0}}},
+        {"small tasks need no preemption", JobKind::Array, 1, 25, 10, 30, {{6, 0}}},
+        {"start objective longer than a boot", JobKind::Gang, 7, 60, 10, 30, {}},
+        {"at most a tenth of the machines", JobKind::Gang, 7, 25, 10, 14, {{6, 1}}},
+        {"a fleet of three keeps none empty", JobKind::Gang, 7, 25, 10, 3, {{6, 0}}},
     };
     for (auto& row : rows) {
         World w;
@@ -288,29 +297,29 @@
             w.job(w.spec("req-" + std::to_string(i), row.kind, 2, row.cpus, 0, Priority::High));
         AutoscalerSettings settings;
         settings.heartbeat_interval_s = 2;
-        settings.clear_s = row.clear_s;
-        std::vector<std::pair<int64_t, int64_t>> got;
-        for (auto& s : planned_headroom(w.cluster, settings, w.now))
-            got.emplace_back(s.tasks, s.at_once);
-        EXPECT_EQ(got, row.kept) << row.why;
+        settings.preemption_duration_s = row.preemption_duration_s;
+        std::vector<std::pair<int64_t, int64_t>> actual;
+        for (auto& entry : planned_headroom(w.cluster, settings, w.now))
+            actual.emplace_back(entry.tasks, entry.at_once);
+        EXPECT_EQ(actual, row.headroom) << row.description;
     }
 }
 
-TEST(ClusterState, AGuaranteeWithoutAFigureForCpusCoversThoseBesideGpus) {
+TEST(ClusterState, GpuGuaranteeCoversCpusOfGpuJobs) {
     struct Row {
-        const char* why;
+        const char* description;
         TeamSettings team;
-        double cpus, gpus;  // each of two tasks
-        bool guaranteed, owed, over;
+        double cpus, gpus;  // of each of two tasks
+        bool guaranteed, within, above;
     };
     const Row rows[] = {
-        {"both figures, within", {"t", 16, 0, 4, 0}, 4, 1, true, true, false},
-        {"both, CPUs beyond", {"t", 6, 0, 4, 0}, 4, 1, false, false, true},
-        {"GPUs alone", {"t", 0, 0, 4, 0}, 4, 1, true, true, false},
-        {"GPUs alone, beyond", {"t", 0, 0, 1, 0}, 4, 1, false, false, true},
-        {"GPUs alone, a job without", {"t", 0, 0, 4, 0}, 4, 0, false, false, true},
-        {"CPUs alone, a job with GPUs", {"t", 16, 0, 0, 0}, 4, 1, false, false, true},
-        {"no figure", {"t", 0, 0, 0, 0}, 4, 1, false, false, true},
+        {"CPUs and GPUs, within both", {"t", 16, 0, 4, 0}, 4, 1, true, true, false},
+        {"CPUs and GPUs, above the CPUs", {"t", 6, 0, 4, 0}, 4, 1, false, false, true},
+        {"GPUs only", {"t", 0, 0, 4, 0}, 4, 1, true, true, false},
+        {"GPUs only, above them", {"t", 0, 0, 1, 0}, 4, 1, false, false, true},
+        {"GPUs only, job without GPUs", {"t", 0, 0, 4, 0}, 4, 0, false, false, true},
+        {"CPUs only, job with GPUs", {"t", 16, 0, 0, 0}, 4, 1, false, false, true},
+        {"no guarantee", {"t", 0, 0, 0, 0}, 4, 1, false, false, true},
         {"a limit below the guarantee", {"t", 16, 6, 4, 0}, 4, 1, false, false, true},
     };
     for (auto& row : rows) {
@@ -320,317 +329,328 @@
         cluster.set_types({w.cluster.types[0].type, w.cluster.types[1].type});
         std::swap(w.cluster, cluster);
         auto spec = w.spec("req-1", JobKind::Array, 2, row.cpus, row.gpus, Priority::Normal, "t");
-        auto j = w.running(spec, {w.machine("m0", "gpu"), w.machine("m1", "gpu")});
+        auto job = w.running(spec, {w.machine("m0", "gpu"), w.machine("m1", "gpu")});
         auto& team = w.cluster.teams[0];
-        EXPECT_EQ(w.cluster.jobs[j]->guaranteed, row.guaranteed) << row.why;
-        EXPECT_EQ(w.cluster.over_guarantee(team, spec.demand), row.over) << row.why;
+        EXPECT_EQ(w.cluster.jobs[job]->guaranteed, row.guaranteed) << row.description;
+        EXPECT_EQ(w.cluster.over_guarantee(team, spec.demand), row.above) << row.description;
         team.used -= spec.demand;
-        EXPECT_EQ(w.cluster.within_guarantee(team, spec.demand), row.owed) << row.why;
+        EXPECT_EQ(w.cluster.within_guarantee(team, spec.demand), row.within) << row.description;
     }
 }
 
-TEST(Placement, FitsBestAndSparesGpus) {
+TEST(Placement, UsesBestFitAndAvoidsGpuMachines) {
     World w;
     auto gpu = w.machine("gpu", "gpu");
-    auto empty = w.machine("empty"), fuller = w.machine("fuller");
-    w.running(w.spec("req-1", JobKind::Array, 1, 5), {fuller});
+    auto empty = w.machine("empty"), partly_used = w.machine("partly_used");
+    w.running(w.spec("req-1", JobKind::Array, 1, 5), {partly_used});
     auto small = w.job(w.spec("req-2", JobKind::Array, 2, 3));
     auto needs_gpu = w.job(w.spec("req-3", JobKind::Array, 1, 1, 1, Priority::Low));
     auto placed = place_waiting(w.cluster, any_machine, w.now);
-    EXPECT_EQ(placed, (std::vector<Placement>{
-                          {small, 0, fuller, 1}, {small, 1, empty, 1}, {needs_gpu, 0, gpu, 1}}));
+    EXPECT_EQ(placed,
+              (std::vector<Placement>{
+                  {small, 0, partly_used, 1}, {small, 1, empty, 1}, {needs_gpu, 0, gpu, 1}}));
 }
 
-TEST(Placement, PrefersTheMachineThatHasTheImage) {
+TEST(Placement, PrefersMachineWithCachedImage) {
     World w;
     w.machine("m0");
     auto m1 = w.machine("m1");
-    auto j = w.job(w.spec("req-1", JobKind::Array, 1, 3));
-    w.cluster.machines[m1]->images = {w.cluster.jobs[j]->spec.image};
+    auto job = w.job(w.spec("req-1", JobKind::Array, 1, 3));
+    w.cluster.machines[m1]->images = {w.cluster.jobs[job]->spec.image};
     EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now)[0].machine, m1);
 }
 
-// A cluster and its jobs drawn from a seed. `alike`: the tasks of many jobs are of the same few
-// kinds, as one queue of machines serves them then; otherwise hardly any two are.
-World drawn(unsigned seed, bool alike = false) {
+// Returns a random cluster with jobs. With `few_shapes`, many jobs have the same shape, so that
+// they share a queue of machines; otherwise hardly any two jobs do.
+World random_cluster(unsigned seed, bool few_shapes = false) {
     std::mt19937 random(seed);
-    auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
+    auto random_below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
     World w;
     auto& names = w.cluster.names;
     std::vector<Index> machines;
-    for (uint32_t i = 0, n = 5 + below(60); i < n; ++i) {
-        machines.push_back(w.machine("m" + std::to_string(i), below(3) ? "std" : "gpu",
-                                     below(2) ? "a" : "b", below(3) == 0));
-        auto& m = *w.cluster.machines[machines.back()];
-        for (uint32_t k = below(3); k > 0; --k)
-            m.images.push_back(names.images.intern("i" + std::to_string(below(4))));
-        m.up = below(10) > 0;
-        m.last_heartbeat = w.now - 0.5 * below(8);
+    for (uint32_t i = 0, n = 5 + random_below(60); i < n; ++i) {
+        machines.push_back(w.machine("m" + std::to_string(i), random_below(3) ? "std" : "gpu",
+                                     random_below(2) ? "a" : "b", random_below(3) == 0));
+        auto& machine = *w.cluster.machines[machines.back()];
+        for (uint32_t k = random_below(3); k > 0; --k)
+            machine.images.push_back(names.images.intern("i" + std::to_string(random_below(4))));
+        machine.up = random_below(10) > 0;
+        machine.last_heartbeat = w.now - 0.5 * random_below(8);
     }
     std::vector<Index> waiting;
     for (uint32_t n = 1; n <= 30; ++n) {
-        auto kind = below(3) ? JobKind::Array : JobKind::Gang;
-        auto s = w.spec("req-" + std::to_string(n), kind, 1 + below(12),
-                        0.5 * (1 + below(alike ? 2 : 9)), below(3) ? 0 : 1,
-                        static_cast<Priority>(below(4)), below(4) ? "blue" : "red");
-        s.demand.mem = 1000 * (1 + below(alike ? 1 : 12));
-        s.image = names.images.intern("i" + std::to_string(below(alike ? 2 : 4)));
-        s.image_gb = below(2);
-        s.spot = alike || below(2);
-        s.one_zone = kind == JobKind::Gang && below(2);
-        s.spread = !s.one_zone && below(5) == 0;
-        if (below(6) == 0) s.zone = names.zones.find("b");
-        if (below(6) == 0) s.types = {names.types.find("gpu")};
-        auto j = w.job(s);
-        auto& job = *w.cluster.jobs[j];
-        if (below(4) == 0) job.failed_on = {machines[below(machines.size())]};
-        if (kind == JobKind::Array && !s.spread && below(2)) {
-            auto i = machines[below(machines.size())];
+        auto kind = random_below(3) ? JobKind::Array : JobKind::Gang;
+        auto spec =
+            w.spec("req-" + std::to_string(n), kind, 1 + random_below(12),
+                   0.5 * (1 + random_below(few_shapes ? 2 : 9)), random_below(3) ? 0 : 1,
+                   static_cast<Priority>(random_below(4)), random_below(4) ? "blue" : "red");
+        spec.demand.mem = 1000 * (1 + random_below(few_shapes ? 1 : 12));
+        spec.image = names.images.intern("i" + std::to_string(random_below(few_shapes ? 2 : 4)));
+        spec.image_gb = random_below(2);
+        spec.spot = few_shapes || random_below(2);
+        spec.one_zone = kind == JobKind::Gang && random_below(2);
+        spec.spread = !spec.one_zone && random_below(5) == 0;
+        if (random_below(6) == 0) spec.zone = names.zones.find("b");
+        if (random_below(6) == 0) spec.types = {names.types.find("gpu")};
+        auto job_index = w.job(spec);
+        auto& job = *w.cluster.jobs[job_index];
+        if (random_below(4) == 0) job.failed_on = {machines[random_below(machines.size())]};
+        if (kind == JobKind::Array && !spec.spread && random_below(2)) {
+            auto i = machines[random_below(machines.size())];
             if (w.cluster.machine_allowed(job.spec, *w.cluster.machines[i]) &&
                 job.spec.demand.fits_in(w.cluster.machines[i]->room()) &&
                 w.cluster.within_limit(w.cluster.teams[job.spec.team], job.spec.demand))
-                w.cluster.place(j, 0, i, 1, w.now);
+                w.cluster.place(job_index, 0, i, 1, w.now);
         }
-        waiting.push_back(j);
+        waiting.push_back(job_index);
     }
     for (int k = 0; k < 3; ++k) {
-        auto& m = *w.cluster.machines[machines[below(machines.size())]];
-        m.reserved_for = waiting[below(waiting.size())];
-        m.reserved_until = w.now + 5;
+        auto& machine = *w.cluster.machines[machines[random_below(machines.size())]];
+        machine.reserved_for = waiting[random_below(waiting.size())];
+        machine.reserved_until = w.now + 5;
     }
-    // No share of a limit is held back here: that is tested by itself.
-    for (auto& t : w.cluster.teams) t.limit.cpu = below(2) ? t.limit.cpu : 0;
+    // On average, half of the teams have no CPU limit.
+    for (auto& team : w.cluster.teams) team.limit.cpu = random_below(2) ? team.limit.cpu : 0;
     return w;
 }
 
-TEST(Placement, TheFastFormChoosesAsThePlainOne) {
+TEST(Placement, MatchesReferenceImplementation) {
     size_t placed = 0;
     for (unsigned seed = 1; seed <= 600; ++seed) {
-        auto fast = drawn(seed, seed % 2), plain = drawn(seed, seed % 2);
-        for (auto* w : {&fast, &plain}) w->cluster.teams[0].limit = {};
-        auto got = place_waiting(fast.cluster, any_machine, fast.now);
-        test::PlainPlacement reference{plain.cluster, any_machine, plain.now, {}};
-        EXPECT_TRUE(got == reference.run()) << "seed " << seed;
-        placed += got.size();
+        auto actual = random_cluster(seed, seed % 2), expected = random_cluster(seed, seed % 2);
+        // The reference does not hold back shares of team limits; LimitHold tests cover these.
+        for (auto* w : {&actual, &expected}) w->cluster.teams[0].limit = {};
+        auto placements = place_waiting(actual.cluster, any_machine, actual.now);
+        test::ReferencePlacement reference{expected.cluster, any_machine, expected.now, {}};
+        EXPECT_TRUE(placements == reference.run()) << "seed " << seed;
+        placed += placements.size();
     }
     EXPECT_GT(placed, 10000u);
 }
 
-TEST(Placement, RanksGuaranteesThenTimesToStart) {
+TEST(JobOrder, RanksGuaranteesThenStartDeadlines) {
     World w;
-    // Team red is owed 16 CPUs: req-1 fits them, req-2 does not beside it.
+    // Team red has a guarantee of 16 CPUs: req-1 is within it, but req-1 and req-2 together are
+    // not.
     auto small = w.job(w.spec("req-1", JobKind::Array, 4, 2, 0, Priority::Low, "red"));
-    auto beyond = w.job(w.spec("req-2", JobKind::Array, 8, 2, 0, Priority::Low, "red"));
+    auto above_guarantee = w.job(w.spec("req-2", JobKind::Array, 8, 2, 0, Priority::Low, "red"));
     auto high = w.job(w.spec("req-3", JobKind::Array, 1, 1, 0, Priority::High, "blue"));
     EXPECT_TRUE(w.cluster.jobs[small]->guaranteed);
-    EXPECT_FALSE(w.cluster.jobs[beyond]->guaranteed);
-    EXPECT_EQ(waiting_jobs(w.cluster, w.now), (std::vector<Index>{small, high, beyond}));
-    // Of two jobs of a class that should start within 30 s, one is late already: it no longer holds
-    // up the other.
-    World late;
-    late.cluster.classes.resize(late.cluster.names.classes.intern("class") + 1);
-    late.cluster.classes.back().start_within_s = 30;
-    late.cluster.classes.back().done_within_s = {250};
-    auto old = late.job(late.spec("req-1", JobKind::Array, 1, 1));
-    late.now += 40;
-    auto fresh = late.job(late.spec("req-2", JobKind::Array, 1, 1));
-    EXPECT_EQ(waiting_jobs(late.cluster, late.now), (std::vector<Index>{fresh, old}));
-}
-
-TEST(Placement, GivesAMachineToAnEqualJobWhoseImageItHas) {
+    EXPECT_FALSE(w.cluster.jobs[above_guarantee]->guaranteed);
+    EXPECT_EQ(waiting_jobs(w.cluster, w.now), (std::vector<Index>{small, high, above_guarantee}));
+    // Both jobs should start within 30 s. One has missed that already and no longer goes before the
+    // other.
+    World world;
+    world.cluster.classes.resize(world.cluster.names.classes.intern("class") + 1);
+    world.cluster.classes.back().start_within_s = 30;
+    world.cluster.classes.back().done_within_s = {250};
+    auto missed = world.job(world.spec("req-1", JobKind::Array, 1, 1));
+    world.now += 40;
+    auto recent = world.job(world.spec("req-2", JobKind::Array, 1, 1));
+    EXPECT_EQ(waiting_jobs(world.cluster, world.now), (std::vector<Index>{recent, missed}));
+}
+
+TEST(Placement, PrefersEqualJobWithCachedImage) {
     World w;
-    auto m = w.machine("m0");
+    auto machine = w.machine("m0");
     auto other = w.spec("req-1", JobKind::Array, 1, 5),
-         near = w.spec("req-2", JobKind::Array, 1, 5);
+         cached = w.spec("req-2", JobKind::Array, 1, 5);
     other.image = w.cluster.names.images.intern("other");
-    other.image_gb = near.image_gb = 4;
+    other.image_gb = cached.image_gb = 4;
     w.job(other);
-    auto j = w.job(near);
-    w.cluster.machines[m]->images = {near.image};
-    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now), (std::vector<Placement>{{j, 0, m, 1}}));
+    auto job = w.job(cached);
+    w.cluster.machines[machine]->images = {cached.image};
+    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now),
+              (std::vector<Placement>{{job, 0, machine, 1}}));
 }
 
-TEST(Placement, ASmallTaskOfHigherPriorityIsNotStarvedBySmallerOnes) {
-    // Each place that one end left went to a 1-CPU task, and 2-CPU tasks never saw two places
-    // together.
+TEST(Placement, HoldsPartialCapacityForHigherPriority) {
+    // If each CPU that a task releases goes to a waiting 1-CPU task at once, 2-CPU tasks of higher
+    // priority never find two free CPUs on one machine.
     struct Row {
-        const char* why;
+        const char* description;
         double cpus;
         Priority priority;
-        uint32_t placed;  // of three small tasks, on machines with 1, 1 and 3 CPUs of 8 left
+        uint32_t small_placed;  // of three 1-CPU tasks; the machines have 1, 1 and 3 free CPUs of 8
     };
     const Row rows[] = {
-        {"higher: what lacks the least is held", 2, Priority::High, 2},
+        {"higher: the machine that lacks the fewest CPUs is held", 2, Priority::High, 2},
         {"equal: nothing is held", 2, Priority::Normal, 3},
         {"lower: nothing is held", 2, Priority::Low, 3},
-        {"takes more than half a machine: machines are cleared for it instead", 5, Priority::High,
+        {"more than half a machine: nothing is held, as preemption serves it", 5, Priority::High,
          3},
     };
     for (auto& row : rows) {
         World w;
-        std::vector<Index> on;
-        for (double left : {1.0, 1.0, 3.0}) {
-            on.push_back(w.machine("m" + std::to_string(on.size())));
-            w.running(w.spec("req-9" + std::to_string(on.size()), JobKind::Array, 1, 8 - left),
-                      {on.back()});
+        std::vector<Index> machines;
+        for (double free_cpus : {1.0, 1.0, 3.0}) {
+            machines.push_back(w.machine("m" + std::to_string(machines.size())));
+            w.running(
+                w.spec("req-9" + std::to_string(machines.size()), JobKind::Array, 1, 8 - free_cpus),
+                {machines.back()});
         }
-        auto big = w.job(w.spec("req-1", JobKind::Array, 2, row.cpus, 0, row.priority));
+        auto large = w.job(w.spec("req-1", JobKind::Array, 2, row.cpus, 0, row.priority));
         auto small = w.job(w.spec("req-2", JobKind::Array, 3, 1));
         w.cluster.jobs[small]->submitted = 1;
         place_waiting(w.cluster, any_machine, w.now);
         if (row.priority == Priority::High && row.cpus == 2) {
-            EXPECT_EQ(w.cluster.jobs[big]->placed, 1u);
+            EXPECT_EQ(w.cluster.jobs[large]->placed, 1u);
         }
-        EXPECT_EQ(w.cluster.jobs[small]->placed, row.placed) << row.why;
+        EXPECT_EQ(w.cluster.jobs[small]->placed, row.small_placed) << row.description;
     }
 }
 
-TEST(Placement, HoldsNoMoreOfALimitThanMachinesCanFill) {
-    // Small tasks of a team waited for minutes beside idle machines, for a limit that its large
-    // jobs could not reach for want of machines.
+TEST(LimitHold, HoldsNoMoreThanMachinesCanProvide) {
+    // If the whole rest of a team's limit were held for its large jobs while machines for them are
+    // missing, the team's small tasks would wait for minutes beside idle machines.
     struct Row {
-        const char* why;
+        const char* description;
         int machines;
         size_t small_placed;
     };
-    // Team red may use 32 CPUs; a gang of 14 needs two machines of 8, as another holds two already.
-    const Row rows[] = {{"four machines can hold both gangs: their share is held", 4, 4},
-                        {"three can't: the rest of the limit is for the others", 3, 8}};
+    // Team red may use 32 CPUs. Each of its two gangs takes 14 CPUs on two machines of 8 CPUs; one
+    // gang is running.
+    const Row rows[] = {{"four machines have capacity for both gangs: their share is held", 4, 4},
+                        {"three machines have not: the rest of the limit is free", 3, 8}};
     for (auto& row : rows) {
         World w;
-        std::vector<Index> m;
-        for (int i = 0; i < row.machines; ++i) m.push_back(w.machine("m" + std::to_string(i)));
-        w.running(w.spec("req-1", JobKind::Gang, 2, 7, 0, Priority::High, "red"), {m[0], m[1]});
-        w.running(w.spec("req-2", JobKind::Array, 1, 2, 0, Priority::High, "blue"), {m[2]});
+        std::vector<Index> machines;
+        for (int i = 0; i < row.machines; ++i)
+            machines.push_back(w.machine("m" + std::to_string(i)));
+        w.running(w.spec("req-1", JobKind::Gang, 2, 7, 0, Priority::High, "red"),
+                  {machines[0], machines[1]});
+        w.running(w.spec("req-2", JobKind::Array, 1, 2, 0, Priority::High, "blue"), {machines[2]});
         w.job(w.spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High, "red"));
         auto small = w.job(w.spec("req-4", JobKind::Array, 20, 1, 0, Priority::Low, "red"));
         place_waiting(w.cluster, any_machine, w.now);
-        EXPECT_EQ(w.cluster.jobs[small]->placed, row.small_placed) << row.why;
+        EXPECT_EQ(w.cluster.jobs[small]->placed, row.small_placed) << row.description;
     }
 }
 
-TEST(Autoscaler, RentsNothingInAZoneThatFellSilent) {
-    // During a cut of a zone, machines used to be rented there, and paid for, that nobody could
-    // reach.
+TEST(Autoscaler, RequestsNothingInSilentZones) {
+    // Machines requested in a zone that is partitioned off cost money but cannot be reached.
     World w;
     for (int i = 0; i < 6; ++i) {
-        auto& m = *w.cluster.machines[w.machine("m" + std::to_string(i), "std", i < 3 ? "a" : "b")];
-        m.status = MachineStatus::Running;
-        m.up = i >= 3;
+        auto& machine =
+            *w.cluster.machines[w.machine("m" + std::to_string(i), "std", i < 3 ? "a" : "b")];
+        machine.status = MachineStatus::Running;
+        machine.up = i >= 3;
     }
-    auto s = w.spec("req-1", JobKind::Array, 40, 8);
-    s.estimate_s = 100;
-    w.job(s);
-    auto rentals = plan_scale_out(w.cluster, any_machine, {0.3, 1}, w.now);
-    ASSERT_FALSE(rentals.empty());
-    for (auto& r : rentals) EXPECT_EQ(w.cluster.names.zones.name(r.zone), "b");
+    auto spec = w.spec("req-1", JobKind::Array, 40, 8);
+    spec.estimate_s = 100;
+    w.job(spec);
+    auto requests = plan_scale_out(w.cluster, any_machine, {0.3, 1}, w.now);
+    ASSERT_FALSE(requests.empty());
+    for (auto& request : requests) EXPECT_EQ(w.cluster.names.zones.name(request.zone), "b");
 }
 
-TEST(Autoscaler, AnIdleMachineIsKeptForGangsOnly) {
-    // Every waiting job once kept every machine that suited it, though the job was held back by
-    // other things.
+TEST(Autoscaler, KeepsIdleMachinesOnlyForWaitingGangs) {
+    // A waiting job other than a gang is held back by something else, such as its team's limit, and
+    // must not keep idle machines.
     struct Row {
         JobKind kind;
-        size_t returned;
+        size_t terminated;
     };
     for (auto& row : {Row{JobKind::Gang, 0}, Row{JobKind::Array, 1}}) {
         World w;
         w.machine("m0");
         w.job(w.spec("req-1", row.kind, 2, 7));
-        EXPECT_EQ(plan_scale_in(w.cluster, {0.3, 1}, w.now + 200).size(), row.returned);
+        EXPECT_EQ(plan_scale_in(w.cluster, {0.3, 1}, w.now + 200).size(), row.terminated);
     }
 }
 
-TEST(Placement, KeepsToTypeZoneAndKind) {
+TEST(Placement, RespectsTypeZoneAndMarket) {
     struct Row {
-        const char* why;
+        const char* description;
         const char *type, *zone;
         bool spot;
         size_t placed;
     };
-    const Row rows[] = {{"all as asked", "std", "a", false, 1},
+    const Row rows[] = {{"as requested", "std", "a", false, 1},
                         {"other type", "gpu", "a", false, 0},
                         {"other zone", "std", "b", false, 0},
                         {"spot", "std", "a", true, 0}};
     for (auto& row : rows) {
         World w;
         w.machine("m0", row.type, row.zone, row.spot);
-        auto s = w.spec("req-1", JobKind::Array, 1, 1);
-        s.types = {w.cluster.names.types.find("std")};
-        s.zone = w.cluster.names.zones.find("a");
-        s.spot = false;
-        w.job(s);
-        EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), row.placed) << row.why;
+        auto spec = w.spec("req-1", JobKind::Array, 1, 1);
+        spec.types = {w.cluster.names.types.find("std")};
+        spec.zone = w.cluster.names.zones.find("a");
+        spec.spot = false;
+        w.job(spec);
+        EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), row.placed)
+            << row.description;
     }
 }
 
-TEST(Placement, GangsGoWholeOrNotAtAllAndInOneZone) {
+TEST(Placement, PlacesGangsAtomicallyInOneZone) {
     World w;
     w.machine("a0", "std", "a");
     auto b0 = w.machine("b0", "std", "b"), b1 = w.machine("b1", "std", "b");
-    auto s = w.spec("req-1", JobKind::Gang, 2, 7);
-    s.one_zone = true;
-    auto j = w.job(s);
+    auto spec = w.spec("req-1", JobKind::Gang, 2, 7);
+    spec.one_zone = true;
+    auto job = w.job(spec);
     EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now),
-              (std::vector<Placement>{{j, 0, b0, 1}, {j, 1, b1, 1}}));
-    s.id = "req-2";
-    w.job(s);
+              (std::vector<Placement>{{job, 0, b0, 1}, {job, 1, b1, 1}}));
+    spec.id = "req-2";
+    w.job(spec);
     EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
 }
 
-TEST(Placement, AGangWaitsForTheLastTaskOfItsOldAttempt) {
-    // A task of the old attempt that is on its machine still would be started twice.
+TEST(Placement, GangWaitsForTasksOfItsPreviousAttempt) {
+    // A task of the previous attempt that is still on its machine must not be started twice.
     World w;
     auto m0 = w.machine("m0"), m1 = w.machine("m1");
     w.machine("m2");
-    auto j = w.running(w.spec("req-1", JobKind::Gang, 2, 4), {m0, m1});
-    w.cluster.jobs[j]->gang_attempt = 1;
-    w.cluster.unassign(j, 0, w.now);
+    auto job = w.running(w.spec("req-1", JobKind::Gang, 2, 4), {m0, m1});
+    w.cluster.jobs[job]->gang_attempt = 1;
+    w.cluster.unassign(job, 0, w.now);
     EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
-    w.cluster.unassign(j, 1, w.now);
+    w.cluster.unassign(job, 1, w.now);
     auto placed = place_waiting(w.cluster, any_machine, w.now);
     ASSERT_EQ(placed.size(), 2u);
     EXPECT_EQ(placed[0].attempt, 2u);
 }
 
-TEST(Placement, SpreadsAtMostHalfOfTheTasksOverOneZone) {
+TEST(Placement, PlacesAtMostHalfOfSpreadJobInOneZone) {
     World w;
     w.machine("a0", "std", "a");
-    auto s = w.spec("req-1", JobKind::Array, 5, 1);
-    s.spread = true;
-    auto j = w.job(s);
+    auto spec = w.spec("req-1", JobKind::Array, 5, 1);
+    spec.spread = true;
+    auto job = w.job(spec);
     EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 3u);
     w.machine("b0", "std", "b");
     EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 2u);
-    EXPECT_EQ(w.cluster.jobs[j]->placed, 5u);
+    EXPECT_EQ(w.cluster.jobs[job]->placed, 5u);
 }
 
-TEST(Placement, AnUnknownZoneHoldsBackWhatIsBoundToOne) {
-    // After a change of leader a task may be on a machine that nobody has described yet.
+TEST(Placement, OneZoneJobWaitsWhileAZoneIsUnknown) {
+    // After a change of leader, a task may be on a machine whose zone is not known yet.
     World w;
     w.machine("m0");
-    auto s = w.spec("req-1", JobKind::Array, 2, 1);
-    s.one_zone = true;
-    auto j = w.job(s);
-    w.cluster.restore_placed(j, 0, w.cluster.add_machine("unheard", w.now), 1, 1);
+    auto spec = w.spec("req-1", JobKind::Array, 2, 1);
+    spec.one_zone = true;
+    auto job = w.job(spec);
+    w.cluster.restore_placed(job, 0, w.cluster.add_machine("unknown", w.now), 1, 1);
     EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
 }
 
-TEST(Quota, CountsEveryTaskThatMayBeThere) {
+TEST(Quota, CountsTasksUntilTheyHaveEnded) {
     World w;
     for (int i = 0; i < 6; ++i) w.machine("m" + std::to_string(i));
-    auto j = w.job(w.spec("req-1", JobKind::Array, 6, 8, 0, Priority::Normal, "red"));
-    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 4u);  // 32 CPUs at most
-    w.cluster.jobs[j]->tasks[0].stopping = true;                         // told to stop is not gone
+    auto job = w.job(w.spec("req-1", JobKind::Array, 6, 8, 0, Priority::Normal, "red"));
+    EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 4u);  // the limit is 32 CPUs
+    // A task that has been told to stop counts until it has ended.
+    w.cluster.jobs[job]->tasks[0].stopping = true;
     EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
-    w.cluster.finish(j, 0, w.now);
+    w.cluster.finish(job, 0, w.now);
     EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 1u);
     EXPECT_EQ(w.cluster.teams[0].used, (Resources{32000, 0, 4000}));
 }
 
-TEST(Quota, ALargeJobsShareIsNotFilledByLaterTasksOfItsTeam) {
-    // Small tasks used to fill the limit whenever one ended: a large job of the same team never
-    // fitted.
+TEST(LimitHold, KeepsShareForLargeHigherPriorityJob) {
+    // If a small task takes the place of each one that ends, the team's limit never has enough left
+    // for a large job.
     World w;
     for (int i = 0; i < 6; ++i) w.machine("m" + std::to_string(i));
     auto small = w.job(w.spec("req-1", JobKind::Array, 40, 1, 0, Priority::Low, "red"));
@@ -642,144 +662,151 @@
     EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now)[0].job, large);
 }
 
-TEST(Placement, CpuTasksLeaveWhatTheFreeGpusNeed) {
-    // GPU machines stood full of CPU tasks, at their full price, while GPU jobs waited.
+TEST(Placement, CpuTasksLeaveCpusForFreeGpus) {
+    // Otherwise GPU machines, at their high price, fill up with CPU tasks while GPU jobs wait.
     World w;
     w.machine("gpu", "gpu");  // 8 CPUs, 4 GPUs
     auto cpu_job = w.job(w.spec("req-2", JobKind::Array, 8, 1, 0, Priority::High));
     auto gpu_job = w.job(w.spec("req-1", JobKind::Array, 2, 1.5, 1, Priority::Low));
     place_waiting(w.cluster, any_machine, w.now);
-    EXPECT_EQ(w.cluster.jobs[cpu_job]->placed, 0u);  // they would keep it from going back
+    // On an otherwise empty GPU machine, CPU tasks would prevent its termination.
+    EXPECT_EQ(w.cluster.jobs[cpu_job]->placed, 0u);
     EXPECT_EQ(w.cluster.jobs[gpu_job]->placed, 2u);
     place_waiting(w.cluster, any_machine, w.now);
-    EXPECT_EQ(w.cluster.jobs[cpu_job]->placed, 2u);  // 3 CPUs stay for the two free GPUs
+    EXPECT_EQ(w.cluster.jobs[cpu_job]->placed, 2u);  // the two free GPUs need 3 CPUs
 }
 
-TEST(Order, GuaranteeThenPriorityThenDeadline) {
+TEST(JobOrder, RanksGuaranteePriorityAndDeadline) {
     World w;
-    auto late = w.job(w.spec("req-1", JobKind::Array, 1, 1, 0, Priority::Low));
-    auto due_spec = w.spec("req-2", JobKind::Array, 1, 1, 0, Priority::Low);
-    due_spec.deadline_s = 50;
-    auto due = w.job(due_spec);
-    auto owed = w.job(w.spec("req-3", JobKind::Array, 1, 1, 0, Priority::Low, "red"));
+    auto no_deadline = w.job(w.spec("req-1", JobKind::Array, 1, 1, 0, Priority::Low));
+    auto deadline_spec = w.spec("req-2", JobKind::Array, 1, 1, 0, Priority::Low);
+    deadline_spec.deadline_s = 50;
+    auto deadline = w.job(deadline_spec);
+    auto guaranteed = w.job(w.spec("req-3", JobKind::Array, 1, 1, 0, Priority::Low, "red"));
     auto high = w.job(w.spec("req-4", JobKind::Array, 1, 1, 0, Priority::High));
-    EXPECT_EQ(waiting_jobs(w.cluster, w.now), (std::vector<Index>{owed, high, due, late}));
+    EXPECT_EQ(waiting_jobs(w.cluster, w.now),
+              (std::vector<Index>{guaranteed, high, deadline, no_deadline}));
 }
 
-TEST(Autoscaler, RentsForWhatNeitherFitsNorIsComing) {
+TEST(Autoscaler, RequestsOnlyMissingCapacity) {
     World w;
     auto std_type = w.cluster.names.types.find("std");
     auto zone_a = w.cluster.names.zones.find("a"), zone_b = w.cluster.names.zones.find("b");
-    auto s = w.spec("req-1", JobKind::Array, 17, 1);
-    s.estimate_s = 300;
-    s.deadline_s = 330;  // too long, and too urgent, to be run one after the other
-    w.job(s);
+    auto spec = w.spec("req-1", JobKind::Array, 17, 1);
+    spec.estimate_s = 300;
+    spec.deadline_s = 330;  // too early for tasks to run one after another
+    w.job(spec);
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_a, true, 3}}));
-    // A machine that is coming up already counts, whether the list shows it or not.
-    auto& m = *w.cluster.machines[w.machine("m0", "std", "a", true)];
-    m.up = false;
+    // A booting machine counts, whether the cloud'spec list includes it or not.
+    auto& machine = *w.cluster.machines[w.machine("m0", "std", "a", true)];
+    machine.up = false;
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_a, true, 2}}));
-    // Refused there: the next cheapest offer.
+    // If the cloud refuses the cheapest offer, the next one is requested.
     w.cluster.refusals.push_back({w.now + 10, {std_type, zone_a, true}});
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_b, true, 2}}));
 }
 
-TEST(Autoscaler, AJobBoundToOneZoneIsNotKeptInAZoneThatIsFull) {
-    // With one machine in zone a and no more to be had there, jobs queued for it while zone b was
-    // empty.
+TEST(Autoscaler, OneZoneJobLeavesFullZone) {
+    // The job must not queue for the only machine of zone a, where the cloud refuses more machines,
+    // while zone b is empty.
     World w;
     auto std_type = w.cluster.names.types.find("std");
     auto zone_a = w.cluster.names.zones.find("a"), zone_b = w.cluster.names.zones.find("b");
-    auto m = w.machine("m0");
-    auto s = w.spec("req-1", JobKind::Gang, 1, 7);
-    s.one_zone = true;
-    s.spot = false;
-    s.types = {std_type};
-    s.estimate_s = 300;
-    w.running(s, {m});
-    s.id = "req-2";
-    w.job(s);
+    auto machine = w.machine("m0");
+    auto spec = w.spec("req-1", JobKind::Gang, 1, 7);
+    spec.one_zone = true;
+    spec.spot = false;
+    spec.types = {std_type};
+    spec.estimate_s = 300;
+    w.running(spec, {machine});
+    spec.id = "req-2";
+    w.job(spec);
     w.cluster.refusals.push_back({w.now + 10, {std_type, zone_a, false}});
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_b, false, 1}}));
 }
 
-TEST(Autoscaler, AMachineJustRentedIsNotRentedAgain) {
-    // One that is coming up was taken to be later than a new one, and rented again at each pass.
+TEST(Autoscaler, DoesNotRequestBootingMachinesAgain) {
+    // If a booting machine were expected to be up later than a new one, each pass would request the
+    // same machine again.
     World w;
-    auto s = w.spec("req-1", JobKind::Array, 1, 8);
-    s.deadline_s = 1;
-    w.job(s);
+    auto spec = w.spec("req-1", JobKind::Array, 1, 8);
+    spec.deadline_s = 1;
+    w.job(spec);
     ASSERT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now).size(), 1u);
-    auto& m = *w.cluster.machines[w.machine("m0", "std", "a", true)];
-    m.up = false;
-    m.requested_at = w.now;
+    auto& machine = *w.cluster.machines[w.machine("m0", "std", "a", true)];
+    machine.up = false;
+    machine.requested_at = w.now;
     for (double later : {0.0, 0.5, 10.0, 29.0, 40.0})
         EXPECT_TRUE(plan_scale_out(w.cluster, any_machine, {}, w.now + later).empty()) << later;
 }
 
-TEST(Autoscaler, WaitsForRoomThatComesSoonerThanANewMachine) {
+TEST(Autoscaler, WaitsForCapacityReleasedBeforeABoot) {
     struct Row {
-        const char* why;
-        double price;  // of the dearest type: 1, or ten times as much
-        double left_s, deadline_s;
-        size_t rentals;
-        double ran_s = 0;
+        const char* description;
+        double highest_price;  // of the gpu type; the std type costs 1
+        double estimate_s;     // of the running task
+        double deadline_s;     // of the waiting job
+        size_t requests;
+        double ran_s = 0;  // since the running task started
     };
-    // A new machine takes 30 s, and costs 1.
+    // A std machine boots in 30 spec.
     const Row rows[] = {
-        {"room comes sooner", 1, 20, 60, 0},
-        {"room comes later", 1, 60, 60, 1},
-        {"time to spare", 1, 60, 600, 0},
-        // Work that never stops once waited as long as a boot for its own room, for the sake of
-        // cheap machines.
-        {"cheap: room comes sooner, though not by much", 10, 20, 60, 1},
-        {"cheap: room comes much sooner", 10, 10, 60, 0},
-        {"cheap: time to spare", 10, 60, 600, 0},
-        {"overdue by little", 1, 20, 60, 0, 30},
-        // It was taken for as good as over, for as long as it ran.
-        {"overdue by far", 1, 20, 60, 1, 400},
+        {"capacity is free before a boot", 1, 20, 60, 0},
+        {"capacity is free after a boot", 1, 60, 60, 1},
+        {"job has slack", 1, 60, 600, 0},
+        // On a fleet that is always busy, tasks must not wait as long as a boot for each other'spec
+        // resources when new machines are cheap.
+        {"cheap offer: capacity is free shortly before a boot", 10, 20, 60, 1},
+        {"cheap offer: capacity is free long before a boot", 10, 10, 60, 0},
+        {"cheap offer: job has slack", 10, 60, 600, 0},
+        {"running task slightly overdue", 1, 20, 60, 0, 30},
+        // An overdue task must not be expected to end at once for as long as it runs.
+        {"running task far overdue", 1, 20, 60, 1, 400},
     };
     for (auto& row : rows) {
         World w;
         auto types = std::vector<MachineType>{w.cluster.types[0].type, w.cluster.types[1].type};
-        types[1].price = row.price;
+        types[1].price = row.highest_price;
         w.cluster.set_types(types);
-        auto m = w.machine("m0");
-        auto s = w.spec("req-1", JobKind::Array, 1, 8);
-        s.estimate_s = row.left_s;
-        auto j = w.running(s, {m});
-        w.cluster.jobs[j]->tasks[0].running_at = static_cast<float>(w.now);
+        auto machine_index = w.machine("m0");
+        auto spec = w.spec("req-1", JobKind::Array, 1, 8);
+        spec.estimate_s = row.estimate_s;
+        auto job = w.running(spec, {machine_index});
+        w.cluster.jobs[job]->tasks[0].running_at = static_cast<float>(w.now);
         w.now += row.ran_s;
-        s.id = "req-2";
-        s.deadline_s = row.deadline_s;
-        w.job(s);
-        EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now).size(), row.rentals) << row.why;
-        // What is coming up already is not rented again.
-        auto coming = w.cluster.add_machine("m1", w.now);
-        w.cluster.describe_machine(*w.cluster.machines[coming], "std", "a", false);
+        spec.id = "req-2";
+        spec.deadline_s = row.deadline_s;
+        w.job(spec);
+        EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now).size(), row.requests)
+            << row.description;
+        // A booting machine is not requested again.
+        auto booting = w.cluster.add_machine("m1", w.now);
+        w.cluster.describe_machine(*w.cluster.machines[booting], "std", "a", false);
         EXPECT_TRUE(plan_scale_out(
-                        w.cluster, [&](auto& x) { return x.up; }, {}, w.now)
+                        w.cluster, [&](auto& machine) { return machine.up; }, {}, w.now)
                         .empty())
-            << row.why;
+            << row.description;
     }
 }
 
-TEST(Autoscaler, KeepsRoomForJobsThatShouldStartSoonerThanANewMachine) {
+TEST(Autoscaler, KeepsHeadroomForShortStartObjectives) {
     World w;
-    auto s = w.spec("req-1", JobKind::Gang, 2, 7);
-    w.cluster.classes.resize(s.job_class + 1);
-    w.cluster.classes[s.job_class].start_within_s = 15;
+    auto spec = w.spec("req-1", JobKind::Gang, 2, 7);
+    w.cluster.classes.resize(spec.job_class + 1);
+    w.cluster.classes[spec.job_class].start_within_s = 15;
     auto m0 = w.machine("m0"), m1 = w.machine("m1");
-    w.running(s, {m0, m1});
-    // Both machines are taken: room for another job of two is rented before it comes.
-    int requested_at = 0;
-    for (auto& r : plan_scale_out(w.cluster, any_machine, {}, w.now)) requested_at += r.count;
-    EXPECT_EQ(requested_at, 2);
-    // Idle ones are kept for it, until no such job has come for a while.
+    w.running(spec, {m0, m1});
+    // Both machines are in use: machines for another job of two tasks are requested before one
+    // arrives.
+    int requested_machines = 0;
+    for (auto& request : plan_scale_out(w.cluster, any_machine, {}, w.now))
+        requested_machines += request.count;
+    EXPECT_EQ(requested_machines, 2);
+    // Idle machines are kept as headroom until no such job has arrived for a while.
     w.machine("m2");
     w.machine("m3");
     w.now += 100;
@@ -789,35 +816,35 @@
     EXPECT_EQ(plan_scale_in(w.cluster, {0.3, 1}, w.now).size(), 2u);
 }
 
-TEST(Autoscaler, ReturnsIdleGivenUpAndFailedMachines) {
+TEST(Autoscaler, TerminatesIdleAndAbandonedMachines) {
     World w;
-    auto idle = w.machine("idle"), busy = w.machine("busy"), abandoned = w.machine("doomed"),
-         fresh = w.machine("fresh");
+    auto idle = w.machine("idle"), busy = w.machine("busy"), abandoned = w.machine("abandoned"),
+         recently_up = w.machine("recently_up");
     w.running(w.spec("req-1", JobKind::Array, 1, 1), {busy});
     w.cluster.machines[abandoned]->abandoned = true;
     w.now += 61;
-    w.cluster.machines[fresh]->up_at = w.now;
+    w.cluster.machines[recently_up]->up_at = w.now;
     EXPECT_EQ(plan_scale_in(w.cluster, {1.0, 1}, w.now), (std::vector<Index>{idle, abandoned}));
 }
 
-TEST(Preemption, AJobThatFindsNoMachinesSparesOnlyThoseOfItsKindThatWantAsMuch) {
+TEST(Preemption, UnservableJobSkipsOnlyEqualOrLargerJobs) {
     struct Row {
-        const char* what;
+        const char* description;
         uint32_t tasks;
         double cpus;
         Priority priority;
         const char* team;
         size_t cleared;
     };
-    // Three machines with work of low priority; first a gang of four that can't be served, then
-    // another job.
+    // Three machines run tasks of low priority. A gang of four tasks, which needs one machine more,
+    // is considered before the second job.
     const Row rows[] = {
-        {"wants as much", 4, 8, Priority::Normal, "blue", 0},
-        {"wants less", 3, 8, Priority::Normal, "blue", 3},
-        {"wants more", 5, 8, Priority::Normal, "blue", 0},
-        {"its tasks are smaller: two to a machine", 4, 4, Priority::Normal, "blue", 2},
-        {"of a priority that clears nothing", 3, 8, Priority::Low, "blue", 0},
-        {"of another team", 2, 8, Priority::Normal, "red", 2},
+        {"same demand", 4, 8, Priority::Normal, "blue", 0},
+        {"fewer tasks", 3, 8, Priority::Normal, "blue", 3},
+        {"more tasks", 5, 8, Priority::Normal, "blue", 0},
+        {"smaller tasks, two per machine", 4, 4, Priority::Normal, "blue", 2},
+        {"priority too low to preempt", 3, 8, Priority::Low, "blue", 0},
+        {"another team", 2, 8, Priority::Normal, "red", 2},
     };
     for (auto& row : rows) {
         World w;
@@ -829,50 +856,53 @@
             w.job(w.spec("req-11", JobKind::Gang, row.tasks, row.cpus, 0, row.priority, row.team));
         auto round = plan_preemption(w.cluster, test::any_machine, w.now);
         size_t cleared = 0;
-        for (auto& c : round.clearings)
-            if (c.job == second) cleared = c.machines.size();
-        EXPECT_EQ(cleared, row.cleared) << row.what;
+        for (auto& clearing : round.clearings)
+            if (clearing.job == second) cleared = clearing.machines.size();
+        EXPECT_EQ(cleared, row.cleared) << row.description;
     }
 }
 
-TEST(Autoscaler, ThePlanIsTheSameWhetherMachinesAreKeptInOrderOrLookedAtAnew) {
-    // Lists kept between jobs must follow every change that a job's plan makes: random clusters,
-    // with few kinds of tasks and with many.
-    size_t rentals = 0;
+TEST(Autoscaler, PlanDoesNotDependOnIndexCacheSize) {
+    // An index that is kept between jobs must reflect every change that the plan of a job
+    // makes. Checked on random clusters with few and with many job shapes.
+    size_t requests = 0;
     for (unsigned seed = 1; seed <= 150; ++seed) {
         std::mt19937 random(seed);
-        auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
+        auto random_below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
         World w;
-        for (uint32_t i = 0, n = 10 + below(80); i < n; ++i) {
-            auto& m =
-                *w.cluster.machines[w.machine("vm-" + std::to_string(i), below(3) ? "std" : "gpu",
-                                              below(2) ? "a" : "b", below(3) == 0)];
-            m.up = below(4) > 0;
-            m.status = m.up ? MachineStatus::Running : MachineStatus::Booting;
-            m.requested_at = w.now - below(30);
+        for (uint32_t i = 0, n = 10 + random_below(80); i < n; ++i) {
+            auto& machine =
+                *w.cluster
+                     .machines[w.machine("vm-" + std::to_string(i), random_below(3) ? "std" : "gpu",
+                                         random_below(2) ? "a" : "b", random_below(3) == 0)];
+            machine.up = random_below(4) > 0;
+            machine.status = machine.up ? MachineStatus::Running : MachineStatus::Booting;
+            machine.requested_at = w.now - random_below(30);
         }
-        uint32_t jobs = 5 + below(40), kinds = below(2) ? 3 : 30;
+        uint32_t jobs = 5 + random_below(40), shapes = random_below(2) ? 3 : 30;
         for (uint32_t j = 0; j < jobs; ++j) {
-            uint32_t k = below(kinds);
-            auto s = w.spec("req-" + std::to_string(j), below(2) ? JobKind::Gang : JobKind::Array,
-                            1 + below(20), 1 + 0.2 * k, k % 3 == 0 ? 1 : 0,
-                            static_cast<Priority>(below(4)));
-            s.spot = k % 2;
-            s.one_zone = below(3) == 0;
-            s.spread = !s.one_zone && below(4) == 0;
-            s.estimate_s = 10 + below(90);
-            s.deadline_s = below(2) ? -1 : below(200);
-            if (below(5) == 0) s.zone = w.cluster.names.zones.find("b");
-            w.job(std::move(s));
+            uint32_t shape = random_below(shapes);
+            auto spec =
+                w.spec("req-" + std::to_string(j), random_below(2) ? JobKind::Gang : JobKind::Array,
+                       1 + random_below(20), 1 + 0.2 * shape, shape % 3 == 0 ? 1 : 0,
+                       static_cast<Priority>(random_below(4)));
+            spec.spot = shape % 2;
+            spec.one_zone = random_below(3) == 0;
+            spec.spread = !spec.one_zone && random_below(4) == 0;
+            spec.estimate_s = 10 + random_below(90);
+            spec.deadline_s = random_below(2) ? -1 : random_below(200);
+            if (random_below(5) == 0) spec.zone = w.cluster.names.zones.find("b");
+            w.job(std::move(spec));
             if (j == jobs / 2) place_waiting(w.cluster, test::any_machine, w.now, 1000);
         }
-        auto kept = plan_scale_out(w.cluster, test::any_machine, {0.3, 2, 8}, w.now);
-        for (size_t lists : {0, 1, 2})
-            EXPECT_EQ(plan_scale_out(w.cluster, test::any_machine, {0.3, 2, lists}, w.now), kept)
-                << "seed " << seed << ", lists " << lists;
-        rentals += kept.size();
+        auto expected = plan_scale_out(w.cluster, test::any_machine, {0.3, 2, 8}, w.now);
+        for (size_t max_shapes : {0, 1, 2})
+            EXPECT_EQ(plan_scale_out(w.cluster, test::any_machine, {0.3, 2, max_shapes}, w.now),
+                      expected)
+                << "seed " << seed << ", max_shapes " << max_shapes;
+        requests += expected.size();
     }
-    EXPECT_GT(rentals, 150u);
+    EXPECT_GT(requests, 150u);
 }
 
 }  // namespace
--- a/tests/placement_reference.h
+++ b/tests/placement_reference.h
@@ -1,5 +1,6 @@
-// Best-fit decreasing written plainly: every task looks at every machine. The fast form must choose
-// the same.
+// A reference implementation of best-fit decreasing placement, without the queues and caches of
+// place_waiting: each task considers every machine. Tests compare the two, which must choose the
+// same machines.
 #pragma once
 #include <algorithm>
 #include <map>
@@ -10,150 +11,161 @@
 
 namespace weirmill::test {
 
-struct PlainPlacement {
+struct ReferencePlacement {
     ClusterState& cluster;
     Usable usable;
     double now;
-    std::vector<Placement> out;
+    std::vector<Placement> placements;
+    std::vector<Index> open_machines{};         // with room for the smallest waiting task
+    std::map<Index, Priority> held_machines{};  // priority of the job that each is held for
 
-    auto fit(const Job& job, Index i) const {
-        auto& m = *cluster.machines[i];
-        auto left = m.room() - job.spec.demand;
-        bool together = job.spec.kind == JobKind::Gang && job.spec.tasks > 1;
-        return std::make_tuple(job.spec.demand.gpu == 0 && m.size.gpu > 0,
-                               job.failed_on.count(i) > 0, m.tasks.empty(),
-                               job.spec.demand.gpu > 0 ? left.gpu : left.cpu, together && m.spot,
-                               !m.has_image(job.spec.image), !together && !m.spot, left.cpu,
-                               left.mem, cluster.heartbeat_due_s(m, now));
+    // The machine with the lowest key is the best fit.
+    auto fit_key(const Job& job, Index machine_index) const {
+        auto& machine = *cluster.machines[machine_index];
+        auto left = machine.room() - job.spec.demand;
+        bool multi_task_gang = job.spec.kind == JobKind::Gang && job.spec.tasks > 1;
+        return std::make_tuple(job.spec.demand.gpu == 0 && machine.size.gpu > 0,
+                               job.failed_on.count(machine_index) > 0, machine.tasks.empty(),
+                               job.spec.demand.gpu > 0 ? left.gpu : left.cpu,
+                               multi_task_gang && machine.spot, !machine.has_image(job.spec.image),
+                               !multi_task_gang && !machine.spot, left.cpu, left.mem,
+                               cluster.heartbeat_due_s(machine, now));
     }
-    std::vector<Index> open{};
-    std::map<Index, Priority> held{};
-    bool candidate(Index j, Index i) const {
-        auto& job = *cluster.jobs[j];
-        auto* m = cluster.machines[i].get();
-        if (!m || !usable(*m) || !cluster.machine_allowed(job.spec, *m) ||
-            !job.spec.demand.fits_in(m->room()))
+    bool is_candidate(Index job_index, Index machine_index) const {
+        auto& job = *cluster.jobs[job_index];
+        auto* machine = cluster.machines[machine_index].get();
+        if (!machine || !usable(*machine) || !cluster.machine_allowed(job.spec, *machine) ||
+            !job.spec.demand.fits_in(machine->room()))
             return false;
-        if (held.count(i) && held.at(i) > job.priority) return false;
-        if (m->reserved_for == kNone || m->reserved_for == j || m->reserved_until <= now)
+        if (held_machines.count(machine_index) && held_machines.at(machine_index) > job.priority)
+            return false;
+        if (machine->reserved_for == kNone || machine->reserved_for == job_index ||
+            machine->reserved_until <= now)
             return true;
-        auto* owner = cluster.jobs[m->reserved_for].get();
+        auto* owner = cluster.jobs[machine->reserved_for].get();
         return !owner || owner->priority < job.priority;
     }
-    Index best(Index j, const ZoneRule& rule, Index zone, bool image_only = false) const {
-        auto& job = *cluster.jobs[j];
+    // Returns the best machine in the zone (kNone: any zone), or kNone. `image_only`: only machines
+    // that have the job's image or are fetching it.
+    Index best_machine(Index job_index, const ZoneRule& zone_rule, Index zone,
+                       bool image_only = false) const {
+        auto& job = *cluster.jobs[job_index];
         Index best = kNone;
         for (Index i = 0; i < cluster.machines.size(); ++i) {
-            if (!candidate(j, i)) continue;
-            auto& m = *cluster.machines[i];
-            if (!rule.allows(m.zone) || (zone != kNone && m.zone != zone) ||
-                !cluster.leaves_gpus_usable(job.spec, m) ||
-                (image_only && !image_near(cluster, m, job.spec.image)))
+            if (!is_candidate(job_index, i)) continue;
+            auto& machine = *cluster.machines[i];
+            if (!zone_rule.allows(machine.zone) || (zone != kNone && machine.zone != zone) ||
+                !cluster.leaves_gpus_usable(job.spec, machine) ||
+                (image_only && !image_near(cluster, machine, job.spec.image)))
                 continue;
-            if (best == kNone || fit(job, i) < fit(job, best)) best = i;
+            if (best == kNone || fit_key(job, i) < fit_key(job, best)) best = i;
         }
         return best;
     }
-    void array(Index j, bool image_only) {
-        auto& job = *cluster.jobs[j];
-        ZoneRule rule(cluster, job);
+    void place_array(Index job_index, bool image_only) {
+        auto& job = *cluster.jobs[job_index];
+        ZoneRule zone_rule(cluster, job);
         for (uint32_t t = 0; t < job.tasks.size(); ++t) {
             if (job.tasks[t].state != TaskState::Pending) continue;
             if (!cluster.within_limit(cluster.teams[job.spec.team], job.spec.demand)) return;
-            auto i = best(j, rule, kNone, image_only);
-            if (i == kNone) return;
-            cluster.place(j, t, i, job.tasks[t].attempt + 1, now);
-            rule.add(cluster.machines[i]->zone);
-            out.push_back({j, t, i, job.tasks[t].attempt});
+            auto chosen = best_machine(job_index, zone_rule, kNone, image_only);
+            if (chosen == kNone) return;
+            cluster.place(job_index, t, chosen, job.tasks[t].attempt + 1, now);
+            zone_rule.add(cluster.machines[chosen]->zone);
+            placements.push_back({job_index, t, chosen, job.tasks[t].attempt});
         }
     }
-    void gang(Index j) {
-        auto& job = *cluster.jobs[j];
+    void place_gang(Index job_index) {
+        auto& job = *cluster.jobs[job_index];
         if (!cluster.within_limit(cluster.teams[job.spec.team], job.spec.demand * job.pending))
             return;
         std::vector<Index> zones{kNone};
         if (job.spec.one_zone) {
             zones.clear();
             for (Index i = 0; i < cluster.machines.size(); ++i) {
-                if (candidate(j, i) &&
+                if (is_candidate(job_index, i) &&
                     std::find(zones.begin(), zones.end(), cluster.machines[i]->zone) == zones.end())
                     zones.push_back(cluster.machines[i]->zone);
             }
-            std::map<Index, int64_t> near;
-            for (auto i : open) {
-                auto& m = *cluster.machines[i];
-                if (cluster.machine_allowed(job.spec, m) && image_near(cluster, m, job.spec.image))
-                    near[m.zone] += job.spec.demand.times_in(m.room());
+            std::map<Index, int64_t> tasks_near_image;  // by zone
+            for (auto i : open_machines) {
+                auto& machine = *cluster.machines[i];
+                if (cluster.machine_allowed(job.spec, machine) &&
+                    image_near(cluster, machine, job.spec.image))
+                    tasks_near_image[machine.zone] += job.spec.demand.times_in(machine.room());
             }
-            for (auto& [z, n] : near)
-                n = job.spec.image_gb > 0 ? std::min<int64_t>(n, job.pending) : 0;
-            std::stable_sort(zones.begin(), zones.end(),
-                             [&](Index a, Index b) { return near[a] > near[b]; });
+            for (auto& [zone, tasks] : tasks_near_image)
+                tasks = job.spec.image_gb > 0 ? std::min<int64_t>(tasks, job.pending) : 0;
+            std::stable_sort(zones.begin(), zones.end(), [&](Index a, Index b) {
+                return tasks_near_image[a] > tasks_near_image[b];
+            });
         }
         for (auto zone : zones) {
-            ZoneRule rule(cluster, job);
+            ZoneRule zone_rule(cluster, job);
             std::vector<Index> chosen;
             for (uint32_t n = 0; n < job.pending; ++n) {
-                auto i = best(j, rule, zone);
-                if (i == kNone) break;
-                chosen.push_back(i);
-                rule.add(cluster.machines[i]->zone);
-                cluster.machines[i]->used += job.spec.demand;
+                auto best = best_machine(job_index, zone_rule, zone);
+                if (best == kNone) break;
+                chosen.push_back(best);
+                zone_rule.add(cluster.machines[best]->zone);
+                cluster.machines[best]->used += job.spec.demand;
             }
             for (auto i : chosen) cluster.machines[i]->used -= job.spec.demand;
             if (chosen.size() != job.pending) continue;
             ++job.gang_attempt;
             for (uint32_t t = 0; t < job.tasks.size(); ++t) {
-                cluster.place(j, t, chosen[t], job.gang_attempt, now);
-                out.push_back({j, t, chosen[t], job.gang_attempt});
+                cluster.place(job_index, t, chosen[t], job.gang_attempt, now);
+                placements.push_back({job_index, t, chosen[t], job.gang_attempt});
             }
             return;
         }
     }
-    // Of the machines that anybody could have used, those that lack the least, one for each task
-    // that waits.
-    void hold(Index j) {
-        auto& job = *cluster.jobs[j];
+    // Holds one machine for each pending task of the job: of the machines with room for the
+    // smallest waiting task but not for a task of this job, those that lack the fewest CPUs.
+    void hold_machines(Index job_index) {
+        auto& job = *cluster.jobs[job_index];
         auto& demand = job.spec.demand;
         if (job.pending == 0 || !cluster.within_limit(cluster.teams[job.spec.team], demand)) return;
-        std::set<std::pair<int64_t, Index>> some;
-        for (auto i : open) {
-            auto& m = *cluster.machines[i];
-            if (!demand.fits_in(m.room()) && demand.times_in(m.size) >= 2 &&
-                (!held.count(i) || held.at(i) < job.priority) &&
-                cluster.machine_allowed(job.spec, m) && !cluster.reserves_gpus(job.spec, m.type))
-                some.emplace(demand.cpu - m.room().cpu, i);
+        std::set<std::pair<int64_t, Index>> partial_fits;  // missing CPUs and machine
+        for (auto i : open_machines) {
+            auto& machine = *cluster.machines[i];
+            if (!demand.fits_in(machine.room()) && demand.times_in(machine.size) >= 2 &&
+                (!held_machines.count(i) || held_machines.at(i) < job.priority) &&
+                cluster.machine_allowed(job.spec, machine) &&
+                !cluster.reserves_gpus(job.spec, machine.type))
+                partial_fits.emplace(demand.cpu - machine.room().cpu, i);
         }
         uint32_t n = 0;
-        for (auto& [lack, i] : some)
-            if (n++ < job.pending) held[i] = job.priority;
+        for (auto& [missing_cpu, i] : partial_fits)
+            if (n++ < job.pending) held_machines[i] = job.priority;
     }
     const std::vector<Placement>& run() {
         auto ranks = waiting_ranks(cluster, now);
         for (Index i = 0; i < cluster.machines.size(); ++i) {
-            auto* m = cluster.machines[i].get();
-            if (!m || !usable(*m)) continue;
-            Resources least{1 << 30, 1 << 30, 1 << 30};
+            auto* machine = cluster.machines[i].get();
+            if (!machine || !usable(*machine)) continue;
+            Resources smallest{1 << 30, 1 << 30, 1 << 30};
             for (auto& rank : ranks)
                 for (auto j : rank) {
                     auto& demand = cluster.jobs[j]->spec.demand;
-                    least = {std::min(least.cpu, demand.cpu), std::min(least.gpu, demand.gpu),
-                             std::min(least.mem, demand.mem)};
+                    smallest = {std::min(smallest.cpu, demand.cpu),
+                                std::min(smallest.gpu, demand.gpu),
+                                std::min(smallest.mem, demand.mem)};
                 }
-            if (least.fits_in(m->room())) open.push_back(i);
+            if (smallest.fits_in(machine->room())) open_machines.push_back(i);
         }
         for (auto& rank : ranks) {
             if (rank.size() > 1)
                 for (auto j : rank)
                     if (cluster.jobs[j]->spec.kind != JobKind::Gang &&
                         cluster.jobs[j]->spec.image_gb > 0)
-                        array(j, true);
+                        place_array(j, true);
             for (auto j : rank) {
-                cluster.jobs[j]->spec.kind == JobKind::Gang ? gang(j) : array(j, false);
-                hold(j);
+                cluster.jobs[j]->spec.kind == JobKind::Gang ? place_gang(j) : place_array(j, false);
+                hold_machines(j);
             }
         }
-        return out;
+        return placements;
     }
 };
 
