--- a/src/autoscaler/job_planner.cpp
+++ b/src/autoscaler/job_planner.cpp
@@ -190,7 +190,8 @@
 
 // Returns the longest wait for an existing machine, in boot times of the offered one, before a new
 // one is requested. It is shorter for a cheap machine: on a fleet that is always busy, tasks would
-// otherwise wait as long as a boot for each other's resources, even if another machine costs little.
+// otherwise wait as long as a boot for each other's resources, even if another machine costs
+// little.
 double JobPlanner::max_wait_boots() const {
     if (!offer_ || context_.highest_price <= 0) return kMinSpeedup;
     const double price = cluster_.types[offer_->type].type.price;
--- a/src/autoscaler/job_planner.h
+++ b/src/autoscaler/job_planner.h
@@ -14,10 +14,10 @@
 // The machines that the tasks of one job would use, and when the tasks would start. A plan takes
 // effect only when its owner applies it.
 struct JobPlan {
-    bool complete = false;  // every task has a machine
-    bool late = false;      // a task starts later than the job can afford, as no offer is available
-    double latest_start_s = 0;                    // seconds from now
-    int new_machines = 0;                         // number of machines to request
+    bool complete = false;      // every task has a machine
+    bool late = false;          // a task starts too late for the job, as no offer is available
+    double latest_start_s = 0;  // seconds from now
+    int new_machines = 0;       // number of machines to request
     std::map<size_t, ExpectedCapacity> machines;  // used machines after the plan, new ones included
     std::map<Offer, int> requests;                // number of machines to request of each offer
 
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -202,7 +202,7 @@
     EXPECT_EQ(machine.images, (std::vector<Index>{specs[0].image, specs[2].image}));
 }
 
-TEST(GangLaunch, LaunchesTasksThatFetchTheImageFirst) {
+TEST(GangLaunch, LaunchesFetchingTasksFirst) {
     // If an image takes longer to fetch than tasks wait for each other, the tasks on machines with
     // the image give up before the fetch ends, which aborts it, and the gang restarts forever.
     struct Row {
@@ -283,7 +283,7 @@
     const Row rows[] = {
         {"gangs", JobKind::Gang, 7, 25, 10, 30, {{6, 2}}},
         {"preemption takes too long", JobKind::Gang, 7, 25, 60, 30, {{6, 0}}},
-        {"small tasks need no preemption", JobKind::Array, 1, 25, 10, 30, {{6, 0}}},
+        {"small tasks need no whole machine", JobKind::Array, 1, 25, 10, 30, {{6, 0}}},
         {"start objective longer than a boot", JobKind::Gang, 7, 60, 10, 30, {}},
         {"at most a tenth of the machines", JobKind::Gang, 7, 25, 10, 14, {{6, 1}}},
         {"a fleet of three keeps none empty", JobKind::Gang, 7, 25, 10, 3, {{6, 0}}},
