--- a/src/controller/planning_inputs.cpp
+++ b/src/controller/planning_inputs.cpp
@@ -24,7 +24,7 @@
     settings.heartbeat_interval_s = context.settings.heartbeat_interval_s;
     // In the worst case a job arrives just after a preemption round. The next round then stops
     // tasks, which write their checkpoints, and their workers report the exits.
-    settings.clear_s = context.properties.preemption_round_s + kStopDuration_s;
+    settings.preemption_duration_s = context.properties.preemption_round_s + kStopDuration_s;
     return settings;
 }
 
