--- a/bench/pass_bench.cpp
+++ b/bench/pass_bench.cpp
@@ -75,7 +75,7 @@
             s.spot = !gang;
             s.one_zone = gang;
             auto index = cluster.add_job(std::move(s), 1000, kNow);
-            cluster.jobs[index]->version = 1;
+            cluster.jobs[index]->record_revision = 1;
             if (j == jobs * 5 / 8 - 1) place_waiting(cluster, up, kNow, 100000);
         }
     }
@@ -99,15 +99,15 @@
             s.job_class = cluster.names.classes.intern("array");
             s.image = cluster.names.images.intern("image");
             auto index = cluster.add_job(std::move(s), 1000, kNow);
-            state_log.new_job(index);
-            cluster.jobs[index]->version = 1;
+            state_log.queue_new_job(index);
+            cluster.jobs[index]->record_revision = 1;
             for (uint32_t t = 0; t < 50; ++t) {
                 auto machine = cluster.add_machine("vm-" + std::to_string((j * 50 + t) / 16), kNow);
                 cluster.place(index, t, machine, 1, kNow);
             }
         }
-        for (uint64_t revision = 50; state_log.waiting(); ++revision) {
-            auto b = state_log.next(settings.txn_ops);
+        for (uint64_t revision = 50; state_log.has_work(); ++revision) {
+            auto b = state_log.next_batch(settings.txn_ops);
             if (b.empty()) break;
             for (auto& c : b.txn.changes) store[c.key] = c.value;
             state_log.committed(b, revision);
@@ -122,7 +122,7 @@
     ClusterState cluster(log.settings);
     StateLog state_log(cluster, 42, {log.settings.txn_ops, log.settings.value_kb});
     for (auto& s : log.segments) state_log.load_segment(s, kNow);
-    state_log.loaded(kNow);
+    state_log.finish_loading(kNow);
     return cluster.task_count;
 }
 
--- a/src/autoscaler/drain.cpp
+++ b/src/autoscaler/drain.cpp
@@ -50,7 +50,7 @@
     for (const auto& m : cluster.machines) {
         if (!m || m.get() == &from || !usable(*m)) continue;
         if (m->tasks.empty() || m->tasks.size() < from.tasks.size()) continue;
-        out.push_back({m.get(), m->room()});
+        out.push_back({m.get(), m->free_resources()});
     }
     return out;
 }
--- a/src/autoscaler/expected_capacity.cpp
+++ b/src/autoscaler/expected_capacity.cpp
@@ -23,7 +23,7 @@
 
 bool is_booting(const Machine& m, double now) {
     // A machine that a change of leader has just revealed is likely to report soon.
-    return !m.up && (m.status == MachineStatus::Booting || now - m.added < kFirstHeartbeat_s);
+    return !m.up && (m.status == MachineStatus::Booting || now - m.added_at < kFirstHeartbeat_s);
 }
 
 double remaining_boot_s(const ClusterState& cluster, const Machine& m, double now) {
@@ -37,7 +37,7 @@
     if (task.stopping) return kStopping_s;
     const double run_s = cluster.expected_run_s(spec);
     if (task.running_at > 0) return remaining_run_s(run_s, now - task.running_at);
-    return run_s + std::max(0.0, cluster.fetch_s(spec, m.type) - (now - task.placed_at));
+    return run_s + std::max(0.0, cluster.image_fetch_s(spec, m.type) - (now - task.placed_at));
 }
 
 bool ends_before(const TaskEnd& a, const TaskEnd& b) { return a.in_s < b.in_s; }
@@ -97,8 +97,8 @@
         const bool booting = is_booting(*m, now);
         if (!booting && !usable(*m)) continue;
         const double from_s = booting ? remaining_boot_s(cluster, *m, now) : 0;
-        out.push_back(
-            {m->type, m->zone, m->spot, from_s, m->room(), task_ends(cluster, *m, now), booting});
+        out.push_back({m->type, m->zone, m->spot, from_s, m->free_resources(),
+                       task_ends(cluster, *m, now), booting});
     }
     return out;
 }
--- a/src/autoscaler/headroom.cpp
+++ b/src/autoscaler/headroom.cpp
@@ -29,7 +29,7 @@
 
 RecentArrivals recent_arrivals(const JobClass& c, double now) {
     RecentArrivals recent;
-    for (const auto& [at, tasks] : c.arrivals) {
+    for (const auto& [at, tasks] : c.recent_arrivals) {
         if (now - at > kArrivalWindow_s) continue;
         recent.tasks += tasks;
         recent.largest_job = std::max(recent.largest_job, tasks);
@@ -43,7 +43,7 @@
     for (Index t = 0; t < cluster.types.size(); ++t) {
         if (!cluster.type_fits(spec, t)) continue;
         fastest_s = std::min(fastest_s, cluster.boot_factor * cluster.types[t].type.boot_s +
-                                            cluster.fetch_s(spec, t));
+                                            cluster.image_fetch_s(spec, t));
     }
     return fastest_s;
 }
@@ -62,10 +62,10 @@
 // leaves empty. Never so many that a small fleet has none left for that work.
 int64_t tasks_at_once(const ClusterState& cluster, const AutoscalerSettings& settings,
                       const JobClass& c, const RecentArrivals& recent) {
-    if (!cluster.large(c.last)) return 0;
+    if (!cluster.needs_whole_machines(c.latest_job)) return 0;
     if (settings.clear_s + settings.heartbeat_interval_s > c.start_within_s) return 0;
     return std::min(recent.expected_within(settings.clear_s),
-                    tasks_on_empty_fleet(cluster, c.last) / kMinMachinesPerEmpty);
+                    tasks_on_empty_fleet(cluster, c.latest_job) / kMinMachinesPerEmpty);
 }
 
 }  // namespace
@@ -74,15 +74,16 @@
                                        const AutoscalerSettings& settings, double now) {
     std::vector<Headroom> out;
     for (const auto& c : cluster.classes) {
-        if (c.start_within_s <= 0 || c.arrivals.empty() || c.last.team == kNone) continue;
-        const double boot_s = fastest_boot_s(cluster, c.last);
+        if (c.start_within_s <= 0 || c.recent_arrivals.empty() || c.latest_job.team == kNone)
+            continue;
+        const double boot_s = fastest_boot_s(cluster, c.latest_job);
         const double start_s = boot_s + 2 * settings.heartbeat_interval_s;
         if (boot_s > kHorizon_s || start_s <= c.start_within_s) continue;
         const auto recent = recent_arrivals(c, now);
         if (recent.tasks == 0) continue;
         // Room for what comes while a new machine boots, and for the largest job.
         const auto tasks = std::max<int64_t>(recent.largest_job, recent.expected_within(start_s));
-        out.push_back({&c.last, tasks, tasks_at_once(cluster, settings, c, recent)});
+        out.push_back({&c.latest_job, tasks, tasks_at_once(cluster, settings, c, recent)});
     }
     return out;
 }
--- a/src/autoscaler/job_planner.cpp
+++ b/src/autoscaler/job_planner.cpp
@@ -128,7 +128,7 @@
     if (it == plan_.machines.end())
         it = plan_.machines.emplace(o.machine, machines_[o.machine]).first;
     auto& c = it->second;
-    c.assign(spec_.demand, o.start, run_s_ + cluster_.fetch_s(spec_, c.type));
+    c.assign(spec_.demand, o.start, run_s_ + cluster_.image_fetch_s(spec_, c.type));
     ++context_.uses[o.machine];
     rule_.add(c.zone);
     add_reused(o.machine, c);
--- a/src/autoscaler/offers.cpp
+++ b/src/autoscaler/offers.cpp
@@ -21,7 +21,7 @@
                       int64_t fits, double now, BestOffer& best) {
     const auto& type = cluster.types[t].type;
     for (const bool spot : {true, false}) {
-        if (!market_suits(spec, spot, z) || cluster.refused(t, z, spot, now)) continue;
+        if (!market_suits(spec, spot, z) || cluster.capacity_refused(t, z, spot, now)) continue;
         const double cost = (spot ? type.spot_price : type.price) / static_cast<double>(fits);
         const bool cheaper = !best.offer || cost < best.cost - kEqualCost;
         if (cheaper) best = {cost, Offer{t, z, spot}};
--- a/src/autoscaler/scale_out.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -20,7 +20,7 @@
     double slowest_s = 0;
     for (Index t = 0; t < cluster.types.size(); ++t) {
         if (!cluster.type_fits(spec, t)) continue;
-        slowest_s = std::max(slowest_s, cluster.fetch_s(spec, t));
+        slowest_s = std::max(slowest_s, cluster.image_fetch_s(spec, t));
     }
     return slowest_s;
 }
@@ -33,12 +33,13 @@
     const double run_s = cluster.expected_run_s(spec);
     const double earliest_end = now + fetch_s + run_s;
     int missed = 0;
-    double slack = cluster.due(job, earliest_end, missed) - earliest_end;
+    double slack = cluster.due_time(job, earliest_end, missed) - earliest_end;
     if (missed > 0) slack = 0;
     if (spec.job_class < cluster.classes.size()) {
         const double start_within_s = cluster.classes[spec.job_class].start_within_s;
         if (start_within_s > 0)
-            slack = std::min(slack, job.came_at() + start_within_s - now - fetch_s);
+            slack =
+                std::min(slack, job.schedulable_since_steady() + start_within_s - now - fetch_s);
     }
     return slack > kHorizon_s ? run_s : std::max(0.0, slack);
 }
--- a/src/autoscaler/suitability.h
+++ b/src/autoscaler/suitability.h
@@ -7,7 +7,7 @@
 
 // Tasks fit the type, and do not take the resources that it reserves for jobs with GPUs.
 inline bool type_suits(const ClusterState& cluster, const JobSpec& spec, Index type) {
-    return cluster.type_fits(spec, type) && !cluster.reserves_gpus(spec, type);
+    return cluster.type_fits(spec, type) && !cluster.must_leave_room_for_gpus(spec, type);
 }
 
 // The job may run in the zone, and on spot instances if it is one.
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -75,7 +75,7 @@
 // running out.
 bool HeartbeatHandler::is_copy(const Machine& machine, const Heartbeat& heartbeat) {
     if (std::pair(heartbeat.agent_epoch, heartbeat.seq) >
-        std::pair(machine.agent_epoch, machine.seq))
+        std::pair(machine.agent_epoch, machine.heartbeat_seq))
         return false;
     context_.metrics.count("report_copies_total");
     return true;
@@ -85,7 +85,7 @@
                                    const Heartbeat& heartbeat) {
     machine.addr = heartbeat.addr;
     machine.relayed_by = call.sender;
-    if (call.sender.empty()) machine.direct_at = context_.now;
+    if (call.sender.empty()) machine.last_direct_heartbeat = context_.now;
     if (machine.type == kNone || machine.size == Resources{})
         context_.cluster.describe_machine(machine, heartbeat.type, heartbeat.zone, heartbeat.spot);
 }
@@ -103,7 +103,7 @@
     if (heartbeat.agent_epoch > machine.agent_epoch)
         agent_restarted(machine, index, heartbeat.agent_epoch);
     machine.agent_epoch = heartbeat.agent_epoch;
-    machine.seq = heartbeat.seq;
+    machine.heartbeat_seq = heartbeat.seq;
     machine.last_heartbeat = context_.now;
     // From here on this worker takes no answer of an earlier leader.
     machine.saw_fencing_token = heartbeat.fencing_token == context_.term->fencing_token;
@@ -122,7 +122,7 @@
     // Provisioned by this leader and up for the first time: its boot shows how long boots take at
     // present.
     if (machine.provisioned_here && machine.up_at == 0)
-        context_.cluster.learn_boot(machine.type, context_.now - machine.requested_at);
+        context_.cluster.observe_boot_time(machine.type, context_.now - machine.requested_at);
     machine.up = true;
     machine.up_at = context_.now;
     machine.status = MachineStatus::Running;
@@ -142,7 +142,7 @@
             task.agent_epoch < agent_epoch)
             task_lifecycle_.lose_task(ref.job, ref.task);
     }
-    machine.images.clear();
+    machine.cached_images.clear();
 }
 
 // Negative: there is no notice.
@@ -208,17 +208,18 @@
         task.running_at = static_cast<float>(context_.now);
     // The image is there, whoever saw it fetched: a new leader learns so from what runs.
     if (status.phase != task.phase && status.phase != TaskPhase::Fetching)
-        context_.cluster.saw_image(machine, job.spec);
+        context_.cluster.mark_image_used(machine, job.spec);
     bool began = job.running == 0 && runs;
     context_.cluster.set_phase(job, task, status.phase);
     // It was left to fetch its image.
-    if (job.gang_ending && !task.stopping && status.phase != TaskPhase::Fetching)
+    if (job.gang_attempt_ending && !task.stopping && status.phase != TaskPhase::Fetching)
         task_lifecycle_.stop_task(index, status.task, false);
     if (!began) return;
     spdlog::debug(
         "job: {} class={} tasks={} attempt={} runs {:.1f}s after it came, placed {:.1f}s ago",
         job.spec.id, context_.cluster.names.classes.name(job.spec.job_class), job.spec.tasks,
-        status.attempt, context_.now - job.came_at(), context_.now - task.placed_at);
+        status.attempt, context_.now - job.schedulable_since_steady(),
+        context_.now - task.placed_at);
 }
 
 // A task that the heartbeat does not name is proven gone only if the worker has seen our fencing
@@ -250,13 +251,13 @@
         auto& job = *context_.cluster.jobs[ref.job];
         auto& task = job.tasks[ref.task];
         if (task.phase == TaskPhase::Unseen && !task.stopping &&
-            !context_.cluster.recorded(job, ref.task))
+            !context_.cluster.task_recorded(job, ref.task))
             return true;
     }
     for (auto& entry : machine.unexpected_tasks) {
         auto* job = context_.cluster.find_job(entry.job);
         if (!job) continue;
-        if (entry.task < job->tasks.size() && !context_.cluster.recorded(*job, entry.task))
+        if (entry.task < job->tasks.size() && !context_.cluster.task_recorded(*job, entry.task))
             return true;
     }
     return false;
@@ -287,7 +288,7 @@
     if (expected) return {};
     if (!entry.exited) return Command{CommandOp::Stop, entry.job, entry.task, entry.attempt, 0};
     // Once acknowledged, the worker no longer knows the attempt: its outcome must stand recorded.
-    if (known && (job->ending || !context_.cluster.recorded(*job, entry.task))) return {};
+    if (known && (job->ending || !context_.cluster.task_recorded(*job, entry.task))) return {};
     return Command{CommandOp::AcknowledgeExit, entry.job, entry.task, entry.attempt, 0};
 }
 
@@ -297,7 +298,7 @@
     if (task.phase != TaskPhase::Unseen || !context_.lease_valid() || !job.active()) return false;
     if (task.agent_epoch != machine.agent_epoch) return false;
     if (machine.interruption_at >= 0 || machine.terminating) return false;
-    if (!context_.cluster.recorded(job, ref.task)) return false;
+    if (!context_.cluster.task_recorded(job, ref.task)) return false;
     return task.start_seq > 0 ||
            may_launch(context_.cluster, job, ref.task, context_.settings.gang_wait_s,
                       context_.settings.heartbeat_interval_s, context_.now);
--- a/src/controller/instance_manager.cpp
+++ b/src/controller/instance_manager.cpp
@@ -79,7 +79,8 @@
         if (auto* machine = context_.cluster.machines[i].get()) check_machine(i, *machine, fleet);
     std::erase_if(terminated_,
                   [&](auto& t) { return context_.now - t.second > kRememberTerminated_s; });
-    std::erase_if(context_.cluster.refusals, [&](auto& r) { return r.first <= context_.now; });
+    std::erase_if(context_.cluster.capacity_refusals,
+                  [&](auto& r) { return r.first <= context_.now; });
 }
 
 void InstanceManager::check_machine(Index index, Machine& machine, const FleetView& fleet) {
@@ -108,8 +109,8 @@
     machine.saw_fencing_token = false;
     // Should it come back under its name with counts that begin anew, they are not taken for
     // copies.
-    reset_downlink(machine.downlink, {machine.agent_epoch, machine.seq});
-    machine.agent_epoch = machine.seq = 0;
+    reset_downlink(machine.downlink, {machine.agent_epoch, machine.heartbeat_seq});
+    machine.agent_epoch = machine.heartbeat_seq = 0;
 }
 
 // Its heartbeats arrive, and the responses do not.
@@ -143,7 +144,7 @@
     double list_lag_s = context_.settings.list_lag_s;
     if (machine.listed)
         return machine.missing && context_.now - machine.missing_since > 2 * list_lag_s + 2;
-    return context_.now - machine.added > std::max(60.0, 6 * list_lag_s);
+    return context_.now - machine.added_at > std::max(60.0, 6 * list_lag_s);
 }
 
 // Silent, and no longer listed: interrupted, as it seems. To terminate it costs nothing and proves
@@ -151,7 +152,7 @@
 void InstanceManager::abandon_unlisted(Machine& machine) const {
     bool silent = context_.now - std::max(machine.last_heartbeat, context_.term->won) >
                   silence_s(context_.settings);
-    bool overdue = context_.now - machine.added > 2 * context_.settings.list_lag_s + 1;
+    bool overdue = context_.now - machine.added_at > 2 * context_.settings.list_lag_s + 1;
     bool unlisted = listed_once_ && (machine.listed ? machine.missing : overdue);
     if (!silent || !unlisted || machine.abandoned) return;
     if (!machine.up && machine.tasks.empty()) return;
@@ -164,7 +165,7 @@
     if (!is_offered(machine)) return;
     double boot_s = context_.now - machine.requested_at;
     if (boot_s <= 3 * context_.cluster.types[machine.type].type.boot_s + 5) return;
-    context_.cluster.learn_boot(machine.type, boot_s);
+    context_.cluster.observe_boot_time(machine.type, boot_s);
     spdlog::info("machine: {} given up after booting {:.0f}s", machine.name, boot_s);
     machine.abandoned = true;
 }
@@ -180,7 +181,7 @@
     bool fits = static_cast<double>(record.size()) < context_.settings.value_kb * 1024;
     if (without_prices != recorded_without_prices_ && record != recorded_types_ && fits) {
         recorded_without_prices_ = without_prices;
-        context_.state_log.note(kTypesKey, record);
+        context_.state_log.queue_single_record(kTypesKey, record);
     }
     context_.cluster.set_types(std::move(message.types));
 }
@@ -240,7 +241,7 @@
     }
     if (message.names.size() >= static_cast<size_t>(request.count)) return;
     std::uniform_real_distribution<double> pause_s(kMinRefusalPause_s, kMaxRefusalPause_s);
-    context_.cluster.refusals.push_back(
+    context_.cluster.capacity_refusals.push_back(
         {context_.now + pause_s(context_.random), {request.type, request.zone, request.spot}});
 }
 
--- a/src/controller/job_admission.cpp
+++ b/src/controller/job_admission.cpp
@@ -51,9 +51,9 @@
     auto& index = context_.cluster.job_index;
     if (auto it = index.find(id); it != index.end()) {
         auto& job = *context_.cluster.jobs[it->second];
-        out.undecided = out.undecided || job.version == 0;
+        out.undecided = out.undecided || job.record_revision == 0;
         // Where its cancellation is not recorded yet, the job follows it once it is.
-        if (job.cancel_recorded)
+        if (job.cancel_durable)
             out.cancelled = true;
         else
             out.jobs.push_back(it->second);
@@ -74,18 +74,18 @@
     if (dependencies.jobs.empty() || dependencies.cancelled) spec.dependencies.clear();
     auto index = context_.cluster.add_job(std::move(spec), submitted, context_.now);
     auto& job = *context_.cluster.jobs[index];
-    job.seen_at = context_.now - std::max(0.0, wall_now() - submitted);
+    job.submitted_steady = context_.now - std::max(0.0, wall_now() - submitted);
     if (dependencies.cancelled) {
         job.cancelled = true;
-        job.cancel_recorded = true;  // in its own record
-    } else if (job.waits) {
+        job.cancel_durable = true;  // in its own record
+    } else if (job.waits_for_dependencies) {
         context_.cluster.set_dependencies(index, dependencies.jobs, context_.now);
     }
     return index;
 }
 
 void JobAdmission::drop(Index job) {
-    auto dependencies = context_.cluster.dependencies().of(job);
+    auto dependencies = context_.cluster.dependencies().dependencies_of(job);
     context_.cluster.remove_job(job, context_.now);
     jobs_.check_cancelled(dependencies);
 }
@@ -96,7 +96,7 @@
 // unanswered.
 void JobAdmission::request_cancellation(Index job) {
     context_.cluster.jobs[job]->cancelled = true;
-    context_.state_log.cancel(job);
+    context_.state_log.queue_cancellation(job);
     jobs_.check_job(job);
 }
 
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -131,7 +131,7 @@
         placed += job->placed;
         pending += job->pending;
     }
-    out["jobs_waiting"] = static_cast<double>(context_.cluster.dependencies().waiting());
+    out["jobs_waiting"] = static_cast<double>(context_.cluster.dependencies().waiting_count());
     out["jobs"] = static_cast<double>(context_.cluster.job_index.size());
     out["machines"] = static_cast<double>(context_.cluster.machine_index.size());
     out["machines_up"] = static_cast<double>(up);
@@ -205,11 +205,11 @@
     for (Index j = 0; j < context_.cluster.jobs.size(); ++j) {
         if (!context_.cluster.jobs[j]) continue;
         auto& job = *context_.cluster.jobs[j];
-        job.seen_at = context_.now - std::max(0.0, wall_now() - job.submitted);
-        job.ready_at = context_.now - std::max(0.0, wall_now() - job.ready);
+        job.submitted_steady = context_.now - std::max(0.0, wall_now() - job.submitted_wall);
+        job.ready_steady = context_.now - std::max(0.0, wall_now() - job.ready_wall);
         task_lifecycle_.check_job(j);
     }
-    context_.cluster.propagate_demands();
+    context_.cluster.propagate_priorities_and_deadlines();
     if (!pending.events.empty())
         spdlog::info("leader: {} pending records to adopt", pending.events.size());
     adoption_.receive(pending);
--- a/src/controller/pending_adoption.cpp
+++ b/src/controller/pending_adoption.cpp
@@ -112,7 +112,7 @@
 void PendingAdoption::adopt_due() {
     if (entries_.empty() || !context_.lease_valid()) return;
     for (auto& [id, entry] : entries_) {
-        if (context_.state_log.submissions() >= kMaxRecording) return;
+        if (context_.state_log.queued_new_jobs() >= kMaxRecording) return;
         if (entry.step == Step::Waiting && context_.now >= entry.not_before) adopt(id, entry);
     }
 }
@@ -140,8 +140,8 @@
 // The job is in the cluster state already.
 void PendingAdoption::adopt_live(const std::string& id, const Entry& entry, Index index) {
     auto& job = *context_.cluster.jobs[index];
-    if (job.version == 0) return;  // on its way to be recorded
-    if (!entry.record.cancelled || job.cancel_recorded) return request_deletion(id);
+    if (job.record_revision == 0) return;  // on its way to be recorded
+    if (!entry.record.cancelled || job.cancel_durable) return request_deletion(id);
     // Cancelled by way of a standby controller. Its record is deleted only once the state log holds
     // the cancellation, so that no request is lost.
     if (!job.cancelled && !job.ending) admission_.request_cancellation(index);
@@ -161,11 +161,11 @@
 
 void PendingAdoption::record(JobSpec spec, Entry& entry, DependencyResolution dependencies) {
     dependencies.cancelled = dependencies.cancelled || entry.record.cancelled;
-    auto index = admission_.add(std::move(spec), dependencies, entry.record.at);
+    auto index = admission_.add(std::move(spec), dependencies, entry.record.submitted_wall);
     // Standby controllers accept jobs only where all controllers adopt them, so all can read a
     // record in pieces.
     context_.state_log.allow_multi_part_records();
-    context_.state_log.new_job(index, entry.version);
+    context_.state_log.queue_new_job(index, entry.version);
     entry.step = Step::Recording;
     context_.metrics.count("door_jobs_collected_total");
 }
@@ -190,7 +190,7 @@
     auto it = entries_.find(id);
     if (it == entries_.end() || it->second.step == Step::Deleting) return;
     it->second.step = Step::Deleting;
-    context_.state_log.forget(pending_key(id), it->second.version);
+    context_.state_log.queue_pending_deletion(pending_key(id), it->second.version);
 }
 
 uint64_t PendingAdoption::adopted_version(const std::string& id) const {
--- a/src/controller/scheduling_loop.cpp
+++ b/src/controller/scheduling_loop.cpp
@@ -56,7 +56,8 @@
     ++rounds_;
     context_.metrics.count("preemption_rounds_total");
     context_.metrics.count("preemption_stops_total", round.stops.size());
-    context_.state_log.note(kRoundKey, round_record(round, context_.cluster, rounds_));
+    context_.state_log.queue_single_record(kRoundKey,
+                                           round_record(round, context_.cluster, rounds_));
     reserve_cleared(round);
     for (auto& ref : round.stops) {
         auto& task = context_.cluster.jobs[ref.job]->tasks[ref.task];
--- a/src/controller/state_loader.cpp
+++ b/src/controller/state_loader.cpp
@@ -22,7 +22,7 @@
 
 // Single records first, the head of the log among them, then its segments, page by page.
 asio::awaitable<std::optional<LoadedNotes>> StateLoader::load() {
-    context_.cluster.clear_work();
+    context_.cluster.clear_jobs_and_machines();
     context_.state_log.clear();
     double started = steady_now();
     segments_ = 0;
@@ -31,7 +31,7 @@
         bool loaded = co_await load_prefix(prefix);
         if (!loaded) co_return std::nullopt;
     }
-    context_.state_log.loaded(steady_now());
+    context_.state_log.finish_loading(steady_now());
     spdlog::info("leader: read {} segments in {:.2f}s", segments_, steady_now() - started);
     co_return notes_;
 }
@@ -64,10 +64,10 @@
 // Throws BadMessage.
 void StateLoader::load_item(const std::string& prefix, const KvItem& item) {
     if (item.key == kRoundKey) {
-        context_.state_log.load_note(item.key, item.version);
+        context_.state_log.load_single_record_version(item.key, item.version);
         notes_.preemption_rounds = read::count(read::object(item.value), "number", 0);
     } else if (item.key == kTypesKey) {
-        context_.state_log.load_note(item.key, item.version);
+        context_.state_log.load_single_record_version(item.key, item.version);
         notes_.machine_types = boost::json::serialize(item.value);
         if (!context_.cluster.types_known)
             context_.cluster.set_types(parse_machine_types(notes_.machine_types));
--- a/src/controller/state_log_writer.cpp
+++ b/src/controller/state_log_writer.cpp
@@ -101,11 +101,11 @@
 
 void StateLogWriter::flush() {
     if (in_flight_ || context_.now < not_before_ || !context_.lease_valid() ||
-        !context_.state_log.waiting())
+        !context_.state_log.has_work())
         return;
     double budget = rate_.available(context_.now);
     if (budget < (context_.state_log.urgent() ? kMinUrgentChanges : kMinChanges)) return;
-    auto batch = context_.state_log.next(static_cast<int>(budget));
+    auto batch = context_.state_log.next_batch(static_cast<int>(budget));
     if (batch.empty()) return;
     rate_.take(static_cast<double>(batch.txn.changes.size()));
     mark_ends(batch, true);
@@ -115,7 +115,7 @@
 
 void StateLogWriter::mark_ends(const StateLogBatch& batch, bool sent) {
     for (auto& entry : batch.entries)
-        if (entry.kind == EntryKind::Finish) context_.cluster.jobs[entry.job]->end_sent = sent;
+        if (entry.kind == EntryKind::JobEnd) context_.cluster.jobs[entry.job]->end_sent = sent;
 }
 
 // One transaction at a time, until its outcome is known.
@@ -196,7 +196,8 @@
 void StateLogWriter::committed(const TransactionFinished& transaction) {
     kv_succeeded_at_ = context_.now;
     // What one transaction could not take of a burst of submissions goes with the next at once.
-    bool burst = context_.state_log.submissions() >= static_cast<size_t>(context_.settings.txn_ops);
+    bool burst =
+        context_.state_log.queued_new_jobs() >= static_cast<size_t>(context_.settings.txn_ops);
     not_before_ = context_.now + (burst ? 0 : kFlushPause_s);
     context_.metrics.count("transactions_total");
     context_.state_log.committed(transaction.batch, transaction.result.value);
@@ -205,16 +206,16 @@
             case EntryKind::NewJob:
                 new_job_recorded(entry);
                 break;
-            case EntryKind::Cancel:
+            case EntryKind::Cancellation:
                 cancellation_recorded(entry);
                 break;
-            case EntryKind::Finish:
+            case EntryKind::JobEnd:
                 end_recorded(entry);
                 break;
-            case EntryKind::Forget:
+            case EntryKind::PendingDeletion:
                 adoption_.deletion_finished(entry);
                 break;
-            case EntryKind::Note:
+            case EntryKind::SingleRecord:
                 break;
         }
     }
@@ -227,38 +228,40 @@
     adoption_.adoption_finished(job.spec.id, true);
     spdlog::debug("job: {} class={} tasks={} accepted, waits for {}", job.spec.id,
                   context_.cluster.names.classes.name(job.spec.job_class), job.spec.tasks,
-                  context_.cluster.dependencies().of(entry.job).size());
+                  context_.cluster.dependencies().dependencies_of(entry.job).size());
     context_.scheduling_needed = true;
     if (!job.cancelled) return;
     jobs_.check_job(entry.job);
-    jobs_.check_cancelled(context_.cluster.dependencies().of(entry.job));
+    jobs_.check_cancelled(context_.cluster.dependencies().dependencies_of(entry.job));
 }
 
 void StateLogWriter::cancellation_recorded(const StateLogEntry& entry) {
     auto& job = *context_.cluster.jobs[entry.job];
     // Before the user is answered: from then on the dependants are cancelled too.
     for (auto dependant : context_.cluster.cancel_dependants(entry.job))
-        if (context_.cluster.jobs[dependant]->version != 0)
-            context_.state_log.cancel(dependant);  // a new one's record says so itself
+        if (context_.cluster.jobs[dependant]->record_revision != 0)
+            context_.state_log.queue_cancellation(dependant);  // a new one's record says so itself
     spdlog::debug("job: {} cancellation recorded, {} tasks placed", job.spec.id, job.placed);
     users_.cancellation_recorded(job);
     jobs_.check_job(entry.job);
-    jobs_.check_cancelled(context_.cluster.dependencies().of(entry.job));
+    jobs_.check_cancelled(context_.cluster.dependencies().dependencies_of(entry.job));
 }
 
 void StateLogWriter::end_recorded(const StateLogEntry& entry) {
     std::string id = context_.cluster.jobs[entry.job]->spec.id;
-    users_.end_recorded(id, entry.ended);
-    auto dependencies = context_.cluster.dependencies().of(entry.job);
-    auto dependants = context_.cluster.dependencies().dependants(entry.job);
+    users_.end_recorded(id, entry.final_state);
+    auto dependencies = context_.cluster.dependencies().dependencies_of(entry.job);
+    auto dependants = context_.cluster.dependencies().dependants_of(entry.job);
     context_.cluster.remove_job(entry.job, context_.now);
     for (auto dependant : dependants) {
         context_.scheduling_needed = true;
         auto& job = *context_.cluster.jobs[dependant];
-        if (!job.waits && !job.cancelled) spdlog::debug("job: {} ready", job.spec.id);
+        if (!job.waits_for_dependencies && !job.cancelled)
+            spdlog::debug("job: {} ready", job.spec.id);
     }
     jobs_.check_cancelled(dependencies);
-    spdlog::debug("job: {} {}", id, entry.ended.state == JobState::Done ? "done" : "cancelled");
+    spdlog::debug("job: {} {}", id,
+                  entry.final_state.state == JobState::Done ? "done" : "cancelled");
 }
 
 // Only a job that has ended already may stand in the way, or one that a standby controller has
@@ -267,7 +270,7 @@
     auto& failed = transaction.result.failed;
     std::vector<RetriedJob> retried;
     for (auto& entry : transaction.batch.entries) {
-        if (entry.kind == EntryKind::Forget && std::erase(failed, entry.key) > 0) {
+        if (entry.kind == EntryKind::PendingDeletion && std::erase(failed, entry.key) > 0) {
             // Changed by a standby controller, or gone: what it is now comes with the watch.
             adoption_.deletion_finished(entry);
             entry.key.clear();
@@ -306,16 +309,16 @@
 void StateLogWriter::not_executed(TransactionFinished& transaction) {
     kv_failed_at_ = context_.now;
     for (auto& entry : transaction.batch.entries) {
-        if (entry.kind != EntryKind::NewJob && entry.kind != EntryKind::Cancel) continue;
+        if (entry.kind != EntryKind::NewJob && entry.kind != EntryKind::Cancellation) continue;
         std::string id = context_.cluster.jobs[entry.job]->spec.id;
         users_.not_recorded(id);
-        if (entry.kind == EntryKind::Cancel) continue;
+        if (entry.kind == EntryKind::Cancellation) continue;
         admission_.drop(entry.job);
         adoption_.adoption_finished(id, false);
     }
     // Malformed, as it is well-formed: larger than the key-value store takes. The same text would
     // be refused for ever, and with it all that waits to be recorded.
-    if (transaction.result.outcome == KvOutcome::Invalid && context_.state_log.shrink())
+    if (transaction.result.outcome == KvOutcome::Invalid && context_.state_log.reduce_limits())
         spdlog::error("state: a transaction was refused as malformed, the next ones are smaller");
     if (transaction.result.too_fast)
         rate_.too_fast();
@@ -328,7 +331,7 @@
 void StateLogWriter::reject(const StateLogBatch& batch, const std::vector<RetriedJob>& retried) {
     mark_ends(batch, false);
     context_.state_log.rejected(batch);
-    for (auto& job : retried) context_.state_log.new_job(job.job, job.pending_version);
+    for (auto& job : retried) context_.state_log.queue_new_job(job.job, job.pending_version);
 }
 
 }  // namespace weirmill
--- a/src/controller/state_log_writer.h
+++ b/src/controller/state_log_writer.h
@@ -33,7 +33,7 @@
     void outcome_unknown();
 
     // Records are under way, or wait to be written.
-    [[nodiscard]] bool busy() const { return in_flight_ || context_.state_log.waiting(); }
+    [[nodiscard]] bool busy() const { return in_flight_ || context_.state_log.has_work(); }
     // The last call to the key-value store failed: neither a transaction nor a renewal of the lease
     // has succeeded since.
     [[nodiscard]] bool kv_unavailable() const;
--- a/src/controller/task_lifecycle.cpp
+++ b/src/controller/task_lifecycle.cpp
@@ -38,9 +38,9 @@
     auto& job = *context_.cluster.jobs[j];
     auto& m = *context_.cluster.machines[machine];
     m.faulty_jobs.clear();
-    m.faults = 0;
+    m.fault_count = 0;
     if (ran_whole(job.tasks[t]))
-        context_.cluster.learn_run(job.spec, context_.now - job.tasks[t].running_at);
+        context_.cluster.observe_run_time(job.spec, context_.now - job.tasks[t].running_at);
     if (job.spec.kind != JobKind::Gang) return context_.cluster.finish(j, t, context_.now);
     // If one task of a gang is done, every one is.
     for (uint32_t i = 0; i < job.tasks.size(); ++i) context_.cluster.finish(j, i, context_.now);
@@ -67,26 +67,27 @@
     auto& job = *context_.cluster.jobs[j];
     auto& m = *context_.cluster.machines[machine];
     ++job.failures;
-    ++m.faults;
-    job.failed_on.insert(machine);
+    ++m.fault_count;
+    job.failed_machines.insert(machine);
     m.faulty_jobs.insert(j);
     bool job_works = job.done > 0 || job.running > 0;
-    if (job.failed_on.size() >= 2 && !job_works && m.faulty_jobs.size() < 2) return back_off(job);
+    if (job.failed_machines.size() >= 2 && !job_works && m.faulty_jobs.size() < 2)
+        return back_off(job);
     quarantine(m, job);
 }
 
 // Machines that failed this job alone are not to blame.
 void TaskLifecycle::back_off(Job& job) {
-    double failures = static_cast<double>(job.failed_on.size()) + job.failures / 8.0;
+    double failures = static_cast<double>(job.failed_machines.size()) + job.failures / 8.0;
     double exponent = std::min(failures, static_cast<double>(kMaxBackOffExponent));
     job.not_before = context_.now + std::min(kMaxBackOff_s, kBackOff_s * std::pow(2.0, exponent));
-    for (auto i : job.failed_on) {
+    for (auto i : job.failed_machines) {
         auto* other = context_.cluster.machines[i].get();
         if (other && other->faulty_jobs.size() <= 1 && other->quarantined_until > context_.now)
             other->quarantined_until = 0;
     }
     spdlog::info("job: {} failed on {} machines, tried again in {:.0f}s", job.spec.id,
-                 job.failed_on.size(), job.not_before - context_.now);
+                 job.failed_machines.size(), job.not_before - context_.now);
 }
 
 void TaskLifecycle::quarantine(Machine& m, const Job& job) {
@@ -115,7 +116,7 @@
 // once started anew every half minute without an end.
 void TaskLifecycle::end_gang(Index j, bool graceful, bool keep_fetching) {
     auto& job = *context_.cluster.jobs[j];
-    job.gang_ending = job.placed > 0;
+    job.gang_attempt_ending = job.placed > 0;
     for (uint32_t t = 0; t < job.tasks.size(); ++t) {
         auto& task = job.tasks[t];
         if (task.state != TaskState::Placed || task.stopping) continue;
@@ -126,22 +127,23 @@
 // What follows from the counts of a job.
 void TaskLifecycle::check_job(Index j) {
     auto& job = *context_.cluster.jobs[j];
-    if (job.ending || job.version == 0) return;
-    if (job.spec.kind == JobKind::Gang && job.placed == 0) job.gang_ending = false;
+    if (job.ending || job.record_revision == 0) return;
+    if (job.spec.kind == JobKind::Gang && job.placed == 0) job.gang_attempt_ending = false;
     if (job.cancelled) {
         stop_cancelled_job(j);
         if (job.placed > 0) return;
         spdlog::debug("job: {} cancelled, none of its tasks is left", job.spec.id);
-        if (!context_.cluster.cancellation_logged(j)) return;
+        if (!context_.cluster.cancellation_fully_logged(j)) return;
     } else if (job.done < job.tasks.size()) {
         // A gang found half placed after a change of leader, or half gone.
-        if (job.spec.kind == JobKind::Gang && job.placed > 0 && job.pending > 0 && !job.gang_ending)
+        if (job.spec.kind == JobKind::Gang && job.placed > 0 && job.pending > 0 &&
+            !job.gang_attempt_ending)
             end_gang(j, false);
         return;
     }
     job.ending = true;
-    job.ended = wall_now();
-    context_.state_log.finish(j);
+    job.ended_wall = wall_now();
+    context_.state_log.queue_job_end(j);
 }
 
 // Its tasks are of use to nobody: they get no time to save.
@@ -166,7 +168,7 @@
     auto& task = job.tasks[t];
     task.stopping = true;
     task.graceful = graceful && job.spec.checkpoint_interval_s > 0;
-    if (job.spec.kind == JobKind::Gang) job.gang_ending = true;
+    if (job.spec.kind == JobKind::Gang) job.gang_attempt_ending = true;
     stop_sender_.queue_stop(
         task.machine, {CommandOp::Stop, job.spec.id, t, task.attempt, stop_grace_s(job, task)});
 }
--- a/src/controller/user_requests.cpp
+++ b/src/controller/user_requests.cpp
@@ -36,7 +36,7 @@
 }
 
 PeerReply final_reply(const std::string& id, const FinalState& ended, PeerOp op) {
-    if (op == PeerOp::Status) return {200, job_status(id, ended.state, ended.done, 0)};
+    if (op == PeerOp::Status) return {200, job_status(id, ended.state, ended.done_tasks, 0)};
     return {200, job_answer(id, ended.state)};
 }
 
@@ -61,7 +61,7 @@
     if (malformed) return refuse_unless_ended(call, reply, spec.id, std::move(*malformed));
     if (!context_.cluster.types_known)
         return reply.set(retry_later(context_, kTypesUnknownRetry_s));
-    if (context_.cluster.never_runs(spec))
+    if (context_.cluster.unschedulable_reason(spec))
         return refuse_unless_ended(call, reply, spec.id, kNeverRuns);
     if (answer_overload(spec, reply)) return;
     auto dependencies = resolve(spec, call, reply);
@@ -87,7 +87,7 @@
     if (auto* job = context_.cluster.find_job(id)) {
         if (is_recorded(*job))
             reply.set(job_reply(*job, PeerOp::Submit, 200));
-        else if (job->version != 0 || kv_unavailable_())
+        else if (job->record_revision != 0 || kv_unavailable_())
             reply.set(undecided(context_));
         else
             waiters_[id].push_back({PeerOp::Submit, reply});
@@ -109,7 +109,7 @@
         reply.set(undecided(context_));
         return true;
     }
-    if (static_cast<double>(context_.state_log.submissions()) >
+    if (static_cast<double>(context_.state_log.queued_new_jobs()) >
         kMaxBacklog_s * context_.settings.state_write_rps) {
         reply.set(retry_later(context_));
         return true;
@@ -144,13 +144,13 @@
                           ReplyPromise& reply) {
     std::string id = spec.id;
     auto index = admission_.add(std::move(spec), dependencies, wall_now());
-    if (!context_.state_log.can_hold(index)) {
+    if (!context_.state_log.can_record(index)) {
         // A version that recorded longer ones may have accepted it.
         context_.cluster.remove_job(index, context_.now);
         return refuse_unless_ended(call, reply, id, kTooLong);
     }
     waiters_[id].push_back({PeerOp::Submit, reply});
-    context_.state_log.new_job(index);
+    context_.state_log.queue_new_job(index);
 }
 
 void UserRequests::dependencies_read(DependenciesRead& read) {
@@ -178,7 +178,7 @@
 // controllers answer from the records. One that reported an end from a transaction that this leader
 // had no answer for was once followed by "running" from here.
 bool UserRequests::is_recorded(const Job& job) const {
-    return job.version != 0 &&
+    return job.record_revision != 0 &&
            context_.cluster.state_confirmed(context_.cluster.job_index.at(job.spec.id));
 }
 
@@ -210,8 +210,8 @@
         return start_read(std::move(call), reply, kNotFound);
     }
     auto& job = *context_.cluster.jobs[it->second];
-    if (job.cancel_recorded) return reply.set(job_reply(job, PeerOp::Cancel, 200));
-    if (job.version == 0 || kv_unavailable_()) return reply.set(retry_later(context_));
+    if (job.cancel_durable) return reply.set(job_reply(job, PeerOp::Cancel, 200));
+    if (job.record_revision == 0 || kv_unavailable_()) return reply.set(retry_later(context_));
     // Answered once the cancellation, or the end that came before it, is recorded.
     waiters_[call.subject].push_back({PeerOp::Cancel, reply});
     if (job.cancelled || job.ending) return;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -41,7 +41,8 @@
     LinkStatus links;
     for (auto& m : cluster.machines) {
         if (!m || m->last_heartbeat <= 0) continue;
-        bool direct = m->direct_at > 0 && now - m->direct_at < times.direct_heartbeat_s;
+        bool direct = m->last_direct_heartbeat > 0 &&
+                      now - m->last_direct_heartbeat < times.direct_heartbeat_s;
         bool reached = now - m->last_heartbeat < times.direct_heartbeat_s;
         bool known = now - m->last_heartbeat < lease_s;
         links.direct_workers += direct;
--- a/src/scheduler/capacity_breakdown.cpp
+++ b/src/scheduler/capacity_breakdown.cpp
@@ -44,7 +44,7 @@
             auto& job = *cluster.jobs[ref.job];
             out[use_by(job.tasks[ref.task])] += job.spec.demand;
         }
-        out[use_of_free(*m, usable, now)] += m->room();
+        out[use_of_free(*m, usable, now)] += m->free_resources();
     }
     return out;
 }
--- a/src/scheduler/deadline_feasibility.cpp
+++ b/src/scheduler/deadline_feasibility.cpp
@@ -43,7 +43,7 @@
         auto& job = *cluster.jobs[j];
         double run = cluster.expected_run_s(job.spec);
         int missed = 0;
-        double due = cluster.due(job, now + run, missed);
+        double due = cluster.due_time(job, now + run, missed);
         if (due > kNoDueTime_s || missed != static_cast<int>(level)) continue;
         out.push_back({j, waiting_work(cluster, job), due - run - now});
     }
@@ -63,7 +63,7 @@
         if (job.spec.kind == JobKind::Array && job.pending > 0) jobs.push_back(j);
     }
     size_t levels = 0;
-    for (auto j : jobs) levels = std::max(levels, cluster.times_asked(*cluster.jobs[j]));
+    for (auto j : jobs) levels = std::max(levels, cluster.due_time_count(*cluster.jobs[j]));
     double before = 0;
     // Those that can meet their first time go before those that can only meet the next.
     for (size_t level = 0; level < levels; ++level) {
--- a/src/scheduler/eligibility.h
+++ b/src/scheduler/eligibility.h
@@ -10,7 +10,7 @@
 // Whether tasks of this kind may run on the machine by type, zone and kind, and do not have to
 // leave its GPUs to others.
 inline bool machine_suits(const ClusterState& cluster, const JobSpec& spec, const Machine& m) {
-    return cluster.machine_allowed(spec, m) && !cluster.reserves_gpus(spec, m.type);
+    return cluster.machine_allowed(spec, m) && !cluster.must_leave_room_for_gpus(spec, m.type);
 }
 
 // The image is on the machine, or is being fetched there for another task.
--- a/src/scheduler/fit_queues.cpp
+++ b/src/scheduler/fit_queues.cpp
@@ -18,15 +18,15 @@
 
 Fit fit(const ClusterState& cluster, const Job& job, Index index, double now) {
     auto& m = *cluster.machines[index];
-    auto left = m.room() - job.spec.demand;
+    auto left = m.free_resources() - job.spec.demand;
     bool wasted_gpus = job.spec.demand.gpu == 0 && m.size.gpu > 0;
     int64_t rest = job.spec.demand.gpu > 0 ? left.gpu : left.cpu;
     bool whole = together(job.spec);
-    return {wasted_gpus,       !job.failed_on.empty() && job.failed_on.contains(index),
+    return {wasted_gpus,       !job.failed_machines.empty() && job.failed_machines.contains(index),
             m.tasks.empty(),   rest,
             whole && m.spot,   !m.has_image(job.spec.image),
             !whole && !m.spot, left.cpu,
-            left.mem,          cluster.heartbeat_due_s(m, now)};
+            left.mem,          cluster.next_heartbeat_in_s(m, now)};
 }
 
 int64_t FitQueue::room(Index zone) const {
@@ -66,7 +66,7 @@
     auto& job = *cluster_.jobs[index];
     auto kind = kind_of_[index];
     // Machines on which the job has failed come last for this job alone.
-    if (asking_[kind] < 2 || !job.failed_on.empty()) {
+    if (asking_[kind] < 2 || !job.failed_machines.empty()) {
         own_ = {};
         own_.near_ = near;
         build(own_, job);
@@ -89,9 +89,9 @@
 void FitQueues::admit(FitQueue& queue, const Job& job, Index machine) const {
     auto& m = *cluster_.machines[machine];
     int64_t times = 0;
-    if (job.spec.demand.fits_in(m.room()) && cluster_.machine_allowed(job.spec, m) &&
+    if (job.spec.demand.fits_in(m.free_resources()) && cluster_.machine_allowed(job.spec, m) &&
         (!queue.near_ || image_near(cluster_, m, job.spec.image)))
-        times = job.spec.demand.times_in(m.room());
+        times = job.spec.demand.times_in(m.free_resources());
     if (times == 0 && queue.times_[machine] == 0) return;
     auto& zone = queue.zones_[m.zone];
     zone.room += times - queue.times_[machine];
--- a/src/scheduler/gang_launch.cpp
+++ b/src/scheduler/gang_launch.cpp
@@ -23,7 +23,7 @@
         if (t.state != TaskState::Placed || !lacks(t)) continue;
         auto type = cluster.machines[t.machine]->type;
         if (type >= cluster.types.size()) continue;
-        double fetch_s = kSlowFetch * cluster.fetch_s(spec, type);
+        double fetch_s = kSlowFetch * cluster.image_fetch_s(spec, type);
         double remaining_s = t.start_seq > 0 ? t.placed_at + fetch_s - now : fetch_s;
         if (remaining_s > longest_s) return false;
     }
--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -27,22 +27,23 @@
 };
 
 bool may_be_placed(const Job& job, double now) {
-    if (!job.active() || job.waits || job.pending == 0 || job.not_before > now) return false;
+    if (!job.active() || job.waits_for_dependencies || job.pending == 0 || job.not_before > now)
+        return false;
     // A gang starts anew only after every task of its old attempt is gone.
-    return job.spec.kind != JobKind::Gang || (job.placed == 0 && !job.gang_ending);
+    return job.spec.kind != JobKind::Gang || (job.placed == 0 && !job.gang_attempt_ending);
 }
 
 // Among equals, those that can still be in time go first, and of them the one due soonest.
 DueTime due_time(const ClusterState& cluster, const Job& job, double now) {
     DueTime due;
-    due.at = cluster.due(job, now + cluster.expected_run_s(job.spec), due.missed);
+    due.at = cluster.due_time(job, now + cluster.expected_run_s(job.spec), due.missed);
     // Where they can't all be in time, shorter work goes first, so that as many as can be are; a
     // job waits in proportion to its work at the most, as later ones count from when they came.
     // What others depend on keeps the time by which those need it.
     double slowdown = cluster.slowdown(job.spec);
     if (slowdown > 0 && job.needed_by > kNoDueTime_s) {
         due.missed = 0;
-        due.at = job.came_at() + slowdown * waiting_work(cluster, job);
+        due.at = job.schedulable_since_steady() + slowdown * waiting_work(cluster, job);
     }
     return due;
 }
@@ -51,9 +52,9 @@
     auto& job = *cluster.jobs[index];
     auto due = due_time(cluster, job, now);
     auto& team = cluster.teams[job.spec.team];
-    Rank rank{!job.guaranteed, -static_cast<int>(job.priority),
+    Rank rank{!job.guaranteed, -static_cast<int>(job.effective_priority),
               !cluster.within_guarantee(team, job.spec.demand), -job.spec.demand.gpu, due.missed};
-    return {{rank, due.at, job.submitted, job.spec.id}, index};
+    return {{rank, due.at, job.submitted_wall, job.spec.id}, index};
 }
 
 }  // namespace
--- a/src/scheduler/overload_forecast.cpp
+++ b/src/scheduler/overload_forecast.cpp
@@ -57,8 +57,8 @@
     q.in_use += each * job.placed;
     q.wanted += all;
     s.gpu = gpu;
-    s.priority = std::max(s.priority, job.priority);
-    sums.by_priority[gpu][job.priority] += all;
+    s.priority = std::max(s.priority, job.effective_priority);
+    sums.by_priority[gpu][job.effective_priority] += all;
     if (job.pending == 0) return;
     ++q.jobs;
     q.waiting += waiting_work(cluster, job);
@@ -68,7 +68,7 @@
 DemandSums sum_demand(const ClusterState& cluster) {
     DemandSums sums;
     for (auto& job : cluster.jobs)
-        if (job && job->active() && !job->waits) add_job(sums, cluster, *job);
+        if (job && job->active() && !job->waits_for_dependencies) add_job(sums, cluster, *job);
     for (auto& [key, s] : sums.queues) sums.wanted[s.gpu] += s.queue.wanted;
     return sums;
 }
@@ -77,8 +77,8 @@
 // the mean deadline of those that wait.
 double expected_within_s(const ClusterState& cluster, const QueueKey& key, const QueueSums& s) {
     if (key.job_class < cluster.classes.size() &&
-        !cluster.classes[key.job_class].done_within_s.empty())
-        return cluster.classes[key.job_class].done_within_s.back();
+        !cluster.classes[key.job_class].finish_within_s.empty())
+        return cluster.classes[key.job_class].finish_within_s.back();
     return s.queue.jobs > 0 ? s.deadlines_s / s.queue.jobs : 0;
 }
 
@@ -154,7 +154,7 @@
 void Forecast::mark_abandoned_deadlines(ClusterState& cluster, double now) {
     std::map<QueueKey, std::vector<Index>> jobs_of;
     for (Index j = 0; j < cluster.jobs.size(); ++j)
-        if (auto* job = cluster.jobs[j].get(); job && job->active() && !job->waits)
+        if (auto* job = cluster.jobs[j].get(); job && job->active() && !job->waits_for_dependencies)
             jobs_of[{job->spec.team, job->spec.job_class}].push_back(j);
     for (auto& [key, jobs] : jobs_of) {
         auto& q = queues_[key];
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -39,7 +39,7 @@
     // What no job passes others by: guarantee and priority.
     std::pair<bool, int> precedence(Index index) const {
         auto& job = *cluster_.jobs[index];
-        return {!job.guaranteed, -static_cast<int>(job.priority)};
+        return {!job.guaranteed, -static_cast<int>(job.effective_priority)};
     }
 
     void place(Index index, size_t most) {
--- a/src/scheduler/placement_pass.cpp
+++ b/src/scheduler/placement_pass.cpp
@@ -14,7 +14,8 @@
       now_(now),
       open_(find_open_machines(usable, waiting)),
       queues_(cluster, open_, waiting, now) {
-    for (auto j : waiting) lowest_priority_ = std::min(lowest_priority_, cluster.jobs[j]->priority);
+    for (auto j : waiting)
+        lowest_priority_ = std::min(lowest_priority_, cluster.jobs[j]->effective_priority);
     for (auto i : open_) {
         auto& m = *cluster.machines[i];
         if (m.reserved(now)) reserved_for_.push_back(m.reserved_for);
@@ -29,7 +30,7 @@
     auto least = smallest_demand(cluster_, waiting);
     for (Index i = 0; i < cluster_.machines.size(); ++i) {
         auto* m = cluster_.machines[i].get();
-        if (m && least.fits_in(m->room()) && usable(*m)) out.push_back(i);
+        if (m && least.fits_in(m->free_resources()) && usable(*m)) out.push_back(i);
     }
     return out;
 }
@@ -70,15 +71,17 @@
 // reserved for others.
 bool PlacementPass::may_use(Index index, Index machine) const {
     auto& job = *cluster_.jobs[index];
-    if (auto held = held_.find(machine); held != held_.end() && held->second > job.priority)
+    if (auto held = held_.find(machine);
+        held != held_.end() && held->second > job.effective_priority)
         return false;
     auto& m = *cluster_.machines[machine];
     for (auto& kept : headroom_)
-        if (kept.surplus <= 0 && job.priority < kept.like->priority && is_headroom(kept, m))
+        if (kept.surplus <= 0 && job.effective_priority < kept.like->priority &&
+            is_headroom(kept, m))
             return false;
     if (!m.reserved(now_) || m.reserved_for == index) return true;
     auto* owner = cluster_.jobs[m.reserved_for].get();
-    return !owner || owner->priority < job.priority;
+    return !owner || owner->effective_priority < job.effective_priority;
 }
 
 std::vector<Index> PlacementPass::zone_order(Index index) {
@@ -117,20 +120,22 @@
 }
 
 void PlacementPass::hold_partial_room(const Job& job) {
-    if (job.priority == lowest_priority_) return;  // there is none that would pass over them
+    if (job.effective_priority == lowest_priority_)
+        return;  // there is none that would pass over them
     if (!shares_machines(job.spec)) return;
     auto& demand = job.spec.demand;
     std::vector<std::pair<int64_t, Index>> partly_free;  // CPUs that one task lacks; machine
     for (auto i : open_) {
         auto& m = *cluster_.machines[i];
-        if (demand.fits_in(m.room()) || demand.times_in(m.size) < 2) continue;
-        if (held_for_others(i, job.priority) || !machine_suits(cluster_, job.spec, m)) continue;
-        partly_free.emplace_back(demand.cpu - m.room().cpu, i);
+        if (demand.fits_in(m.free_resources()) || demand.times_in(m.size) < 2) continue;
+        if (held_for_others(i, job.effective_priority) || !machine_suits(cluster_, job.spec, m))
+            continue;
+        partly_free.emplace_back(demand.cpu - m.free_resources().cpu, i);
     }
     size_t n = std::min<size_t>(partly_free.size(), job.pending);
     std::partial_sort(partly_free.begin(), partly_free.begin() + static_cast<long>(n),
                       partly_free.end());
-    for (size_t k = 0; k < n; ++k) held_[partly_free[k].second] = job.priority;
+    for (size_t k = 0; k < n; ++k) held_[partly_free[k].second] = job.effective_priority;
 }
 
 // The zone whose best entry fits best, of those that the rule allows; null: none has room.
--- a/src/scheduler/placement_pass.h
+++ b/src/scheduler/placement_pass.h
@@ -102,7 +102,7 @@
     template <class Place>
     bool fill_machine(const Job& job, Index machine, ZoneRule& rule, Place& place) {
         auto& m = *cluster_.machines[machine];
-        while (job.spec.demand.fits_in(m.room()) && rule.allows(m.zone) &&
+        while (job.spec.demand.fits_in(m.free_resources()) && rule.allows(m.zone) &&
                cluster_.leaves_gpus_usable(job.spec, m)) {
             if (!place(machine)) return false;
             rule.add(m.zone);
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -51,11 +51,12 @@
     // A job may take over the priority of a job that depends on it. A stop must be right with and
     // without that: the victim counts with the priority it took over, the job that asks with its
     // own alone.
-    if (victim.priority < job.spec.priority) return true;
+    if (victim.effective_priority < job.spec.priority) return true;
     // Work beyond its team's guarantee gives way to a team that is owed its own.
     auto& owed = cluster.teams[job.spec.team];
     auto& taker = cluster.teams[victim.spec.team];
-    return victim.spec.team != job.spec.team && cluster.over_guarantee(taker, victim.spec.demand) &&
+    return victim.spec.team != job.spec.team &&
+           cluster.exceeds_guarantee(taker, victim.spec.demand) &&
            cluster.within_guarantee(owed, job.spec.kind == JobKind::Array
                                               ? job.spec.demand
                                               : job.spec.demand * job.pending);
@@ -237,7 +238,7 @@
 
 PreemptionRound PreemptionPlanner::run() {
     for (auto j : waiting_jobs(cluster_, now_))
-        if (cluster_.large(cluster_.jobs[j]->spec)) plan_job(j);
+        if (cluster_.needs_whole_machines(cluster_.jobs[j]->spec)) plan_job(j);
     return std::move(round_);
 }
 
@@ -333,7 +334,7 @@
     for (Index i = 0; i < cluster_.machines.size(); ++i) {
         if (!considered(job, rule, zone, i)) continue;
         auto& m = *cluster_.machines[i];
-        auto free = job.spec.demand.times_in(m.room() - promised_[i]);
+        auto free = job.spec.demand.times_in(m.free_resources() - promised_[i]);
         if (free > 0) {
             plan.missing -= free;
             plan.free.push_back({i, free});
--- a/src/scheduler/start_deadline.cpp
+++ b/src/scheduler/start_deadline.cpp
@@ -13,7 +13,8 @@
 constexpr double kNearDeadline = 0.7;
 
 bool waits_to_begin(const Job& job, double now) {
-    return job.active() && !job.waits && job.placed + job.done == 0 && job.not_before <= now;
+    return job.active() && !job.waits_for_dependencies && job.placed + job.done == 0 &&
+           job.not_before <= now;
 }
 
 // Whether the machine may be kept for a gang that takes one whole with each task.
@@ -33,11 +34,11 @@
     for (Index j = 0; j < cluster.jobs.size(); ++j) {
         auto* job = cluster.jobs[j].get();
         if (!job || !waits_to_begin(*job, now)) continue;
-        if (now - job->came_at() > kNearDeadline * within_s) out.push_back(j);
+        if (now - job->schedulable_since_steady() > kNearDeadline * within_s) out.push_back(j);
     }
     std::ranges::sort(out, [&](Index a, Index b) {
-        return std::make_pair(cluster.jobs[a]->came_at(), a) <
-               std::make_pair(cluster.jobs[b]->came_at(), b);
+        return std::make_pair(cluster.jobs[a]->schedulable_since_steady(), a) <
+               std::make_pair(cluster.jobs[b]->schedulable_since_steady(), b);
     });
     return out;
 }
--- a/src/scheduler/starvation.cpp
+++ b/src/scheduler/starvation.cpp
@@ -39,8 +39,8 @@
     std::vector<Offer> out;
     for (auto i : roomy) {
         auto& m = *cluster.machines[i];
-        if (!spec.demand.fits_in(m.room()) || !cluster.machine_allowed(spec, m)) continue;
-        auto tasks = std::min<int64_t>(spec.demand.times_in(m.room()), wanted);
+        if (!spec.demand.fits_in(m.free_resources()) || !cluster.machine_allowed(spec, m)) continue;
+        auto tasks = std::min<int64_t>(spec.demand.times_in(m.free_resources()), wanted);
         out.push_back({i, m.zone, blocked_by(cluster, m, usable, index, now), tasks});
     }
     std::ranges::sort(out, [](auto& a, auto& b) { return a.blocked_by < b.blocked_by; });
@@ -76,9 +76,9 @@
     std::vector<Index> out;
     for (Index j = 0; j < cluster.jobs.size(); ++j) {
         auto* job = cluster.jobs[j].get();
-        if (!job || !job->active() || job->waits || job->pending == 0) continue;
+        if (!job || !job->active() || job->waits_for_dependencies || job->pending == 0) continue;
         if (job->placed > 0 || job->done > 0) continue;
-        if (now - job->came_at() >= waits_s) out.push_back(j);
+        if (now - job->schedulable_since_steady() >= waits_s) out.push_back(j);
     }
     return out;
 }
@@ -95,7 +95,7 @@
     std::vector<Index> roomy;
     for (Index i = 0; i < cluster.machines.size(); ++i) {
         auto* m = cluster.machines[i].get();
-        if (m && m->up && !m->abandoned && m->zone != kNone && least.fits_in(m->room()))
+        if (m && m->up && !m->abandoned && m->zone != kNone && least.fits_in(m->free_resources()))
             roomy.push_back(i);
     }
     std::vector<StarvedJob> out;
--- a/src/standby/standby_decisions.cpp
+++ b/src/standby/standby_decisions.cpp
@@ -12,7 +12,7 @@
     JobStanding s;
     s.place = JobPlace::Ended;
     s.state = ended.state;
-    s.done = ended.done;
+    s.done = ended.done_tasks;
     return s;
 }
 
--- a/src/standby/standby_service.cpp
+++ b/src/standby/standby_service.cpp
@@ -232,7 +232,7 @@
 }
 
 asio::awaitable<PeerReply> StandbyService::submit_valid(JobSpec spec) {
-    if (cluster_.never_runs(spec)) {
+    if (cluster_.unschedulable_reason(spec)) {
         auto never = can_never_run();
         co_return co_await refuse(spec.id, std::move(never));
     }
--- a/src/standby/state_log_view.cpp
+++ b/src/standby/state_log_view.cpp
@@ -128,7 +128,7 @@
         job.tasks[t] = static_cast<uint8_t>(state);
     };
     for (size_t i = 2; i < e.size(); ++i) {
-        auto row = parse_row(e[i], job.tasks.size());
+        auto row = parse_task_row(e[i], job.tasks.size());
         for (uint32_t t = row.first; t <= row.last; ++t) set(t, row.state);
     }
 }
--- a/src/state/cluster_state.cpp
+++ b/src/state/cluster_state.cpp
@@ -5,17 +5,18 @@
 namespace weirmill {
 
 namespace {
-// Names of classes are the users' own: further ones are not learnt from.
+// Users choose class names freely; run times of further classes are not learnt.
 constexpr size_t kMaxClasses = 1000;
-constexpr double kTaskMemoryShare = 0.3;  // of the memory that the settings give
+constexpr double kTaskMemoryShare = 0.3;  // share of the memory limit that tasks may use
 constexpr double kBytesPerMb = 1e6;
-// Of the time between heartbeats: a worker later than this may be silent.
-constexpr double kMaxLateHeartbeat = 0.3;
-constexpr double kSilent_s = 1e9;
+// Fraction of the heartbeat interval. A worker whose heartbeat is later than this may be
+// unreachable.
+constexpr double kMaxHeartbeatDelay = 0.3;
+constexpr double kUnreachable_s = 1e9;
 
-// The first free place, or a new one at the end.
+// Returns the first free index, or the index of a new entry at the end.
 template <class T>
-Index free_place(std::vector<std::unique_ptr<T>>& table) {
+Index free_index(std::vector<std::unique_ptr<T>>& table) {
     auto free = std::ranges::find_if(table, [](const auto& entry) { return !entry; });
     if (free == table.end()) free = table.insert(table.end(), nullptr);
     return static_cast<Index>(free - table.begin());
@@ -30,7 +31,7 @@
     }
     for (const auto& z : settings.zones) names.zones.intern(z);
     for (const auto& objective : settings.objectives) {
-        if (!schedulable(objective)) continue;
+        if (!affects_scheduling(objective)) continue;
         auto index = names.classes.intern(objective.job_class);
         if (classes.size() <= index) classes.resize(index + 1);
         add_objective(classes[index], objective);
@@ -40,41 +41,42 @@
         static_cast<size_t>(settings.mem_mb * kBytesPerMb * kTaskMemoryShare / sizeof(Task));
 }
 
-Index ClusterState::add_job(JobSpec spec, double submitted, double now) {
+Index ClusterState::add_job(JobSpec spec, double submitted_wall, double now) {
     auto job = std::make_unique<Job>();
     job->tasks.resize(spec.tasks);
     job->pending = spec.tasks;
-    job->submitted = submitted;
-    job->seen_at = now;
-    job->priority = spec.priority;
-    job->waits = !spec.dependencies.empty();
+    job->submitted_wall = submitted_wall;
+    job->submitted_steady = now;
+    job->effective_priority = spec.priority;
+    job->waits_for_dependencies = !spec.dependencies.empty();
     job->spec = std::move(spec);
     task_count += job->tasks.size();
     if (job->spec.job_class < kMaxClasses && classes.size() <= job->spec.job_class)
         classes.resize(job->spec.job_class + 1);
-    learn_gpu_share(job->spec.demand);
-    learn_image_size(job->spec);
-    auto index = free_place(jobs);
+    update_resources_per_gpu(job->spec.demand);
+    update_image_size(job->spec);
+    auto index = free_index(jobs);
     job_index[job->spec.id] = index;
     jobs[index] = std::move(job);
-    if (!jobs[index]->waits) mark_ready(*jobs[index], now);
+    if (!jobs[index]->waits_for_dependencies) mark_ready(*jobs[index], now);
     return index;
 }
 
-void ClusterState::learn_gpu_share(const Resources& demand) {
+void ClusterState::update_resources_per_gpu(const Resources& demand) {
     if (demand.gpu < 1000) return;
     Resources share{demand.cpu * 1000 / demand.gpu, 1000, demand.mem * 1000 / demand.gpu};
-    if (per_gpu.gpu == 0) per_gpu = share;
-    per_gpu = {(per_gpu.cpu * 4 + share.cpu) / 5, 1000, (per_gpu.mem * 4 + share.mem) / 5};
+    if (resources_per_gpu.gpu == 0) resources_per_gpu = share;
+    resources_per_gpu = {(resources_per_gpu.cpu * 4 + share.cpu) / 5, 1000,
+                         (resources_per_gpu.mem * 4 + share.mem) / 5};
 }
 
-void ClusterState::learn_image_size(const JobSpec& spec) {
+void ClusterState::update_image_size(const JobSpec& spec) {
     if (spec.image == kNone) return;
     if (image_gb_.size() <= spec.image) image_gb_.resize(spec.image + 1, 0);
     image_gb_[spec.image] = static_cast<float>(spec.image_gb);
 }
 
-// The job may be placed from now on.
+// Called when the job has no dependencies left and may be placed.
 void ClusterState::mark_ready(Job& job, double now) {
     mark_guaranteed(job);
     if (job.spec.job_class < classes.size())
@@ -86,42 +88,44 @@
     Resources sum = job.spec.demand * job.spec.tasks;
     for (const auto& other : jobs) {
         if (!other || other.get() == &job || other->spec.team != job.spec.team) continue;
-        if (other->waits || other->came() > job.came()) continue;
+        if (other->waits_for_dependencies ||
+            other->schedulable_since_wall() > job.schedulable_since_wall())
+            continue;
         sum += other->spec.demand * (other->spec.tasks - other->done);
     }
-    job.guaranteed = covers(teams[job.spec.team].guarantee, sum, job.spec.demand);
+    job.guaranteed = guarantee_covers(teams[job.spec.team].guarantee, sum, job.spec.demand);
 }
 
 void ClusterState::remove_job(Index index, double now) {
     auto& job = *jobs[index];
     for (uint32_t t = 0; t < job.tasks.size(); ++t)
-        if (job.tasks[t].state == TaskState::Placed) leave_machine(index, t, now);
+        if (job.tasks[t].state == TaskState::Placed) remove_from_machine(index, t, now);
     for (auto& m : machines)
         if (m && m->reserved_for == index) m->reserved_for = kNone;
     task_count -= job.tasks.size();
-    auto on = dependencies_.of(index);
-    auto dependants = dependencies_.dependants(index);
+    auto dependencies = dependencies_.dependencies_of(index);
+    auto dependants = dependencies_.dependants_of(index);
     bool cancelled = job.cancelled;
-    double ended = job.ended;
+    double ended_wall = job.ended_wall;
     dependencies_.remove(index);
     job_index.erase(job.spec.id);
     jobs[index].reset();
     for (auto d : dependants) {
-        jobs[d]->waits = !dependencies_.ready(d);
-        // Dependants of a cancelled job are cancelled themselves.
-        if (!cancelled) release_dependant(d, ended, now);
+        jobs[d]->waits_for_dependencies = !dependencies_.ready(d);
+        // The dependants of a cancelled job are cancelled too.
+        if (!cancelled) release_dependant(d, ended_wall, now);
     }
-    for (auto d : on) propagate_demands_from(d);
+    for (auto d : dependencies) propagate_inherited_values(d);
 }
 
-void ClusterState::clear_work() {
+void ClusterState::clear_jobs_and_machines() {
     jobs.clear();
     machines.clear();
     job_index.clear();
     machine_index.clear();
     dependencies_.clear();
-    changes.clear();
-    last_change = recorded_through = 0;
+    task_changes.clear();
+    last_change_number = recorded_through = 0;
     task_count = 0;
     for (auto& t : teams) t.used = {};
 }
@@ -134,20 +138,20 @@
 Index ClusterState::add_machine(const std::string& name, double now) {
     auto it = machine_index.find(name);
     if (it != machine_index.end()) return it->second;
-    auto index = free_place(machines);
+    auto index = free_index(machines);
     machines[index] = std::make_unique<Machine>();
     auto& m = *machines[index];
     m.name = name;
-    m.added = m.requested_at = m.empty_since = now;
+    m.added_at = m.requested_at = m.empty_since = now;
     machine_index[name] = index;
     return index;
 }
 
 void ClusterState::remove_machine(Index index) {
     machine_index.erase(machines[index]->name);
-    // A later machine may take this index: nothing of this one may be held against it.
+    // A later machine may reuse this index and must not inherit the failures of this one.
     for (auto& job : jobs)
-        if (job) job->failed_on.erase(index);
+        if (job) job->failed_machines.erase(index);
     machines[index].reset();
 }
 
@@ -176,15 +180,15 @@
         if (m && offered(m->type)) m->size = types[m->type].type.size;
 }
 
-bool ClusterState::refused(Index type, Index zone, bool spot, double now) const {
-    return std::ranges::any_of(refusals, [&](const auto& r) {
-        return r.first > now && r.second == Refusal{type, zone, spot};
+bool ClusterState::capacity_refused(Index type, Index zone, bool spot, double now) const {
+    return std::ranges::any_of(capacity_refusals, [&](const auto& r) {
+        return r.first > now && r.second == CapacityRefusal{type, zone, spot};
     });
 }
 
-double ClusterState::heartbeat_due_s(const Machine& m, double now) const {
+double ClusterState::next_heartbeat_in_s(const Machine& m, double now) const {
     double due = m.last_heartbeat + heartbeat_interval_s_ - now;
-    return due > -kMaxLateHeartbeat * heartbeat_interval_s_ ? due : kSilent_s;
+    return due > -kMaxHeartbeatDelay * heartbeat_interval_s_ ? due : kUnreachable_s;
 }
 
 }  // namespace weirmill
--- a/src/state/dependency_graph.h
+++ b/src/state/dependency_graph.h
@@ -1,6 +1,6 @@
-// Which jobs wait for which. A dependency has to be done before any task of its dependant starts; a
-// job is ready once none is left. Edges join jobs that are both in the cluster state; jobs outside
-// pipelines take no memory. Not thread-safe.
+// The dependency graph of jobs. No task of a job may start before all dependencies of the job are
+// done; a job is ready once it has no dependencies left. The graph holds only edges between jobs in
+// the cluster state, and no nodes for jobs without edges. Not thread-safe.
 #pragma once
 #include <unordered_map>
 #include <vector>
@@ -11,29 +11,32 @@
 
 class DependencyGraph {
   public:
-    // `job` waits for each of `on`, none of them twice and none a dependant of the job.
-    void add(Index job, const std::vector<Index>& on);
-    // What the job waits for, and what waits for it.
-    const std::vector<Index>& of(Index job) const;
-    const std::vector<Index>& dependants(Index job) const;
-    bool ready(Index job) const { return of(job).empty(); }
-    // All that need the job, directly or through others; each once.
-    std::vector<Index> all_dependants(Index job) const;
-    // The job leaves the cluster state: nothing waits for it any more, nor it for anything.
+    // Adds the dependencies of a job. The list must not contain duplicates or dependants of the
+    // job.
+    void add(Index job, const std::vector<Index>& dependencies);
+    // Returns the direct dependencies of the job.
+    const std::vector<Index>& dependencies_of(Index job) const;
+    // Returns the direct dependants of the job.
+    const std::vector<Index>& dependants_of(Index job) const;
+    bool ready(Index job) const { return dependencies_of(job).empty(); }
+    // Returns all direct and indirect dependants of the job, each once.
+    std::vector<Index> transitive_dependants(Index job) const;
+    // Removes the job with all its edges.
     void remove(Index job);
     void clear() {
         nodes_.clear();
-        waiting_ = 0;
+        waiting_count_ = 0;
     }
-    size_t waiting() const { return waiting_; }  // jobs that are not ready
+    // The number of jobs that are not ready.
+    size_t waiting_count() const { return waiting_count_; }
 
   private:
     struct Node {
-        std::vector<Index> on, dependants;
+        std::vector<Index> dependencies, dependants;
     };
-    void unlink(Index job, std::vector<Index> Node::* side, Index other);
+    void remove_edge(Index job, std::vector<Index> Node::* side, Index other);
     std::unordered_map<Index, Node> nodes_;
-    size_t waiting_ = 0;
+    size_t waiting_count_ = 0;
 };
 
 }  // namespace weirmill
--- a/src/state/job_class.cpp
+++ b/src/state/job_class.cpp
@@ -6,10 +6,12 @@
 namespace weirmill {
 
 namespace {
-constexpr size_t kMaxArrivals = 64;
-constexpr double kMinRatio = 0.2, kMaxRatio = 5.0;  // of run time to estimate, as evidence
+constexpr size_t kMaxArrivals = 64;  // recent jobs kept for each class
+// Ratios of run time to estimate are clamped to this range.
+constexpr double kMinRatio = 0.2, kMaxRatio = 5.0;
 constexpr double kMaxEvidence = 20.0;
-constexpr double kPriorEvidence = 3;  // of the owners' own figures
+constexpr double kPriorEvidence = 3;  // weight of the users' estimates
+// Limits how far the weight of a task decreases with the number of tasks of its job.
 constexpr double kMaxTasksCounted = 8;
 
 bool is_deadline(const Objective& objective) {
@@ -17,38 +19,39 @@
 }
 }  // namespace
 
-bool schedulable(const Objective& objective) {
+bool affects_scheduling(const Objective& objective) {
     return !objective.job_class.empty() && (objective.within_s > 0 || is_deadline(objective));
 }
 
-void add_objective(JobClass& c, const Objective& objective) {
+void add_objective(JobClass& job_class, const Objective& objective) {
     if (objective.kind == "wait") {
-        bool first = c.start_within_s <= 0;
-        c.start_within_s =
-            first ? objective.within_s : std::min(c.start_within_s, objective.within_s);
+        bool is_first = job_class.start_within_s <= 0;
+        job_class.start_within_s =
+            is_first ? objective.within_s : std::min(job_class.start_within_s, objective.within_s);
     }
-    if (objective.kind == "finished") c.done_within_s.push_back(objective.within_s);
-    if (is_deadline(objective)) c.deadline_times.push_back(objective.times);
+    if (objective.kind == "finished") job_class.finish_within_s.push_back(objective.within_s);
+    if (is_deadline(objective)) job_class.deadline_factors.push_back(objective.times);
 }
 
-void sort_objectives(JobClass& c) {
-    std::ranges::sort(c.done_within_s);
-    std::ranges::sort(c.deadline_times);
+void sort_objectives(JobClass& job_class) {
+    std::ranges::sort(job_class.finish_within_s);
+    std::ranges::sort(job_class.deadline_factors);
 }
 
-void add_arrival(JobClass& c, const JobSpec& spec, double now) {
-    c.arrivals.emplace_back(now, spec.tasks);
-    if (c.arrivals.size() > kMaxArrivals) c.arrivals.pop_front();
-    c.last = spec;
+void add_arrival(JobClass& job_class, const JobSpec& spec, double now) {
+    job_class.recent_arrivals.emplace_back(now, spec.tasks);
+    if (job_class.recent_arrivals.size() > kMaxArrivals) job_class.recent_arrivals.pop_front();
+    job_class.latest_job = spec;
 }
 
-void learn_run_time(JobClass& c, const JobSpec& spec, double run_s) {
+void update_run_time_bias(JobClass& job_class, const JobSpec& spec, double run_s) {
     if (spec.estimate_s <= 0 || run_s <= 0) return;
     double ratio = std::clamp(run_s / spec.estimate_s, kMinRatio, kMaxRatio);
-    // Tasks of one job share its error: a task of a large job says less.
+    // The tasks of a job share the error of its estimate, so each task of a large job weighs less.
     double weight = 1.0 / std::min<double>(spec.tasks, kMaxTasksCounted);
-    c.learnt = std::min(c.learnt + weight, kMaxEvidence);
-    c.bias *= std::pow(ratio / c.bias, weight / (c.learnt + kPriorEvidence));
+    job_class.bias_evidence = std::min(job_class.bias_evidence + weight, kMaxEvidence);
+    job_class.run_time_bias *= std::pow(ratio / job_class.run_time_bias,
+                                        weight / (job_class.bias_evidence + kPriorEvidence));
 }
 
 }  // namespace weirmill
--- a/src/state/job_record.cpp
+++ b/src/state/job_record.cpp
@@ -10,36 +10,38 @@
 namespace {
 
 constexpr size_t kSegmentOverheadBytes = 8;  // brackets and commas around an entry
-constexpr size_t kVariableHeaderBytes = 60;  // its cancellation, and when it became ready
-constexpr size_t kPartOverheadBytes = 60;    // tag, job id and number of a part
-
-// A requested cancellation goes into every record that is written from then on. Its own entry may
-// precede the rewritten record, even in the same transaction, and is passed over by a reader once
-// the segments with the job's first record are deleted. A cancelled job whose user had been
-// answered was once restored as alive that way.
+constexpr size_t kVariableHeaderBytes = 60;  // fields `cancelled` and `ready`
+constexpr size_t kPartOverheadBytes = 60;    // tag, job id and part number
+
+// Every record that is written after a cancellation was requested states the cancellation. The
+// cancellation entry alone is not enough: it may precede the rewritten record, even in the same
+// transaction, and a reader skips it once the segments with the job's first record are deleted.
+// Without this rule, a new leader restored a job as live whose cancellation had been confirmed to
+// the user.
 json::object record_header(const Job& job) {
-    json::object o{{"at", job.submitted}};
-    if (job.ready > 0) o["ready"] = job.ready;
+    json::object o{{"at", job.submitted_wall}};
+    if (job.ready_wall > 0) o["ready"] = job.ready_wall;
     if (job.cancelled) o["cancelled"] = true;
     return o;
 }
 
 json::object record_body(const Job& job, Index index, const ClusterState& cluster) {
     auto body = submission_json(job.spec, cluster.names);
-    if (!job.waits || job.cancel_recorded) return body;
-    json::array awaits;
-    for (auto d : cluster.dependencies().of(index)) awaits.emplace_back(cluster.jobs[d]->spec.id);
-    body["awaits"] = std::move(awaits);
+    if (!job.waits_for_dependencies || job.cancel_durable) return body;
+    json::array dependency_ids;
+    for (auto d : cluster.dependencies().dependencies_of(index))
+        dependency_ids.emplace_back(cluster.jobs[d]->spec.id);
+    body["awaits"] = std::move(dependency_ids);
     return body;
 }
 
 bool inside_utf8_character(char c) { return (static_cast<unsigned char>(c) & 0xC0) == 0x80; }
 
-// The length of the part that begins at `at`, so that no character is cut.
-size_t part_length(const std::string& body, size_t at, size_t max_bytes) {
-    size_t n = std::min(max_bytes, body.size() - at);
-    while (at + n < body.size() && inside_utf8_character(body[at + n])) --n;
-    return n;
+// Returns the length of the part that begins at `offset`, such that no UTF-8 character is split.
+size_t part_length(const std::string& body, size_t offset, size_t max_bytes) {
+    size_t length = std::min(max_bytes, body.size() - offset);
+    while (offset + length < body.size() && inside_utf8_character(body[offset + length])) --length;
+    return length;
 }
 
 }  // namespace
@@ -51,7 +53,7 @@
 }
 
 size_t single_record_bytes(const Job& job, const ClusterState& cluster) {
-    json::object o{{"job", submission_json(job.spec, cluster.names)}, {"at", job.submitted}};
+    json::object o{{"job", submission_json(job.spec, cluster.names)}, {"at", job.submitted_wall}};
     return job_entry(std::move(o)).size() + kVariableHeaderBytes;
 }
 
@@ -68,12 +70,12 @@
     if (out[0].size() + kSegmentOverheadBytes <= max_segment_bytes) return out;
     out.clear();
     auto body = json::serialize(record_body(job, index, cluster));
-    // A part is JSON text inside a JSON string: quoting takes up to twice its length.
+    // A part is JSON text inside a JSON string: escaping can double its length.
     const size_t max_part_bytes = max_segment_bytes / 2 - kPartOverheadBytes;
-    for (size_t at = 0; at < body.size();) {
-        size_t n = part_length(body, at, max_part_bytes);
-        out.push_back(part_entry(job.spec.id, out.size(), body.substr(at, n)));
-        at += n;
+    for (size_t offset = 0; offset < body.size();) {
+        size_t length = part_length(body, offset, max_part_bytes);
+        out.push_back(part_entry(job.spec.id, out.size(), body.substr(offset, length)));
+        offset += length;
     }
     out.push_back(multi_part_end(job, out.size()));
     return out;
@@ -82,9 +84,9 @@
 void JobRecordDecoder::add_part(const json::array& entry, uint64_t segment) {
     auto id = entry_job_id(entry);
     auto part = parse_part(entry);
-    if (part.number == 0) partial_[id] = {"", 0, segment};
-    auto found = partial_.find(id);
-    if (found == partial_.end() || found->second.next_part != part.number) return;
+    if (part.number == 0) partial_records_[id] = {"", 0, segment};
+    auto found = partial_records_.find(id);
+    if (found == partial_records_.end() || found->second.next_part != part.number) return;
     found->second.body += part.text;
     ++found->second.next_part;
 }
@@ -101,11 +103,11 @@
         if (!body) read::bad("job");
         return DecodedJobRecord{&header, body, {}, segment};
     }
-    auto found = partial_.find(read::text(header, "id"));
-    if (found == partial_.end() || found->second.next_part != read::count(header, "pieces"))
+    auto found = partial_records_.find(read::text(header, "id"));
+    if (found == partial_records_.end() || found->second.next_part != read::count(header, "pieces"))
         return {};
     auto record = std::move(found->second);
-    partial_.erase(found);
+    partial_records_.erase(found);
     return DecodedJobRecord{&header, nullptr, read::parse(record.body), record.first_segment};
 }
 
--- a/src/state/job_requirements.cpp
+++ b/src/state/job_requirements.cpp
@@ -17,48 +17,51 @@
     return type_fits(spec, m.type);
 }
 
-bool ClusterState::reserves_gpus(const JobSpec& spec, Index type) const {
-    if (spec.demand.gpu > 0 || per_gpu.gpu == 0 || types[type].type.size.gpu == 0) return false;
+bool ClusterState::must_leave_room_for_gpus(const JobSpec& spec, Index type) const {
+    if (spec.demand.gpu > 0 || resources_per_gpu.gpu == 0 || types[type].type.size.gpu == 0)
+        return false;
     for (Index t = 0; t < types.size(); ++t)
         if (type_fits(spec, t) && types[t].type.size.gpu == 0) return true;
     return false;
 }
 
 bool ClusterState::leaves_gpus_usable(const JobSpec& spec, const Machine& m) const {
-    if (!reserves_gpus(spec, m.type)) return true;
-    // Nor does it keep an expensive machine from being given back: it comes where the GPUs are busy
-    // anyway.
+    if (!must_leave_room_for_gpus(spec, m.type)) return true;
+    // Only machines whose GPUs are at least half used take such tasks. This way they do not keep an
+    // expensive machine from being returned to the cloud.
     if (m.used.gpu * 2 < m.size.gpu) return false;
-    auto left = m.room() - spec.demand;
-    int64_t gpus = left.gpu / 1000;
-    return left.cpu >= gpus * per_gpu.cpu && left.mem >= gpus * per_gpu.mem;
+    auto remaining = m.free_resources() - spec.demand;
+    int64_t gpus = remaining.gpu / 1000;
+    return remaining.cpu >= gpus * resources_per_gpu.cpu &&
+           remaining.mem >= gpus * resources_per_gpu.mem;
 }
 
-bool ClusterState::large(const JobSpec& spec) const {
+bool ClusterState::needs_whole_machines(const JobSpec& spec) const {
     if (spec.kind == JobKind::Gang) return true;
-    bool any = false;
+    bool fits_any_type = false;
     for (Index t = 0; t < types.size(); ++t) {
         if (!type_fits(spec, t)) continue;
-        any = true;
+        fits_any_type = true;
         if (spec.demand.times_in(types[t].type.size) > 1) return false;
     }
-    return any;
+    return fits_any_type;
 }
 
-const char* ClusterState::never_runs(const JobSpec& spec) const {
+const char* ClusterState::unschedulable_reason(const JobSpec& spec) const {
     if (spec.team == kNone) return "unknown team";
     bool fits = false;
-    bool zone_ok = spec.zone == kNone;
+    bool zone_offered = spec.zone == kNone;
     for (Index t = 0; t < types.size(); ++t) {
         if (!type_fits(spec, t)) continue;
         fits = true;
         for (const auto& z : types[t].type.zones)
-            if (names.zones.find(z) == spec.zone) zone_ok = true;
+            if (names.zones.find(z) == spec.zone) zone_offered = true;
     }
-    if (!fits || !zone_ok) return "a task fits no allowed machine type";
-    // Tasks of an array run one after the other where they must.
-    auto at_once = spec.kind == JobKind::Array ? spec.demand : spec.demand * spec.tasks;
-    if (!weirmill::below_limit(teams[spec.team], at_once)) return "more than the team's limit";
+    if (!fits || !zone_offered) return "a task fits no allowed machine type";
+    // The tasks of an array job may run one after the other.
+    auto concurrent_demand = spec.kind == JobKind::Array ? spec.demand : spec.demand * spec.tasks;
+    if (!weirmill::usage_within_limit(teams[spec.team], concurrent_demand))
+        return "more than the team's limit";
     return nullptr;
 }
 
--- a/src/state/machine.h
+++ b/src/state/machine.h
@@ -1,4 +1,4 @@
-// A machine: what its worker reported, what the cloud reported, and what the leader does with it.
+// A machine: the reports of its worker and of the cloud, and the leader's decisions about it.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -12,57 +12,60 @@
 
 namespace weirmill {
 
-// Times are of the steady clock, seconds.
+// Times are of the steady clock in seconds.
 struct Machine {
     std::string name, addr;
     Index type = kNone, zone = kNone;
     bool spot = false;
 
-    // What it holds.
+    // Resources, tasks and images.
     Resources size, used;
-    std::vector<TaskRef> tasks;  // all that may be on it
-    // Of the last heartbeat: exited entries, and tasks not expected there.
+    std::vector<TaskRef> tasks;  // placed tasks, each of which may still be on the machine
+    // Entries of the last heartbeat that report exits or tasks that were not expected here.
     std::vector<UnexpectedTask> unexpected_tasks;
-    std::vector<Index> images;  // observed, most recent last
+    std::vector<Index> cached_images;  // images seen on the machine, most recently used last
     double empty_since = 0;
 
-    // What its worker reported.
-    bool up = false;  // has sent a heartbeat to this leader
-    uint64_t agent_epoch = 0, seq = 0;
-    bool saw_fencing_token = false;  // the worker is known to have seen this leader's
+    // Reported by the worker.
+    bool up = false;  // The worker has sent a heartbeat to this leader.
+    uint64_t agent_epoch = 0, heartbeat_seq = 0;
+    bool saw_fencing_token = false;  // The worker is known to have seen this leader's token.
     DownlinkState downlink;
     double last_heartbeat = 0, last_answer = 0;
-    double direct_at = 0;    // the last heartbeat that came to this controller itself
-    std::string relayed_by;  // the controller that passed on the last one; empty: it came directly
-    double interruption_at = -1;  // of a spot instance that was given notice; < 0: none
+    double last_direct_heartbeat = 0;  // last heartbeat that reached this controller unrelayed
+    std::string relayed_by;            // controller that relayed the last heartbeat; empty: none
+    double interruption_at = -1;       // announced interruption of a spot instance; < 0: none
 
-    // What the cloud reported.
+    // Reported by the cloud.
     bool listed = false, missing = false;
     MachineStatus status = MachineStatus::Booting;
-    double added = 0, requested_at = 0, missing_since = 0, up_at = 0;
+    double added_at = 0, requested_at = 0, missing_since = 0, up_at = 0;
 
-    // What this leader does with it.
-    bool provisioned_here = false;  // it was requested by this leader
-    bool terminating = false;       // it is being given back
-    bool abandoned = false;         // given up: a failed boot, or an expired lease
-    bool draining = false;          // its tasks move elsewhere, then it is given back
-    Index reserved_for = kNone;     // a job
+    // Decided by this leader.
+    bool provisioned_here = false;  // This leader requested the machine.
+    bool terminating = false;       // The machine is being returned to the cloud.
+    bool abandoned = false;         // Its boot failed or its lease expired; it is not used again.
+    bool draining = false;          // Its tasks are moved elsewhere, then it is returned.
+    Index reserved_for = kNone;     // index of a job
     double reserved_until = 0;
 
-    // Failures of tasks, held against the machine.
+    // Task failures that count against the machine.
     double quarantined_until = 0;
-    int faults = 0;
-    std::set<Index> faulty_jobs;
+    int fault_count = 0;
+    std::set<Index> faulty_jobs;  // jobs whose tasks failed here
 
-    Resources room() const { return size - used; }
+    Resources free_resources() const { return size - used; }
     bool reserved(double now) const { return reserved_for != kNone && reserved_until > now; }
-    bool has_image(Index image) const { return std::ranges::find(images, image) != images.end(); }
+    bool has_image(Index image) const {
+        return std::ranges::find(cached_images, image) != cached_images.end();
+    }
 };
 
-// When all that may be on the machine is certainly gone (liveness/worker_lease.h).
-inline double worker_lease_expiry(const Settings& s, const Machine& m, double won) {
+// Returns when all tasks that may be on the machine have certainly ended
+// (liveness/worker_lease.h). `term_start`: when this leader was elected.
+inline double worker_lease_expiry(const Settings& s, const Machine& m, double term_start) {
     return worker_lease_expiry(
-        s, WorkerContact{m.last_heartbeat, m.last_answer, m.saw_fencing_token}, won);
+        s, WorkerContact{m.last_heartbeat, m.last_answer, m.saw_fencing_token}, term_start);
 }
 
 }  // namespace weirmill
--- a/src/state/machine_type.h
+++ b/src/state/machine_type.h
@@ -1,4 +1,4 @@
-// Machine types as the cloud offers them, and its refusals to provide one.
+// Machine types that the cloud offers, and capacity that it refused.
 #pragma once
 #include <compare>
 #include <utility>
@@ -8,16 +8,16 @@
 
 namespace weirmill {
 
-struct TypeInfo {
+struct MachineTypeEntry {
     bool offered = false;
     MachineType type;
 };
 
-// The cloud had no machine of this kind when it was asked.
-struct Refusal {
+// The cloud refused a request because it had no such machine available.
+struct CapacityRefusal {
     Index type, zone;
     bool spot;
-    auto operator<=>(const Refusal&) const = default;
+    auto operator<=>(const CapacityRefusal&) const = default;
 };
 
 }  // namespace weirmill
--- a/src/state/pending_records.cpp
+++ b/src/state/pending_records.cpp
@@ -13,7 +13,7 @@
     json::object o;
     if (r.accepted()) {
         o["job"] = r.job;
-        o["at"] = r.at;
+        o["at"] = r.submitted_wall;
     }
     if (r.cancelled) o["cancelled"] = true;
     return json::serialize(o);
@@ -25,7 +25,7 @@
     r.cancelled = read::flag(o, "cancelled", false);
     if (auto* job = read::field(o, "job")) {
         r.job = *job;
-        r.at = read::number(o, "at", {}, 1e12);
+        r.submitted_wall = read::number(o, "at", {}, 1e12);
     } else if (!r.cancelled) {
         read::bad("job");
     }
--- a/src/state/state_log.cpp
+++ b/src/state/state_log.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 constexpr double kBytesPerKb = 1024;
-// Of one job's multi-part record by one transaction, about.
+// Approximate limit of the bytes of one multi-part record that one transaction writes.
 constexpr size_t kMaxPartialBytes = 3 * size_t{1024};
 }  // namespace
 
@@ -24,114 +24,118 @@
       compaction_(cluster),
       loader_(cluster, extent_) {}
 
-bool StateLog::shrink() {
+bool StateLog::reduce_limits() {
     auto smaller = limits_.halved();
     if (!smaller) return false;
     limits_ = *smaller;
-    // What was split for the larger limits is split anew. Parts already recorded are written again
-    // from the first.
+    // Multi-part records that were split for the larger limits are split again and written from
+    // their first part.
     partial_records_.clear();
-    compaction_.restart_job();
+    compaction_.restart_current_job();
     return true;
 }
 
-void StateLog::new_job(Index job, uint64_t pending_version) {
+void StateLog::queue_new_job(Index job, uint64_t pending_version) {
     new_jobs_.push_back(job);
     if (pending_version != 0) pending_versions_[job] = pending_version;
 }
 
-void StateLog::note(const std::string& key, std::string record) {
-    if (record.size() > limits_.hard_bytes) {
-        // It would never be taken, and all else in its transaction with it.
-        spdlog::error("state: a record of {} bytes for {} is too long, not written", record.size(),
-                      key);
+void StateLog::queue_single_record(const std::string& key, std::string record) {
+    if (record.size() > limits_.max_segment_bytes) {
+        // The key-value store would reject every transaction with this record.
+        spdlog::error("state: record of {} bytes for key {} exceeds the value limit, not written",
+                      record.size(), key);
         return;
     }
-    notes_[key].record = std::move(record);
+    single_records_[key].queued_value = std::move(record);
 }
 
-// Multi-part records are not written while a version that can't read them may still lead; with
-// pipelines in the log none can.
-bool StateLog::multi_part_records() const {
+// Returns false while a controller that can't read multi-part records may still become the leader.
+// Once the log holds pipelines, no such controller can read it anyway.
+bool StateLog::may_write_multi_part_records() const {
     return multi_part_allowed_ || loader_.extended_format() ||
-           cluster_.dependencies().waiting() > 0;
+           cluster_.dependencies().waiting_count() > 0;
 }
 
-bool StateLog::can_hold(Index index) const {
-    return single_record_bytes(*cluster_.jobs[index], cluster_) <= limits_.hard_bytes ||
-           multi_part_records();
+bool StateLog::can_record(Index index) const {
+    return single_record_bytes(*cluster_.jobs[index], cluster_) <= limits_.max_segment_bytes ||
+           may_write_multi_part_records();
 }
 
-bool StateLog::waiting() const {
-    return !new_jobs_.empty() || !cancels_.empty() || !finishes_.empty() ||
-           !cluster_.changes.empty() || !forgets_.empty() || compaction_.active() ||
-           std::ranges::any_of(notes_, [](const auto& n) { return !n.second.record.empty(); });
+bool StateLog::has_work() const {
+    return !new_jobs_.empty() || !cancellations_.empty() || !job_ends_.empty() ||
+           !cluster_.task_changes.empty() || !pending_deletions_.empty() || compaction_.active() ||
+           std::ranges::any_of(single_records_,
+                               [](const auto& item) { return !item.second.queued_value.empty(); });
 }
 
-StateLogBatch StateLog::next(int max_changes) {
-    StateLogBatchBuilder builder(limits_, extent_, open_, std::min(max_changes, limits_.txn_ops));
-    builder.batch().through = cluster_.recorded_through;
-    builder.batch().first = extent_.first;
+StateLogBatch StateLog::next_batch(int max_changes) {
+    StateLogBatchBuilder builder(limits_, extent_, open_segment_text_,
+                                 std::min(max_changes, limits_.max_changes));
+    builder.batch().recorded_through = cluster_.recorded_through;
+    builder.batch().first_segment = extent_.first_segment;
     builder.add_condition(kLeaderKey, fencing_token_);
-    // With every deletion the head changes: a late copy of a transaction can't restore a deleted
-    // segment.
+    // Every deletion of segments changes the head, so that a late copy of an earlier transaction
+    // can't restore a deleted segment.
     builder.add_condition(kLogKey, extent_.head_version);
-    add_cancels(builder);
+    add_cancellations(builder);
     add_new_jobs(builder);
-    add_finishes(builder);
+    add_job_ends(builder);
     add_task_changes(builder);
-    compaction_.rewrite_records(builder, limits_, extent_, multi_part_records());
-    add_notes(builder);
-    add_forgets(builder);
+    compaction_.rewrite_records(builder, limits_, extent_, may_write_multi_part_records());
+    add_single_records(builder);
+    add_pending_deletions(builder);
     builder.finish_segments();
-    if (!partial_record_in_deleted()) compaction_.delete_segments(builder, limits_, extent_);
-    return builder.take();
+    if (!partial_record_in_deleted_segments())
+        compaction_.delete_segments(builder, limits_, extent_);
+    return builder.take_batch();
 }
 
-void StateLog::add_cancels(StateLogBatchBuilder& builder) {
-    while (!cancels_.empty()) {
-        auto index = cancels_.front();
+void StateLog::add_cancellations(StateLogBatchBuilder& builder) {
+    while (!cancellations_.empty()) {
+        auto index = cancellations_.front();
         if (!builder.append(cancel_entry(cluster_.jobs[index]->spec.id))) return;
-        cancels_.pop_front();
-        builder.batch().entries.push_back({EntryKind::Cancel, index, {}});
+        cancellations_.pop_front();
+        builder.batch().entries.push_back({EntryKind::Cancellation, index, {}});
         builder.batch().urgent = true;
     }
 }
 
-// A multi-part record lets the jobs behind it go first: it takes a few transactions.
+// A multi-part record takes several transactions; the jobs queued after it do not wait for it.
 void StateLog::add_new_jobs(StateLogBatchBuilder& builder) {
     auto& batch = builder.batch();
     for (auto it = new_jobs_.begin(); it != new_jobs_.end();) {
-        // A condition for each change, for the leadership and for the head; the rest is for new
-        // jobs, two each.
-        if (2 * batch.records.size() + 4 > 3 * static_cast<size_t>(limits_.txn_ops)) return;
+        // A transaction may have four conditions for each change that it may have. One for each
+        // change, one for the leadership and one for the head are set aside. Each new job takes
+        // two of the rest.
+        if (2 * batch.records.size() + 4 > 3 * static_cast<size_t>(limits_.max_changes)) return;
         Index index = *it;
         auto first_segment = write_new_record(builder, index);
         if (!first_segment) {
-            if (!partial_records_.contains(index)) return;  // no room for a single entry
+            if (!partial_records_.contains(index)) return;  // no space for a single entry
             ++it;
             continue;
         }
         it = new_jobs_.erase(it);
         const auto& job = *cluster_.jobs[index];
         builder.add_condition(final_key(job.spec.id), 0);
-        // Nor was it accepted by a standby, and maybe cancelled there, without this leader's
-        // knowledge.
+        // Fails the transaction if a standby has accepted or cancelled the job without this
+        // leader's knowledge.
         auto pending = pending_versions_.find(index);
         builder.add_condition(pending_key(job.spec.id),
                               pending == pending_versions_.end() ? 0 : pending->second);
-        batch.entries.push_back({EntryKind::NewJob, index, {}, job.cancel_recorded});
+        batch.entries.push_back({EntryKind::NewJob, index, {}, job.cancel_durable});
         batch.records.push_back({index, *first_segment});
         batch.urgent = true;
     }
 }
 
-// The segment with the beginning of the record; nothing: it is not complete yet.
+// Returns the segment with the beginning of the record, or nothing if the record is not complete.
 std::optional<uint64_t> StateLog::write_new_record(StateLogBatchBuilder& builder, Index index) {
     auto partial = partial_records_.find(index);
     if (partial == partial_records_.end()) {
         auto entries =
-            job_record_entries(*cluster_.jobs[index], index, cluster_, limits_.hard_bytes);
+            job_record_entries(*cluster_.jobs[index], index, cluster_, limits_.max_segment_bytes);
         if (entries.size() == 1) {
             if (!builder.append(entries[0])) return {};
             return builder.current_segment();
@@ -155,99 +159,104 @@
     if (written > partial.recorded)
         builder.batch().partial_records.push_back({index, written, first_segment});
     if (written < parts) return {};
-    // The end of the record states what may have changed since its first part.
+    // The fields in the end of the record may have changed since its first part.
     if (!builder.append(multi_part_end(*cluster_.jobs[index], parts))) return {};
     return first_segment;
 }
 
-void StateLog::add_finishes(StateLogBatchBuilder& builder) {
-    while (!finishes_.empty() && builder.changes_left() >= 1) {
-        auto index = finishes_.front();
+void StateLog::add_job_ends(StateLogBatchBuilder& builder) {
+    while (!job_ends_.empty() && builder.changes_left() >= 1) {
+        auto index = job_ends_.front();
         const auto& job = *cluster_.jobs[index];
-        bool has_dependants = !cluster_.dependencies().dependants(index).empty();
-        // Its final state takes a change of its own, which the log must leave.
+        bool has_dependants = !cluster_.dependencies().dependants_of(index).empty();
+        // The final state is a change of its own, which the segments must not use up.
         builder.reserve_change();
         if (!builder.append(end_entry(job, has_dependants))) {
             builder.release_change();
             return;
         }
-        finishes_.pop_front();
+        job_ends_.pop_front();
         builder.add_condition(final_key(job.spec.id), 0);
-        FinalState ended{job.cancelled ? JobState::Cancelled : JobState::Done, job.done};
-        builder.add_change(final_key(job.spec.id), final_record(ended.state, ended.done));
-        builder.batch().entries.push_back({EntryKind::Finish, index, {}, false, 0, ended});
+        FinalState final_state{job.cancelled ? JobState::Cancelled : JobState::Done, job.done};
+        builder.add_change(final_key(job.spec.id),
+                           final_record(final_state.state, final_state.done_tasks));
+        builder.batch().entries.push_back({EntryKind::JobEnd, index, {}, false, 0, final_state});
     }
 }
 
-// Changes of tasks, in order, as far as they fit; of several to one task only the newest.
+// Adds task changes in order until the batch is full. If a task has changed several times, adds
+// only the newest change.
 void StateLog::add_task_changes(StateLogBatchBuilder& builder) {
-    auto& queue = cluster_.changes;
+    auto& queue = cluster_.task_changes;
     auto& batch = builder.batch();
     while (!queue.empty()) {
         Index index = queue.front().ref.job;
         std::string rows;
         std::vector<TaskChange> included;
-        size_t n = 0;
-        uint64_t through = batch.through;
-        for (; n < queue.size() && rows.size() < limits_.row_bytes; ++n) {
-            const auto& c = queue[n];
+        size_t count = 0;
+        uint64_t recorded_through = batch.recorded_through;
+        for (; count < queue.size() && rows.size() < limits_.row_bytes; ++count) {
+            const auto& c = queue[count];
             if (c.ref.job != index) break;
-            through = c.change;
-            // The end of a job replaces all of this.
-            if (!cluster_.current(c) || cluster_.jobs[index]->ending) continue;
-            append_row(rows, *cluster_.jobs[index], c.ref.task, c.ref.task + 1, cluster_);
+            recorded_through = c.number;
+            // The end of a job replaces the states of its tasks.
+            if (!cluster_.is_latest_change(c) || cluster_.jobs[index]->ending) continue;
+            append_task_row(rows, *cluster_.jobs[index], c.ref.task, c.ref.task + 1, cluster_);
             included.push_back(c);
         }
         if (!rows.empty() && !builder.append(tasks_entry(cluster_.jobs[index]->spec.id, rows)))
             return;
-        batch.tasks.insert(batch.tasks.end(), included.begin(), included.end());
-        batch.through = through;
-        queue.erase(queue.begin(), queue.begin() + static_cast<std::ptrdiff_t>(n));
+        batch.task_changes.insert(batch.task_changes.end(), included.begin(), included.end());
+        batch.recorded_through = recorded_through;
+        queue.erase(queue.begin(), queue.begin() + static_cast<std::ptrdiff_t>(count));
     }
 }
 
-void StateLog::add_notes(StateLogBatchBuilder& builder) {
-    for (auto& [key, note] : notes_) {
-        if (note.record.empty() || builder.changes_left() < 1) continue;
-        if (!builder.has_bytes_for(note.record.size())) continue;
+void StateLog::add_single_records(StateLogBatchBuilder& builder) {
+    for (auto& [key, record] : single_records_) {
+        if (record.queued_value.empty() || builder.changes_left() < 1) continue;
+        if (!builder.has_bytes_for(record.queued_value.size())) continue;
         builder.reserve_change();
-        builder.add_condition(key, note.version);
-        builder.add_change(key, std::move(note.record));
-        note.record.clear();
-        builder.batch().entries.push_back({EntryKind::Note, kNone, key});
+        builder.add_condition(key, record.version);
+        builder.add_change(key, std::move(record.queued_value));
+        record.queued_value.clear();
+        builder.batch().entries.push_back({EntryKind::SingleRecord, kNone, key});
     }
 }
 
-// Half of what a transaction may have is left for users who come next; but one goes with each that
-// has room, as on a busy day there is never more.
-void StateLog::add_forgets(StateLogBatchBuilder& builder) {
-    int n = std::max(1, builder.changes_left() - limits_.txn_ops / 2);
-    for (; n > 0 && builder.changes_left() > 0 && !forgets_.empty(); --n) {
+// Keeps half of the changes of a transaction free for user requests that arrive next. Adds at least
+// one deletion to each transaction with a change to spare, as otherwise none would be added under
+// sustained load.
+void StateLog::add_pending_deletions(StateLogBatchBuilder& builder) {
+    int deletions = std::max(1, builder.changes_left() - limits_.max_changes / 2);
+    for (; deletions > 0 && builder.changes_left() > 0 && !pending_deletions_.empty();
+         --deletions) {
         builder.reserve_change();
-        const auto& [key, version] = forgets_.front();
+        const auto& [key, version] = pending_deletions_.front();
         builder.add_condition(key, version);
         builder.add_deletion(key);
-        builder.batch().entries.push_back({EntryKind::Forget, kNone, key, false, version});
-        forgets_.pop_front();
+        builder.batch().entries.push_back({EntryKind::PendingDeletion, kNone, key, false, version});
+        pending_deletions_.pop_front();
     }
 }
 
-// Compaction can't delete segments that hold the first parts of a record.
-bool StateLog::partial_record_in_deleted() const {
+// Returns whether compaction would delete segments that hold parts of an incomplete record. It must
+// not delete these.
+bool StateLog::partial_record_in_deleted_segments() const {
     return std::ranges::any_of(partial_records_, [&](const auto& p) {
-        return p.second.recorded > 0 && p.second.first_segment <= compaction_.through();
+        return p.second.recorded > 0 && p.second.first_segment <= compaction_.delete_through();
     });
 }
 
 void StateLog::committed(const StateLogBatch& batch, uint64_t revision) {
-    cluster_.recorded_through = std::max(cluster_.recorded_through, batch.through);
+    cluster_.recorded_through = std::max(cluster_.recorded_through, batch.recorded_through);
     apply_segments(batch, revision);
     for (const auto& record : batch.records)
         if (auto& job = cluster_.jobs[record.job]) job->first_segment = record.first_segment;
     for (const auto& p : batch.partial_records) {
         auto it = partial_records_.find(p.job);
         if (it == partial_records_.end()) continue;
-        it->second.recorded = p.entries;
+        it->second.recorded = p.recorded;
         it->second.first_segment = p.first_segment;
     }
     for (const auto& entry : batch.entries) apply_entry(entry, revision);
@@ -262,7 +271,7 @@
             segments.back().version = revision;
         else
             segments.push_back({written.number, revision});
-        open_ = written.text;
+        open_segment_text_ = written.text;
         extent_.next_number = std::max(extent_.next_number, written.number + 1);
     }
 }
@@ -270,83 +279,83 @@
 void StateLog::apply_entry(const StateLogEntry& entry, uint64_t revision) {
     auto* job = entry.job == kNone ? nullptr : cluster_.jobs[entry.job].get();
     switch (entry.kind) {
-        case EntryKind::Cancel:
-            job->cancel_recorded = job->cancel_logged = true;
+        case EntryKind::Cancellation:
+            job->cancel_durable = job->cancel_logged = true;
             return;
         case EntryKind::NewJob:
-            job->version = revision;
+            job->record_revision = revision;
             job->cancel_logged = entry.cancelled;
             partial_records_.erase(entry.job);
             pending_versions_.erase(entry.job);
             return;
-        case EntryKind::Note:
-            notes_[entry.key].version = revision;
+        case EntryKind::SingleRecord:
+            single_records_[entry.key].version = revision;
             return;
-        case EntryKind::Finish:
-        case EntryKind::Forget:
+        case EntryKind::JobEnd:
+        case EntryKind::PendingDeletion:
             return;
     }
 }
 
 void StateLog::apply_deletions(const StateLogBatch& batch, uint64_t revision) {
-    if (batch.first == extent_.first) return;
+    if (batch.first_segment == extent_.first_segment) return;
     auto& segments = extent_.segments;
-    while (!segments.empty() && segments.front().number < batch.first) segments.pop_front();
-    extent_.first = batch.first;
+    while (!segments.empty() && segments.front().number < batch.first_segment) segments.pop_front();
+    extent_.first_segment = batch.first_segment;
     extent_.head_version = revision;
-    compaction_.deleted(extent_);
-    if (segments.empty()) open_.clear();
+    compaction_.on_segments_deleted(extent_);
+    if (segments.empty()) open_segment_text_.clear();
 }
 
 void StateLog::rejected(const StateLogBatch& batch) {
-    // In reverse, so that the first ends up at the front of its queue.
-    for (const auto& change : batch.tasks | std::views::reverse)
-        if (cluster_.current(change)) cluster_.changes.push_front(change);
-    compaction_.restart_job();
+    // Reversed, so that each queue keeps its order.
+    for (const auto& change : batch.task_changes | std::views::reverse)
+        if (cluster_.is_latest_change(change)) cluster_.task_changes.push_front(change);
+    compaction_.restart_current_job();
     for (const auto& entry : batch.entries | std::views::reverse) requeue(entry, batch);
 }
 
 void StateLog::requeue(const StateLogEntry& entry, const StateLogBatch& batch) {
     switch (entry.kind) {
-        case EntryKind::Cancel:
-            cancels_.push_front(entry.job);
+        case EntryKind::Cancellation:
+            cancellations_.push_front(entry.job);
             return;
-        case EntryKind::Finish:
-            finishes_.push_front(entry.job);
+        case EntryKind::JobEnd:
+            job_ends_.push_front(entry.job);
             return;
         case EntryKind::NewJob:
             partial_records_.erase(entry.job);
             pending_versions_.erase(entry.job);
             return;
-        case EntryKind::Forget:
-            if (!entry.key.empty()) forgets_.emplace_front(entry.key, entry.version);
+        case EntryKind::PendingDeletion:
+            if (!entry.key.empty()) pending_deletions_.emplace_front(entry.key, entry.version);
             return;
-        case EntryKind::Note:
-            // A newer value may have been queued meanwhile.
-            if (!notes_[entry.key].record.empty()) return;
+        case EntryKind::SingleRecord:
+            // A newer value may have been queued in the meantime.
+            if (!single_records_[entry.key].queued_value.empty()) return;
             for (const auto& c : batch.txn.changes)
-                if (c.key == entry.key) note(entry.key, c.value);
+                if (c.key == entry.key) queue_single_record(entry.key, c.value);
             return;
     }
 }
 
 void StateLog::clear() {
     new_jobs_.clear();
-    cancels_.clear();
-    finishes_.clear();
-    forgets_.clear();
+    cancellations_.clear();
+    job_ends_.clear();
+    pending_deletions_.clear();
     pending_versions_.clear();
     partial_records_.clear();
-    notes_.clear();
+    single_records_.clear();
     extent_ = {};
-    open_.clear();
+    open_segment_text_.clear();
     multi_part_allowed_ = false;
     compaction_.clear();
     loader_.clear();
 }
 
-void StateLog::loaded(double now) {
-    for (auto job : loader_.finish(now)) cancels_.push_back(job);
+void StateLog::finish_loading(double now) {
+    for (auto job : loader_.finish(now)) cancellations_.push_back(job);
 }
 
 }  // namespace weirmill
--- a/src/state/state_log_batch.cpp
+++ b/src/state/state_log_batch.cpp
@@ -7,44 +7,45 @@
 
 namespace {
 
-constexpr size_t kMaxTxnBytes = 56 * size_t{1024};  // of the 64 KiB that a transaction may have
-// A segment is written again with every flush until it is full: more than this costs more than it
-// saves.
+// The key-value store allows 64 KiB for a transaction.
+constexpr size_t kMaxTxnBytes = 56 * size_t{1024};
+// Every transaction writes the open segment again until it is full, so that larger segments cost
+// more than they save.
 constexpr size_t kMaxOpenSegmentBytes = 8 * size_t{1024};
-constexpr size_t kMaxRowBytes = 700;     // rows of one entry, about
-constexpr size_t kSpareValueBytes = 64;  // of a value's limit, left free
-constexpr size_t kMinValueBytes = 1024;  // what any key-value store should take
+constexpr size_t kMaxRowBytes = 700;     // approximate limit of the rows in one entry
+constexpr size_t kSpareValueBytes = 64;  // margin below the value limit
+constexpr size_t kMinValueBytes = 1024;  // value limit that any key-value store should allow
 constexpr int kMinTxnOps = 4;
-// Overheads in a transaction's text, estimated.
-constexpr size_t kOperationBytes = 40;    // of a condition or change beside its key and value
-constexpr size_t kSegmentBytes = 100;     // a segment's key, twice, and what stands around it
-constexpr size_t kNewSegmentBytes = 300;  // what an entry may need beside its own text
+// Estimated overhead in the text of a transaction.
+constexpr size_t kOperationBytes = 40;    // for a condition or change besides its key and value
+constexpr size_t kSegmentBytes = 100;     // for a segment's condition and change with its key
+constexpr size_t kNewSegmentBytes = 300;  // upper bound for an entry besides its own text
 
 }  // namespace
 
-SegmentLimits::SegmentLimits(int max_changes, size_t max_value_bytes)
-    : txn_ops(max_changes),
-      hard_bytes(max_value_bytes - kSpareValueBytes),
-      soft_bytes(std::min(hard_bytes, kMaxOpenSegmentBytes)),
-      row_bytes(std::min(kMaxRowBytes, hard_bytes / 2)) {}
+SegmentLimits::SegmentLimits(int max_txn_changes, size_t max_value_bytes)
+    : max_changes(max_txn_changes),
+      max_segment_bytes(max_value_bytes - kSpareValueBytes),
+      full_segment_bytes(std::min(max_segment_bytes, kMaxOpenSegmentBytes)),
+      row_bytes(std::min(kMaxRowBytes, max_segment_bytes / 2)) {}
 
 std::optional<SegmentLimits> SegmentLimits::halved() const {
-    size_t value_bytes = hard_bytes + kSpareValueBytes;
-    int fewer_ops = std::max(kMinTxnOps, txn_ops / 2);
+    size_t value_bytes = max_segment_bytes + kSpareValueBytes;
+    int fewer_changes = std::max(kMinTxnOps, max_changes / 2);
     size_t fewer_bytes = std::max(kMinValueBytes, value_bytes / 2);
-    if (fewer_ops >= txn_ops && fewer_bytes >= value_bytes) return {};
-    return SegmentLimits(fewer_ops, fewer_bytes);
+    if (fewer_changes >= max_changes && fewer_bytes >= value_bytes) return {};
+    return SegmentLimits(fewer_changes, fewer_bytes);
 }
 
 StateLogBatchBuilder::StateLogBatchBuilder(const SegmentLimits& limits, const LogExtent& extent,
-                                           std::string open, int max_changes)
+                                           std::string open_text, int max_changes)
     : limits_(limits),
       extent_(extent),
-      has_open_(!open.empty()),
-      open_untouched_(has_open_),
+      has_open_(!open_text.empty()),
+      open_unchanged_(has_open_),
       changes_left_(max_changes),
       next_number_(extent.next_number) {
-    if (has_open_) segments_.push_back({extent.segments.back().number, std::move(open)});
+    if (has_open_) segments_.push_back({extent.segments.back().number, std::move(open_text)});
 }
 
 void StateLogBatchBuilder::add_condition(std::string key, uint64_t version) {
@@ -70,18 +71,18 @@
 }
 
 bool StateLogBatchBuilder::append(const std::string& entry) {
-    bool fits =
-        !segments_.empty() && segments_.back().text.size() + entry.size() + 2 <= limits_.soft_bytes;
+    bool fits = !segments_.empty() &&
+                segments_.back().text.size() + entry.size() + 2 <= limits_.full_segment_bytes;
     bool reopens = fits && appends_to_open();
     size_t open_bytes = reopens ? segments_.back().text.size() : 0;
-    // The first entry of a segment costs the change that writes it.
+    // The first new entry of a segment needs the change that writes the segment.
     bool takes_change = !fits || reopens;
     if (takes_change && changes_left_ < 1) return false;
     if (!has_bytes_for(entry.size() + kNewSegmentBytes + open_bytes)) return false;
-    if (entry.size() + 2 > limits_.hard_bytes) return false;
+    if (entry.size() + 2 > limits_.max_segment_bytes) return false;
 
     if (!fits) segments_.push_back({next_number_++, "["});
-    if (reopens) open_untouched_ = false;
+    if (reopens) open_unchanged_ = false;
     if (takes_change) {
         --changes_left_;
         bytes_ += open_bytes + kSegmentBytes;
@@ -94,8 +95,9 @@
 }
 
 void StateLogBatchBuilder::finish_segments() {
-    if (open_untouched_) segments_.erase(segments_.begin());
-    // The log first: its keys show a sender without an answer whether the transaction was applied.
+    if (open_unchanged_) segments_.erase(segments_.begin());
+    // The segments come first: from their keys, a leader that got no answer reads whether the
+    // transaction was applied.
     std::vector<KvChange> writes;
     for (const auto& s : segments_) {
         bool open = has_open_ && s.number == extent_.segments.back().number;
--- a/src/state/state_log_codec.cpp
+++ b/src/state/state_log_codec.cpp
@@ -25,12 +25,12 @@
     return fmt::format("[\"{}\",{}]", tag, quoted(id));
 }
 
-uint32_t row_number(const json::array& row, size_t k) {
-    if (k >= row.size()) read::bad("row");
-    boost::system::error_code bad;
-    auto n = row[k].to_number<uint32_t>(bad);
-    if (bad) read::bad("row");
-    return n;
+uint32_t row_number(const json::array& row, size_t column) {
+    if (column >= row.size()) read::bad("row");
+    boost::system::error_code error;
+    auto number = row[column].to_number<uint32_t>(error);
+    if (error) read::bad("row");
+    return number;
 }
 
 }  // namespace
@@ -54,9 +54,9 @@
 
 uint64_t parse_log_head(const json::value& v) { return read::count(read::object(v), "first"); }
 
-std::string final_record(JobState state, uint32_t done) {
+std::string final_record(JobState state, uint32_t done_tasks) {
     return json::serialize(
-        json::object{{"cancelled", state == JobState::Cancelled}, {"done", done}});
+        json::object{{"cancelled", state == JobState::Cancelled}, {"done", done_tasks}});
 }
 
 FinalState parse_final(const json::value& v) {
@@ -65,7 +65,7 @@
             static_cast<uint32_t>(read::count(o, "done"))};
 }
 
-TaskRow parse_row(const json::value& v, size_t tasks) {
+TaskRow parse_task_row(const json::value& v, size_t task_count) {
     if (!v.is_array()) read::bad("row");
     const auto& row = v.get_array();
     TaskRow out;
@@ -83,12 +83,12 @@
     } else {
         read::bad("row");
     }
-    if (out.last < out.first || out.last >= tasks) read::bad("row");
+    if (out.last < out.first || out.last >= task_count) read::bad("row");
     return out;
 }
 
-uint32_t append_row(std::string& rows, const Job& job, uint32_t task, uint32_t end,
-                    const ClusterState& cluster) {
+uint32_t append_task_row(std::string& rows, const Job& job, uint32_t task, uint32_t end,
+                         const ClusterState& cluster) {
     const auto& t = job.tasks[task];
     auto out = std::back_inserter(rows);
     switch (t.state) {
@@ -115,10 +115,11 @@
 
 std::string cancel_entry(const std::string& id) { return short_entry(kCancelTag, id); }
 
-// The time is written where other jobs waited for this one: their own times count from it.
+// The end time is written only if other jobs waited for this one, as their waiting times count from
+// it.
 std::string end_entry(const Job& job, bool has_dependants) {
     if (!has_dependants) return short_entry(kEndTag, job.spec.id);
-    return json::serialize(json::array{kEndTag, job.spec.id, job.ended});
+    return json::serialize(json::array{kEndTag, job.spec.id, job.ended_wall});
 }
 
 std::string tasks_entry(const std::string& id, const std::string& rows) {
@@ -153,9 +154,9 @@
 
 RecordPart parse_part(const json::array& entry) {
     if (entry.size() < 4 || !entry[3].is_string()) read::bad("piece");
-    boost::system::error_code bad;
-    auto number = entry[2].to_number<uint64_t>(bad);
-    if (bad) read::bad("piece");
+    boost::system::error_code error;
+    auto number = entry[2].to_number<uint64_t>(error);
+    if (error) read::bad("piece");
     return {number, entry[3].get_string()};
 }
 
--- a/src/state/state_log_loader.cpp
+++ b/src/state/state_log_loader.cpp
@@ -8,7 +8,7 @@
 namespace json = boost::json;
 
 namespace {
-constexpr double kMaxTime_s = 1e12;  // time of day
+constexpr double kMaxTime_s = 1e12;  // latest valid time of day
 }
 
 void StateLogLoader::clear() {
@@ -19,9 +19,9 @@
 }
 
 void StateLogLoader::load_head(const KvItem& item) {
-    extent_.first = parse_log_head(item.value);
+    extent_.first_segment = parse_log_head(item.value);
     extent_.head_version = item.version;
-    extent_.next_number = std::max(extent_.next_number, extent_.first);
+    extent_.next_number = std::max(extent_.next_number, extent_.first_segment);
 }
 
 void StateLogLoader::load_segment(const KvItem& item, double now) {
@@ -52,14 +52,14 @@
             end_times_[id] = *ended;
         }
     }
-    // The record of a job that is not found was in a segment that compaction has deleted: the job
-    // has ended, or its record is written again further on.
+    // If the job is not found, compaction has deleted the segment with its record: either the job
+    // has ended or its rewritten record follows.
     auto it = cluster_.job_index.find(id);
     if (it == cluster_.job_index.end()) return;
     auto& job = *cluster_.jobs[it->second];
     switch (type) {
         case EntryType::Cancel:
-            job.cancelled = job.cancel_recorded = job.cancel_logged = true;
+            job.cancelled = job.cancel_durable = job.cancel_logged = true;
             return;
         case EntryType::End:
             return load_end(it->second, now);
@@ -72,7 +72,7 @@
 
 void StateLogLoader::load_end(Index index, double now) {
     machine_names_.erase(index);
-    // None is on a machine yet: placements are restored once the whole log is read.
+    // No task is on a machine yet: placements are restored after the whole log is read.
     for (auto& task : cluster_.jobs[index]->tasks) task.state = TaskState::Pending;
     cluster_.remove_job(index, now);
 }
@@ -82,7 +82,7 @@
     auto& names = machine_names_[index];
     names.resize(job.tasks.size());
     for (size_t i = 2; i < entry.size(); ++i) {
-        auto row = parse_row(entry[i], job.tasks.size());
+        auto row = parse_task_row(entry[i], job.tasks.size());
         for (uint32_t t = row.first; t <= row.last; ++t) {
             auto& task = job.tasks[t];
             task.state = row.state;
@@ -98,46 +98,47 @@
     auto spec = parse_submission(record.body(), cluster_.names);
     if (spec.team == kNone) read::bad("job.team");
     bool cancelled = read::flag(*record.header, "cancelled", false);
-    double ready = read::number(*record.header, "ready", 0, kMaxTime_s);
-    extended_format_ = extended_format_ || ready > 0 || !spec.dependencies.empty();
+    double ready_wall = read::number(*record.header, "ready", 0, kMaxTime_s);
+    extended_format_ = extended_format_ || ready_wall > 0 || !spec.dependencies.empty();
     Index index = kNone;
     if (auto it = cluster_.job_index.find(spec.id); it != cluster_.job_index.end()) {
-        // A rewritten record: what was read before holds, and what follows repeats it. Only what
-        // the job waits for may have become less.
+        // This is a rewritten record. Entries that were read before remain valid, and the entries
+        // that follow repeat them. Only the list of dependencies may have become shorter.
         index = it->second;
         cluster_.jobs[index]->spec.dependencies = std::move(spec.dependencies);
     } else {
-        double submitted = read::number(*record.header, "at", {}, kMaxTime_s);
-        index = cluster_.add_job(std::move(spec), submitted, now);
+        double submitted_wall = read::number(*record.header, "at", {}, kMaxTime_s);
+        index = cluster_.add_job(std::move(spec), submitted_wall, now);
     }
     auto& job = *cluster_.jobs[index];
-    if (job.version == 0) {
-        job.version = 1;
+    if (job.record_revision == 0) {
+        job.record_revision = 1;
         job.first_segment = record.first_segment;
     }
-    job.ready = std::max(job.ready, ready);
-    if (cancelled) job.cancelled = job.cancel_recorded = job.cancel_logged = true;
+    job.ready_wall = std::max(job.ready_wall, ready_wall);
+    if (cancelled) job.cancelled = job.cancel_durable = job.cancel_logged = true;
 }
 
-// A dependency that is not alive once the whole log is read has ended as done: its dependants were
-// accepted after it, and a cancelled job leaves the log only after the cancellations of all that
-// wait for it.
+// A dependency that is missing after the whole log is read has ended as done: dependants are
+// accepted after their dependencies, and a cancelled job leaves the log only after the
+// cancellations of all its dependants are logged.
 void StateLogLoader::restore_dependencies(Index index, double now) {
     auto* job = cluster_.jobs[index].get();
-    if (!job || !job->waits) return;
-    std::vector<Index> alive;
+    if (!job || !job->waits_for_dependencies) return;
+    std::vector<Index> live_dependencies;
     for (const auto& id : job->spec.dependencies) {
         if (auto it = cluster_.job_index.find(id); it != cluster_.job_index.end())
-            alive.push_back(it->second);
+            live_dependencies.push_back(it->second);
         else if (auto ended = end_times_.find(id); ended != end_times_.end())
-            job->ready = std::max(job->ready, ended->second);
+            job->ready_wall = std::max(job->ready_wall, ended->second);
     }
-    if (job->cancelled) alive.clear();
-    cluster_.set_dependencies(index, alive, now);
+    if (job->cancelled) live_dependencies.clear();
+    cluster_.set_dependencies(index, live_dependencies, now);
 }
 
-// A recorded cancellation is also that of all jobs that need the cancelled one.
-std::vector<Index> StateLogLoader::spread_cancellations() {
+// The recorded cancellation of a job implies those of all its dependants. Returns the dependants
+// whose cancellation the log does not hold.
+std::vector<Index> StateLogLoader::propagate_cancellations() {
     std::vector<Index> unlogged;
     for (Index j = 0; j < cluster_.jobs.size(); ++j) {
         if (!cluster_.jobs[j] || !cluster_.jobs[j]->cancel_logged) continue;
@@ -152,18 +153,18 @@
             if (names[t].empty()) continue;
             auto& task = cluster_.jobs[j]->tasks[t];
             auto machine = cluster_.add_machine(names[t], now);
-            cluster_.restore_placed(j, t, machine, task.attempt, task.agent_epoch);
+            cluster_.restore_placement(j, t, machine, task.attempt, task.agent_epoch);
         }
     }
 }
 
 std::vector<Index> StateLogLoader::finish(double now) {
     for (Index j = 0; j < cluster_.jobs.size(); ++j) restore_dependencies(j, now);
-    auto unlogged = spread_cancellations();
+    auto unlogged = propagate_cancellations();
     for (Index j = 0; j < cluster_.jobs.size(); ++j)
-        if (cluster_.jobs[j]) cluster_.restore_counts(j);
+        if (cluster_.jobs[j]) cluster_.restore_task_counts(j);
     for (auto& job : cluster_.jobs)
-        if (job && !job->waits) cluster_.mark_guaranteed(*job);
+        if (job && !job->waits_for_dependencies) cluster_.mark_guaranteed(*job);
     restore_placements(now);
     records_.clear();
     end_times_.clear();
--- a/src/state/task.h
+++ b/src/state/task.h
@@ -1,14 +1,14 @@
-// A task of a job, and its place.
+// A task of a job, and its placement.
 //
-// State transitions (ClusterState::place, unassign, finish; state/task_placement.cpp), each of
-// which is to be recorded in the state log:
+// State transitions (ClusterState::place, unassign and finish in state/task_placement.cpp). Each is
+// recorded in the state log:
 //
-//   Pending --place--> Placed         a start command may be sent once this is recorded
-//   Placed --unassign--> Pending      it certainly runs no more, and is to run again
-//   Placed, Pending --finish--> Done  final
+//   Pending --place--> Placed         the start command may be sent once this is recorded
+//   Placed --unassign--> Pending      the task has certainly ended on the machine and must run
+//   again Placed, Pending --finish--> Done  final
 //
-// A placed task is taken to be on its machine until that is proven wrong: by an exit that the
-// worker reports, or by the end of the worker's lease.
+// A placed task is assumed to be on its machine until the worker reports its exit or the worker's
+// lease ends.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -20,20 +20,22 @@
 enum class TaskState : uint8_t { Pending, Placed, Done };
 
 struct Task {
-    uint32_t attempt = 0;      // counts placements
-    Index machine = kNone;     // while Placed
-    uint32_t agent_epoch = 0;  // of that machine, when the task was placed
-    uint64_t change = 0;       // the cluster state's change number at this task's last change
-    uint64_t start_seq = 0;    // the heartbeat that was answered with its start, 0: none yet
-    // Steady clock, seconds. placed_at: once it is launched, when that was.
+    uint32_t attempt = 0;        // number of placements so far
+    Index machine = kNone;       // only while Placed
+    uint32_t agent_epoch = 0;    // agent epoch of the machine at the time of the placement
+    uint64_t change_number = 0;  // number of this task's last change
+    // Sequence number of the heartbeat whose response carried the start command; 0: none yet.
+    uint64_t start_seq = 0;
+    // Steady clock, seconds. placed_at is the time of the placement and, once the start command is
+    // sent, the time of that.
     float placed_at = 0, running_at = 0;
     TaskState state = TaskState::Pending;
     TaskPhase phase = TaskPhase::Unseen;
-    bool stopping = false;          // it is to stop
-    bool graceful = false;          // stopping: with time to save a checkpoint
-    bool placed_this_term = false;  // placed by this leader: no other has launched this attempt
-    bool placed_as(Index on, uint64_t as_attempt) const {
-        return state == TaskState::Placed && machine == on && attempt == as_attempt;
+    bool stopping = false;          // The task is to be stopped.
+    bool graceful = false;          // If stopping: the task has time to save a checkpoint.
+    bool placed_this_term = false;  // This leader placed it; no other leader started this attempt.
+    bool placed_as(Index on_machine, uint64_t as_attempt) const {
+        return state == TaskState::Placed && machine == on_machine && attempt == as_attempt;
     }
 };
 
@@ -43,13 +45,13 @@
     bool operator==(const TaskRef&) const = default;
 };
 
-// A change of a task that is to be recorded; stale once the task has changed again.
+// A change of a task that is to be recorded. It is obsolete once the task has changed again.
 struct TaskChange {
     TaskRef ref;
-    uint64_t change = 0;
+    uint64_t number = 0;
 };
 
-// An entry of a heartbeat that does not belong to a task expected on the machine, or an exit.
+// An entry of a heartbeat that reports an exit, or a task that is not expected on the machine.
 struct UnexpectedTask {
     std::string job;
     uint32_t task = 0;
--- a/src/state/task_placement.cpp
+++ b/src/state/task_placement.cpp
@@ -1,4 +1,4 @@
-// State transitions of tasks (state/task.h), and the images on machines.
+// State transitions of tasks (state/task.h), and the cached images of machines.
 #include <algorithm>
 
 #include "state/cluster_state.h"
@@ -6,17 +6,19 @@
 namespace weirmill {
 
 namespace {
-constexpr std::ptrdiff_t kMaxImages = 64;  // of one machine: names of images are the users' own
-}
+// For each machine. Bounds the memory for image names, which users choose freely.
+constexpr std::ptrdiff_t kMaxCachedImages = 64;
+}  // namespace
 
-void ClusterState::record_change(Index index, uint32_t t) {
-    jobs[index]->tasks[t].change = ++last_change;
-    changes.push_back({{index, t}, last_change});
+void ClusterState::queue_task_change(Index index, uint32_t t) {
+    jobs[index]->tasks[t].change_number = ++last_change_number;
+    task_changes.push_back({{index, t}, last_change_number});
 }
 
-bool ClusterState::current(const TaskChange& c) const {
+bool ClusterState::is_latest_change(const TaskChange& c) const {
     const auto* job = c.ref.job < jobs.size() ? jobs[c.ref.job].get() : nullptr;
-    return job && c.ref.task < job->tasks.size() && job->tasks[c.ref.task].change == c.change;
+    return job && c.ref.task < job->tasks.size() &&
+           job->tasks[c.ref.task].change_number == c.number;
 }
 
 void ClusterState::set_phase(Job& job, Task& task, TaskPhase phase) {
@@ -25,8 +27,8 @@
     task.phase = phase;
 }
 
-void ClusterState::restore_placed(Index index, uint32_t t, Index machine, uint32_t attempt,
-                                  uint32_t agent_epoch) {
+void ClusterState::restore_placement(Index index, uint32_t t, Index machine, uint32_t attempt,
+                                     uint32_t agent_epoch) {
     auto& job = *jobs[index];
     auto& task = job.tasks[t];
     task.state = TaskState::Placed;
@@ -41,7 +43,7 @@
     teams[job.spec.team].used += job.spec.demand;
 }
 
-void ClusterState::restore_counts(Index index) {
+void ClusterState::restore_task_counts(Index index) {
     auto& job = *jobs[index];
     job.pending = job.done = 0;
     for (const auto& task : job.tasks) {
@@ -54,19 +56,19 @@
 }
 
 void ClusterState::place(Index index, uint32_t t, Index machine, uint32_t attempt, double now) {
-    restore_placed(index, t, machine, attempt,
-                   static_cast<uint32_t>(machines[machine]->agent_epoch));
+    restore_placement(index, t, machine, attempt,
+                      static_cast<uint32_t>(machines[machine]->agent_epoch));
     auto& task = jobs[index]->tasks[t];
     task.start_seq = 0;
     task.placed_at = static_cast<float>(now);
     task.running_at = 0;
     task.stopping = task.graceful = false;
     task.placed_this_term = true;
-    record_change(index, t);
+    queue_task_change(index, t);
 }
 
-// The task is no longer placed; its next state is the caller's to set.
-void ClusterState::leave_machine(Index index, uint32_t t, double now) {
+// Removes the task from its machine. The caller sets its next state.
+void ClusterState::remove_from_machine(Index index, uint32_t t, double now) {
     auto& job = *jobs[index];
     auto& task = job.tasks[t];
     auto& m = *machines[task.machine];
@@ -81,12 +83,12 @@
 }
 
 void ClusterState::unassign(Index index, uint32_t t, double now) {
-    leave_machine(index, t, now);
+    remove_from_machine(index, t, now);
     auto& job = *jobs[index];
     job.tasks[t].state = TaskState::Pending;
     ++job.pending;
     job.first_pending = std::min(job.first_pending, t);
-    record_change(index, t);
+    queue_task_change(index, t);
 }
 
 void ClusterState::finish(Index index, uint32_t t, double now) {
@@ -94,26 +96,29 @@
     auto& task = job.tasks[t];
     if (task.state == TaskState::Done) return;
     if (task.state == TaskState::Placed)
-        leave_machine(index, t, now);
+        remove_from_machine(index, t, now);
     else
         --job.pending;
     task.state = TaskState::Done;
     ++job.done;
-    record_change(index, t);
+    queue_task_change(index, t);
 }
 
-void ClusterState::saw_image(Machine& m, const JobSpec& spec) const {
-    std::erase(m.images, spec.image);
-    m.images.push_back(spec.image);
+void ClusterState::mark_image_used(Machine& m, const JobSpec& spec) const {
+    std::erase(m.cached_images, spec.image);
+    m.cached_images.push_back(spec.image);
     double cache_gb = offered(m.type) ? types[m.type].type.cache_gb : 0;
-    double held_gb = 0;
-    auto kept = m.images.rbegin();
-    for (; kept != m.images.rend(); ++kept) {
-        held_gb += image_gb_[*kept];
-        bool newest = kept == m.images.rbegin();  // it is there, whatever its size
-        if (!newest && (held_gb > cache_gb || kept - m.images.rbegin() >= kMaxImages)) break;
+    double total_gb = 0;
+    auto image = m.cached_images.rbegin();
+    for (; image != m.cached_images.rend(); ++image) {
+        total_gb += image_gb_[*image];
+        // The newest image is in the cache, whatever its size.
+        bool newest = image == m.cached_images.rbegin();
+        if (!newest &&
+            (total_gb > cache_gb || image - m.cached_images.rbegin() >= kMaxCachedImages))
+            break;
     }
-    m.images.erase(m.images.begin(), kept.base());
+    m.cached_images.erase(m.cached_images.begin(), image.base());
 }
 
 }  // namespace weirmill
--- a/src/state/team.cpp
+++ b/src/state/team.cpp
@@ -5,8 +5,9 @@
 namespace weirmill {
 
 namespace {
-bool under(const Resources& cap, const Resources& use) {
-    return (cap.cpu == 0 || use.cpu <= cap.cpu) && (cap.gpu == 0 || use.gpu <= cap.gpu);
+// A limit of 0 means that there is none.
+bool within(const Resources& limit, const Resources& usage) {
+    return (limit.cpu == 0 || usage.cpu <= limit.cpu) && (limit.gpu == 0 || usage.gpu <= limit.gpu);
 }
 }  // namespace
 
@@ -15,31 +16,35 @@
     team.settings = settings;
     team.guarantee = {milli_down(settings.cpus), milli_down(settings.gpus), 0};
     team.limit = {milli_down(settings.cpus_max), milli_down(settings.gpus_max), 0};
-    // What the limit rules out is guaranteed to nobody.
+    // A guarantee can't exceed the limit.
     if (team.limit.cpu > 0) team.guarantee.cpu = std::min(team.guarantee.cpu, team.limit.cpu);
     if (team.limit.gpu > 0) team.guarantee.gpu = std::min(team.guarantee.gpu, team.limit.gpu);
     return team;
 }
 
-bool below_limit(const Team& team, const Resources& use) { return under(team.limit, use); }
+bool usage_within_limit(const Team& team, const Resources& usage) {
+    return within(team.limit, usage);
+}
 
 bool within_limit(const Team& team, const Resources& extra) {
-    return below_limit(team, team.used + extra);
+    return usage_within_limit(team, team.used + extra);
 }
 
-// A team that is guaranteed GPUs and has no figure for CPUs was once guaranteed nothing, as each of
-// its tasks takes some. No guarantee at all covers nothing.
-bool covers(const Resources& guarantee, const Resources& use, const Resources& each) {
-    bool with_gpus = guarantee.cpu == 0 && guarantee.gpu > 0 && each.gpu > 0;
-    return use.gpu <= guarantee.gpu && (use.cpu <= guarantee.cpu || with_gpus);
+// A guarantee of GPUs without a number of CPUs must include the CPUs of tasks with GPUs: every task
+// uses CPUs, so that without this rule the guarantee would cover no task. A team without any
+// guarantee is guaranteed nothing.
+bool guarantee_covers(const Resources& guarantee, const Resources& usage,
+                      const Resources& task_demand) {
+    bool cpus_included = guarantee.cpu == 0 && guarantee.gpu > 0 && task_demand.gpu > 0;
+    return usage.gpu <= guarantee.gpu && (usage.cpu <= guarantee.cpu || cpus_included);
 }
 
 bool within_guarantee(const Team& team, const Resources& extra) {
-    return covers(team.guarantee, team.used + extra, extra);
+    return guarantee_covers(team.guarantee, team.used + extra, extra);
 }
 
-bool over_guarantee(const Team& team, const Resources& each) {
-    return !covers(team.guarantee, team.used, each);
+bool exceeds_guarantee(const Team& team, const Resources& task_demand) {
+    return !guarantee_covers(team.guarantee, team.used, task_demand);
 }
 
 }  // namespace weirmill
--- a/src/state/team.h
+++ b/src/state/team.h
@@ -1,4 +1,4 @@
-// A team's quota: what it is guaranteed, and its limit. Pure functions.
+// A team's quota: its guaranteed resources and its limit. Pure functions.
 #pragma once
 #include "config/settings.h"
 #include "protocol/types.h"
@@ -8,22 +8,23 @@
 struct Team {
     TeamSettings settings;
     Resources guarantee, limit;  // 0: none
-    Resources used;              // by its placed tasks
+    Resources used;              // demand of the team's placed tasks
 };
 
-// A team as the settings have it.
 Team make_team(const TeamSettings& settings);
 
-// `use` is not above the team's limit.
-bool below_limit(const Team& team, const Resources& use);
-// The team's use and `extra` more are not above its limit.
+// Returns whether a total usage of `usage` is within the team's limit.
+bool usage_within_limit(const Team& team, const Resources& usage);
+// Returns whether the team's current usage plus `extra` is within its limit.
 bool within_limit(const Team& team, const Resources& extra);
-// Whether a guarantee covers what is used, tasks that need `each` among it. A guarantee of GPUs
-// without a figure for CPUs covers the CPUs that tasks with GPUs take beside them.
-bool covers(const Resources& guarantee, const Resources& use, const Resources& each);
-// The team's use and `extra` more are covered by its guarantee.
+// Returns whether a guarantee covers `usage`, which includes tasks with a demand of `task_demand`.
+// A guarantee of GPUs without a number of CPUs covers the CPUs of tasks with GPUs.
+bool guarantee_covers(const Resources& guarantee, const Resources& usage,
+                      const Resources& task_demand);
+// Returns whether the team's guarantee covers its current usage plus `extra`.
 bool within_guarantee(const Team& team, const Resources& extra);
-// Whether the team's work beyond its guarantee includes tasks that need `each`.
-bool over_guarantee(const Team& team, const Resources& each);
+// Returns whether the team's guarantee does not cover its current usage, which includes tasks with
+// a demand of `task_demand`.
+bool exceeds_guarantee(const Team& team, const Resources& task_demand);
 
 }  // namespace weirmill
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -124,7 +124,7 @@
     }
     auto first = w.job(w.spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
     auto second = w.job(w.spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High));
-    w.cluster.jobs[first]->submitted = 1;
+    w.cluster.jobs[first]->submitted_wall = 1;
     auto round = plan_preemption(w.cluster, any_machine, w.now);
     ASSERT_EQ(round.clearings.size(), 2u);
     EXPECT_EQ(round.clearings[0].job, first);
@@ -174,7 +174,7 @@
         spec.one_zone = true;
         spec.image_gb = 6;
         for (auto& name : row.image_on)
-            w.cluster.machines[w.cluster.find_machine(name)]->images = {spec.image};
+            w.cluster.machines[w.cluster.find_machine(name)]->cached_images = {spec.image};
         w.job(spec);
         std::vector<std::string> on;
         for (auto& p : place_waiting(w.cluster, any_machine, w.now))
@@ -194,8 +194,8 @@
         w.job(specs.back());
     }
     auto& machine = *w.cluster.machines[m];
-    for (int i : {0, 1, 0, 2}) w.cluster.saw_image(machine, specs[i]);
-    EXPECT_EQ(machine.images, (std::vector<Index>{specs[0].image, specs[2].image}));
+    for (int i : {0, 1, 0, 2}) w.cluster.mark_image_used(machine, specs[i]);
+    EXPECT_EQ(machine.cached_images, (std::vector<Index>{specs[0].image, specs[2].image}));
 }
 
 TEST(GangLaunch, TasksThatWouldWaitTooLongForAFetchAreLaunchedAfterIt) {
@@ -232,7 +232,7 @@
         auto j = w.running(spec, on);
         auto& job = *w.cluster.jobs[j];
         for (uint32_t t = 0; t < 3; ++t)
-            if (row.has[t]) w.cluster.machines[on[t]]->images = {spec.image};
+            if (row.has[t]) w.cluster.machines[on[t]]->cached_images = {spec.image};
         if (row.launched) {
             job.tasks[1].start_seq = 7;
             job.tasks[1].placed_at = static_cast<float>(w.now - row.ago);
@@ -323,7 +323,7 @@
         auto j = w.running(spec, {w.machine("m0", "gpu"), w.machine("m1", "gpu")});
         auto& team = w.cluster.teams[0];
         EXPECT_EQ(w.cluster.jobs[j]->guaranteed, row.guaranteed) << row.why;
-        EXPECT_EQ(w.cluster.over_guarantee(team, spec.demand), row.over) << row.why;
+        EXPECT_EQ(w.cluster.exceeds_guarantee(team, spec.demand), row.over) << row.why;
         team.used -= spec.demand;
         EXPECT_EQ(w.cluster.within_guarantee(team, spec.demand), row.owed) << row.why;
     }
@@ -346,7 +346,7 @@
     w.machine("m0");
     auto m1 = w.machine("m1");
     auto j = w.job(w.spec("req-1", JobKind::Array, 1, 3));
-    w.cluster.machines[m1]->images = {w.cluster.jobs[j]->spec.image};
+    w.cluster.machines[m1]->cached_images = {w.cluster.jobs[j]->spec.image};
     EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now)[0].machine, m1);
 }
 
@@ -363,7 +363,7 @@
                                      below(2) ? "a" : "b", below(3) == 0));
         auto& m = *w.cluster.machines[machines.back()];
         for (uint32_t k = below(3); k > 0; --k)
-            m.images.push_back(names.images.intern("i" + std::to_string(below(4))));
+            m.cached_images.push_back(names.images.intern("i" + std::to_string(below(4))));
         m.up = below(10) > 0;
         m.last_heartbeat = w.now - 0.5 * below(8);
     }
@@ -383,11 +383,11 @@
         if (below(6) == 0) s.types = {names.types.find("gpu")};
         auto j = w.job(s);
         auto& job = *w.cluster.jobs[j];
-        if (below(4) == 0) job.failed_on = {machines[below(machines.size())]};
+        if (below(4) == 0) job.failed_machines = {machines[below(machines.size())]};
         if (kind == JobKind::Array && !s.spread && below(2)) {
             auto i = machines[below(machines.size())];
             if (w.cluster.machine_allowed(job.spec, *w.cluster.machines[i]) &&
-                job.spec.demand.fits_in(w.cluster.machines[i]->room()) &&
+                job.spec.demand.fits_in(w.cluster.machines[i]->free_resources()) &&
                 w.cluster.within_limit(w.cluster.teams[job.spec.team], job.spec.demand))
                 w.cluster.place(j, 0, i, 1, w.now);
         }
@@ -430,7 +430,7 @@
     World late;
     late.cluster.classes.resize(late.cluster.names.classes.intern("class") + 1);
     late.cluster.classes.back().start_within_s = 30;
-    late.cluster.classes.back().done_within_s = {250};
+    late.cluster.classes.back().finish_within_s = {250};
     auto old = late.job(late.spec("req-1", JobKind::Array, 1, 1));
     late.now += 40;
     auto fresh = late.job(late.spec("req-2", JobKind::Array, 1, 1));
@@ -446,7 +446,7 @@
     other.image_gb = near.image_gb = 4;
     w.job(other);
     auto j = w.job(near);
-    w.cluster.machines[m]->images = {near.image};
+    w.cluster.machines[m]->cached_images = {near.image};
     EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now), (std::vector<Placement>{{j, 0, m, 1}}));
 }
 
@@ -476,7 +476,7 @@
         }
         auto big = w.job(w.spec("req-1", JobKind::Array, 2, row.cpus, 0, row.priority));
         auto small = w.job(w.spec("req-2", JobKind::Array, 3, 1));
-        w.cluster.jobs[small]->submitted = 1;
+        w.cluster.jobs[small]->submitted_wall = 1;
         place_waiting(w.cluster, any_machine, w.now);
         if (row.priority == Priority::High && row.cpus == 2) {
             EXPECT_EQ(w.cluster.jobs[big]->placed, 1u);
@@ -612,7 +612,7 @@
     auto s = w.spec("req-1", JobKind::Array, 2, 1);
     s.one_zone = true;
     auto j = w.job(s);
-    w.cluster.restore_placed(j, 0, w.cluster.add_machine("unheard", w.now), 1, 1);
+    w.cluster.restore_placement(j, 0, w.cluster.add_machine("unheard", w.now), 1, 1);
     EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
 }
 
@@ -682,7 +682,7 @@
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_a, true, 2}}));
     // Refused there: the next cheapest offer.
-    w.cluster.refusals.push_back({w.now + 10, {std_type, zone_a, true}});
+    w.cluster.capacity_refusals.push_back({w.now + 10, {std_type, zone_a, true}});
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_b, true, 2}}));
 }
@@ -702,7 +702,7 @@
     w.running(s, {m});
     s.id = "req-2";
     w.job(s);
-    w.cluster.refusals.push_back({w.now + 10, {std_type, zone_a, false}});
+    w.cluster.capacity_refusals.push_back({w.now + 10, {std_type, zone_a, false}});
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_b, false, 1}}));
 }
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -66,7 +66,7 @@
     }
     Index job(JobSpec s) {
         auto i = cluster.add_job(std::move(s), 1000, now);
-        cluster.jobs[i]->version = 1;
+        cluster.jobs[i]->record_revision = 1;
         return i;
     }
     // A job with one task on each of these machines.
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -258,7 +258,7 @@
         spec.job_class = cluster.names.classes.intern("class");
         spec.image = cluster.names.images.intern("image");
         auto job = cluster.add_job(spec, 1000, 0);
-        cluster.jobs[job]->version = 1;
+        cluster.jobs[job]->record_revision = 1;
         for (uint32_t t = 0; t < kStopMachines; ++t) {
             auto index = cluster.add_machine("machine-" + std::to_string(t), 0);
             auto& machine = *cluster.machines[index];
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -196,13 +196,13 @@
     auto times = LinkTimeouts::of(w.settings);
     for (int i = 0; i < 6; ++i) w.machine("vm-" + std::to_string(i));
     auto at = [&](int i) -> Machine& { return *w.cluster.machines[i]; };
-    for (int i = 0; i < 6; ++i) at(i).last_heartbeat = at(i).direct_at = w.now;
-    at(1).direct_at = w.now - times.direct_heartbeat_s - 1;  // relayed since
-    at(2).direct_at = 0;                                     // relayed always
-    at(3).direct_at = at(3).last_heartbeat =
+    for (int i = 0; i < 6; ++i) at(i).last_heartbeat = at(i).last_direct_heartbeat = w.now;
+    at(1).last_direct_heartbeat = w.now - times.direct_heartbeat_s - 1;  // relayed since
+    at(2).last_direct_heartbeat = 0;                                     // relayed always
+    at(3).last_direct_heartbeat = at(3).last_heartbeat =
         w.now - times.direct_heartbeat_s - 1;  // silent, its lease stands
-    at(4).direct_at = at(4).last_heartbeat = w.now - w.settings.lease_s - 1;  // over
-    at(5).direct_at = at(5).last_heartbeat = 0;                               // never heard
+    at(4).last_direct_heartbeat = at(4).last_heartbeat = w.now - w.settings.lease_s - 1;  // over
+    at(5).last_direct_heartbeat = at(5).last_heartbeat = 0;  // never heard
     auto r = leader_links(w.cluster, times, w.settings.lease_s, w.now);
     EXPECT_EQ(r.direct_workers, 1u);
     EXPECT_EQ(r.reachable_workers, 3u);
--- a/tests/old_records.h
+++ b/tests/old_records.h
@@ -1,6 +1,6 @@
-// Records and frames as the version before pipelines wrote them (commit 0a0b01d), for tests of the
-// two versions on each other's data. Written by that version's own ledger and peer link; never to
-// be edited.
+// Stored records and peer frames of the version before pipelines (commit 0a0b01d). The upgrade
+// tests use them to check that each of the two versions reads the data of the other. They were
+// written by the code of that version and must not be edited.
 #pragma once
 #include <cstdint>
 
@@ -13,8 +13,9 @@
 };
 
 // clang-format off
-// Four jobs, one with every field; placements, outcomes, a job's end, a cancellation, a round of preemption.
-inline const OldRecord kOldShort[] = {
+// Four jobs, one with every field set; placements, outcomes, the end of a job, a cancellation and a
+// preemption round.
+inline const OldRecord kOldRecords[] = {
     {"f/req-000004", 44,
      R"~({"cancelled":false,"done":1})~"},
     {"round", 44,
@@ -41,8 +42,9 @@
      R"~([1,1,"d"],[3,1]]])~"},
 };
 
-// Segments of 1 KiB, the oldest dropped, their jobs told anew.
-inline const OldRecord kOldRetold[] = {
+// A log with segments of 1 KiB. Compaction has deleted the oldest ones and rewritten the records of
+// their jobs.
+inline const OldRecord kOldCompactedRecords[] = {
     {"log", 78,
      R"~({"first":4})~"},
     {"w/0000000000000004", 52,
@@ -142,10 +144,10 @@
      R"~(,31,1,"vm-000007"],[28,31,1,"vm-000007"],[29,31,1,"vm-000007"]]])~"},
 };
 
-inline const char* const kOldCall =
+inline const char* const kOldCallFrame =
     "58000000000000000a000000000000000200010001000000000000000000000000000000000000000100020001000000"
     "00000000050000005a000000090000000a0000007265712d3030303431320000000000007800000000000000";
-inline const char* const kOldReply =
+inline const char* const kOldReplyFrame =
     "4800000000000000080000000000000002000100010000000000000001000000000000000000000002000100c8000300"
     "00000000290000000000000001000000420000007b226f70223a317d";
 // clang-format on
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -22,7 +22,7 @@
     int next = 0;
     explicit Cluster(int machines) {
         cluster.classes.resize(cluster.names.classes.size());
-        cluster.classes[job_class].done_within_s = {30, 60};
+        cluster.classes[job_class].finish_within_s = {30, 60};
         for (int i = 0; i < machines; ++i) machine("vm-" + std::to_string(i));
     }
     Index wait(uint32_t tasks, double run_s, const std::string& team = "blue",
@@ -157,7 +157,7 @@
         0u);
     EXPECT_EQ(waiting_jobs(c.cluster, c.now), (std::vector<Index>{small, other, large}));
     int missed;
-    EXPECT_DOUBLE_EQ(c.cluster.due(*c.cluster.jobs[large], c.now, missed), c.now + 60);
+    EXPECT_DOUBLE_EQ(c.cluster.due_time(*c.cluster.jobs[large], c.now, missed), c.now + 60);
     EXPECT_EQ(missed, 1);
     for (int i = 0; i < 3; ++i) c.machine("more-" + std::to_string(i));
     c.look();
@@ -250,7 +250,7 @@
             }
             auto ids = c.order();
             auto high = c.wait(50, 100);
-            c.cluster.jobs[high]->priority = Priority::High;
+            c.cluster.jobs[high]->effective_priority = Priority::High;
             auto owed = c.wait(50, 100);
             c.cluster.jobs[owed]->guaranteed = true;
             auto order = c.order();
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -1,4 +1,5 @@
-// Pipelines: the graph of dependencies, what it does to order and preemption, and its records.
+// Pipelines: the dependency graph, its effect on scheduling order and preemption, and its records
+// in the state log.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -14,487 +15,508 @@
 using test::Store;
 using test::World;
 
-// Jobs by number, each with the numbers of those that it waits for.
+// Adds jobs with dependencies to the cluster state. Jobs are numbered in the order of their
+// addition.
 struct Pipeline {
-    World& w;
+    World& world;
     std::vector<Index> jobs;
-    Index add(const std::vector<size_t>& on, JobSpec spec) {
-        std::vector<Index> links;
-        for (auto i : on) {
-            spec.dependencies.push_back(w.cluster.jobs[jobs[i]]->spec.id);
-            links.push_back(jobs[i]);
+    Index add(const std::vector<size_t>& dependencies, JobSpec spec) {
+        std::vector<Index> dependency_indices;
+        for (auto i : dependencies) {
+            spec.dependencies.push_back(world.cluster.jobs[jobs[i]]->spec.id);
+            dependency_indices.push_back(jobs[i]);
         }
-        auto j = w.job(std::move(spec));
-        if (!links.empty()) w.cluster.set_dependencies(j, links, w.now);
-        jobs.push_back(j);
-        return j;
+        auto index = world.job(std::move(spec));
+        if (!dependency_indices.empty())
+            world.cluster.set_dependencies(index, dependency_indices, world.now);
+        jobs.push_back(index);
+        return index;
     }
-    Index add(const std::vector<size_t>& on, Priority priority = Priority::Low) {
+    Index add(const std::vector<size_t>& dependencies, Priority priority = Priority::Low) {
         auto spec =
-            w.spec("req-" + std::to_string(jobs.size() + 1), JobKind::Array, 1, 1, 0, priority);
+            world.spec("req-" + std::to_string(jobs.size() + 1), JobKind::Array, 1, 1, 0, priority);
         spec.estimate_s = 10;
-        return add(on, spec);
+        return add(dependencies, spec);
     }
-    Job& job(size_t i) { return *w.cluster.jobs[jobs[i]]; }
-    void end(size_t i, double at) {
-        job(i).ended = at;
-        w.cluster.remove_job(jobs[i], w.now);
+    Job& job(size_t i) { return *world.cluster.jobs[jobs[i]]; }
+    void end_job(size_t i, double ended_wall) {
+        job(i).ended_wall = ended_wall;
+        world.cluster.remove_job(jobs[i], world.now);
     }
 };
 
-TEST(DependencyGraph, AJobIsReadyOnceAllThatItNeedsAreDone) {
+TEST(DependencyGraph, JobIsReadyOnceDependenciesAreDone) {
     struct Row {
-        const char* why;
-        std::vector<std::vector<size_t>> graph;
-        std::vector<size_t> ends;
-        std::set<size_t> ready;  // of those left
+        const char* description;
+        std::vector<std::vector<size_t>> graph;  // dependencies of each job
+        std::vector<size_t> ended;               // jobs that end, in order
+        std::set<size_t> ready;                  // of the remaining jobs
     };
     const Row rows[] = {
-        {"nothing to wait for", {{}, {}}, {}, {0, 1}},
+        {"no dependencies", {{}, {}}, {}, {0, 1}},
         {"a chain", {{}, {0}, {1}}, {}, {0}},
-        {"a chain, one stage on", {{}, {0}, {1}}, {0}, {1}},
+        {"a chain, first stage done", {{}, {0}, {1}}, {0}, {1}},
         {"a diamond", {{}, {0}, {0}, {1, 2}}, {0}, {1, 2}},
         {"a diamond, one side done", {{}, {0}, {0}, {1, 2}}, {0, 1}, {2}},
         {"a diamond, both sides done", {{}, {0}, {0}, {1, 2}}, {0, 2, 1}, {3}},
-        {"named directly and through another", {{}, {0}, {0, 1}}, {0}, {1}},
-        {"two that wait for one", {{}, {0}, {0}}, {0}, {1, 2}},
+        {"a direct dependency that is also a transitive one", {{}, {0}, {0, 1}}, {0}, {1}},
+        {"two dependants of one job", {{}, {0}, {0}}, {0}, {1, 2}},
     };
     for (auto& row : rows) {
-        World w;
-        Pipeline p{w, {}};
-        for (auto& on : row.graph) p.add(on);
-        for (auto i : row.ends) p.end(i, 2000 + static_cast<double>(i));
+        World world;
+        Pipeline pipeline{world, {}};
+        for (auto& dependencies : row.graph) pipeline.add(dependencies);
+        for (auto i : row.ended) pipeline.end_job(i, 2000 + static_cast<double>(i));
         std::set<size_t> ready;
-        auto waiting = waiting_jobs(w.cluster, w.now);
-        for (size_t i = 0; i < p.jobs.size(); ++i)
-            if (w.cluster.jobs[p.jobs[i]] && std::count(waiting.begin(), waiting.end(), p.jobs[i]))
+        auto waiting = waiting_jobs(world.cluster, world.now);
+        for (size_t i = 0; i < pipeline.jobs.size(); ++i)
+            if (world.cluster.jobs[pipeline.jobs[i]] &&
+                std::count(waiting.begin(), waiting.end(), pipeline.jobs[i]))
                 ready.insert(i);
-        EXPECT_EQ(ready, row.ready) << row.why;
-        EXPECT_EQ(w.cluster.dependencies().waiting(),
-                  row.graph.size() - row.ends.size() - row.ready.size())
-            << row.why;
+        EXPECT_EQ(ready, row.ready) << row.description;
+        EXPECT_EQ(world.cluster.dependencies().waiting_count(),
+                  row.graph.size() - row.ended.size() - row.ready.size())
+            << row.description;
     }
 }
 
-TEST(DependencyGraph, TimesCountFromTheEndOfTheLastOneAndTheDeadlineFromTheSubmission) {
-    World w;
-    auto c = w.cluster.names.classes.intern("class");
-    w.cluster.classes.resize(c + 1);
-    w.cluster.classes[c].done_within_s = {100};
-    Pipeline p{w, {}};
-    p.add({});
-    p.add({});
-    auto spec = w.spec("req-9", JobKind::Array, 1, 1);
+TEST(DependencyGraph, DueTimesCountFromReadinessOrSubmission) {
+    World world;
+    auto class_index = world.cluster.names.classes.intern("class");
+    world.cluster.classes.resize(class_index + 1);
+    world.cluster.classes[class_index].finish_within_s = {100};
+    Pipeline pipeline{world, {}};
+    pipeline.add({});
+    pipeline.add({});
+    auto spec = world.spec("req-9", JobKind::Array, 1, 1);
     spec.deadline_s = 500;
-    p.add({0, 1}, spec);
-    double start = w.now;
-    w.now += 50;
-    p.end(1, 1050);
-    w.now += 30;
-    p.end(0, 1080);
-    auto& job = p.job(2);
-    EXPECT_EQ(job.ready, 1080);
+    pipeline.add({0, 1}, spec);
+    double start = world.now;
+    world.now += 50;
+    pipeline.end_job(1, 1050);
+    world.now += 30;
+    pipeline.end_job(0, 1080);
+    auto& job = pipeline.job(2);
+    EXPECT_EQ(job.ready_wall, 1080);
     int missed;
-    EXPECT_EQ(w.cluster.due(job, w.now, missed), start + 80 + 100);
-    EXPECT_EQ(w.cluster.due(job, start + 400, missed), start + 500);
+    EXPECT_EQ(world.cluster.due_time(job, world.now, missed), start + 80 + 100);
+    EXPECT_EQ(world.cluster.due_time(job, start + 400, missed), start + 500);
 }
 
-TEST(DependencyGraph, AWaitingJobHoldsNothingOfItsTeamsGuarantee) {
-    World w;  // red is owed 16 CPUs
-    Pipeline p{w, {}};
-    p.add({}, w.spec("req-1", JobKind::Array, 1, 8, 0, Priority::Low, "red"));
-    p.add({0}, w.spec("req-2", JobKind::Array, 2, 8, 0, Priority::Low, "red"));
-    auto late = w.spec("req-3", JobKind::Array, 1, 8, 0, Priority::Low, "red");
-    auto third = p.add({}, late);
-    EXPECT_TRUE(w.cluster.jobs[third]->guaranteed);
-    p.end(0, 1001);
-    EXPECT_FALSE(p.job(1).guaranteed);  // it comes now, beside the third
+TEST(DependencyGraph, WaitingJobUsesNoTeamGuarantee) {
+    World world;  // team red is guaranteed 16 CPUs
+    Pipeline pipeline{world, {}};
+    pipeline.add({}, world.spec("req-1", JobKind::Array, 1, 8, 0, Priority::Low, "red"));
+    pipeline.add({0}, world.spec("req-2", JobKind::Array, 2, 8, 0, Priority::Low, "red"));
+    auto late = world.spec("req-3", JobKind::Array, 1, 8, 0, Priority::Low, "red");
+    auto third = pipeline.add({}, late);
+    EXPECT_TRUE(world.cluster.jobs[third]->guaranteed);
+    pipeline.end_job(0, 1001);
+    EXPECT_FALSE(pipeline.job(1).guaranteed);  // it becomes ready after the third
 }
 
-TEST(DependencyGraph, WhatLaterStagesAskSpreadsToThoseBeforeAndGoesWithThem) {
-    World w;
-    w.cluster.classes.resize(w.cluster.names.classes.intern("class") + 1);
-    Pipeline p{w, {}};
-    p.add({});
-    p.add({0});
-    p.add({0});
-    auto last = w.spec("req-4", JobKind::Array, 1, 1, 0, Priority::High);
+TEST(DependencyGraph, PriorityAndDeadlinePropagateToDependencies) {
+    World world;
+    world.cluster.classes.resize(world.cluster.names.classes.intern("class") + 1);
+    Pipeline pipeline{world, {}};
+    pipeline.add({});
+    pipeline.add({0});
+    pipeline.add({0});
+    auto last = world.spec("req-4", JobKind::Array, 1, 1, 0, Priority::High);
     last.deadline_s = 100;
     last.estimate_s = 10;
-    p.add({1, 2}, last);
-    const double stage = 10 + w.settings.heartbeat_interval_s;  // no image to fetch
-    EXPECT_EQ(p.job(0).priority, Priority::High);
-    EXPECT_DOUBLE_EQ(p.job(1).needed_by, w.now + 100 - stage);
-    EXPECT_DOUBLE_EQ(p.job(0).needed_by, w.now + 100 - 2 * stage);
-    EXPECT_EQ(p.job(0).spec.priority, Priority::Low);
-    auto cancelled = w.cluster.cancel_dependants(p.jobs[2]);
-    EXPECT_EQ(cancelled, std::vector<Index>{p.jobs[3]});
-    EXPECT_EQ(p.job(1).priority, Priority::Low);
-    EXPECT_EQ(p.job(0).priority, Priority::Low);
-    EXPECT_GT(p.job(0).needed_by, 1e17);
+    pipeline.add({1, 2}, last);
+    const double stage = 10 + world.settings.heartbeat_interval_s;  // no image to fetch
+    EXPECT_EQ(pipeline.job(0).effective_priority, Priority::High);
+    EXPECT_DOUBLE_EQ(pipeline.job(1).needed_by, world.now + 100 - stage);
+    EXPECT_DOUBLE_EQ(pipeline.job(0).needed_by, world.now + 100 - 2 * stage);
+    EXPECT_EQ(pipeline.job(0).spec.priority, Priority::Low);
+    auto cancelled = world.cluster.cancel_dependants(pipeline.jobs[2]);
+    EXPECT_EQ(cancelled, std::vector<Index>{pipeline.jobs[3]});
+    EXPECT_EQ(pipeline.job(1).effective_priority, Priority::Low);
+    EXPECT_EQ(pipeline.job(0).effective_priority, Priority::Low);
+    EXPECT_GT(pipeline.job(0).needed_by, 1e17);
 }
 
-TEST(DependencyGraph, TowersOfDiamondsAndLongChainsTakeNoLongerThanTheirLinks) {
-    // Walked path by path, 30 diamonds would take 2^30 steps.
-    World w;
-    Pipeline p{w, {}};
-    p.add({});
+TEST(DependencyGraph, TraversalIsLinearInEdges) {
+    // A traversal that visits a job once for each path to it would take 2^30 steps for a chain of
+    // 30 diamonds.
+    World world;
+    Pipeline pipeline{world, {}};
+    pipeline.add({});
     for (size_t i = 0; i < 30; ++i) {
-        auto base = p.jobs.size() - 1;
-        p.add({base});
-        p.add({base});
-        p.add({base + 1, base + 2});
+        auto base = pipeline.jobs.size() - 1;
+        pipeline.add({base});
+        pipeline.add({base});
+        pipeline.add({base + 1, base + 2});
     }
-    auto top = p.jobs.size() - 1;
-    p.add({top}, Priority::High);
-    EXPECT_EQ(p.job(0).priority, Priority::High);
-    EXPECT_EQ(w.cluster.dependencies().all_dependants(p.jobs[0]).size(), p.jobs.size() - 1);
-    World v;
-    Pipeline chain{v, {}};
+    auto top = pipeline.jobs.size() - 1;
+    pipeline.add({top}, Priority::High);
+    EXPECT_EQ(pipeline.job(0).effective_priority, Priority::High);
+    EXPECT_EQ(world.cluster.dependencies().transitive_dependants(pipeline.jobs[0]).size(),
+              pipeline.jobs.size() - 1);
+    World chain_world;
+    Pipeline chain{chain_world, {}};
     chain.add({});
     for (size_t i = 0; i < 3000; ++i) chain.add({i});
-    EXPECT_EQ(v.cluster.cancel_dependants(chain.jobs[0]).size(), 3000u);
+    EXPECT_EQ(chain_world.cluster.cancel_dependants(chain.jobs[0]).size(), 3000u);
 }
 
-TEST(Preemption, AStopIsRightWhetherOrNotWhatNeedsAJobCounts) {
+TEST(Preemption, RespectsInheritedPriorityOfVictimsOnly) {
     struct Row {
-        const char* why;
-        Priority own, needed;  // of the job that asks, and of one that needs it
-        Priority victim, victim_needed;
-        bool may;
+        const char* description;
+        Priority own, dependant;  // of the preempting job and of its dependant
+        Priority victim, victim_dependant;
+        bool allowed;
     };
     using enum Priority;
     const Row rows[] = {
-        {"higher by itself", High, High, Normal, Low, true},
-        {"higher only through what needs it", Low, High, Normal, Low, false},
-        {"needed by something as high", High, High, Low, High, false},
-        {"needed by something lower than the asker", High, High, Low, Normal, true},
+        {"higher by its own priority", High, High, Normal, Low, true},
+        {"higher only by its inherited priority", Low, High, Normal, Low, false},
+        {"victim inherits an equal priority", High, High, Low, High, false},
+        {"victim inherits a lower priority", High, High, Low, Normal, true},
         {"equal", Normal, High, Normal, Low, false},
     };
     for (auto& row : rows) {
-        World w;
-        Pipeline p{w, {}};
-        p.add({}, row.own);
-        p.add({0}, row.needed);
-        p.add({}, row.victim);
-        p.add({2}, row.victim_needed);
-        EXPECT_EQ(may_stop(w.cluster, p.job(2), p.job(0)), row.may) << row.why;
+        World world;
+        Pipeline pipeline{world, {}};
+        pipeline.add({}, row.own);
+        pipeline.add({0}, row.dependant);
+        pipeline.add({}, row.victim);
+        pipeline.add({2}, row.victim_dependant);
+        EXPECT_EQ(may_stop(world.cluster, pipeline.job(2), pipeline.job(0)), row.allowed)
+            << row.description;
     }
 }
 
-// What the leader does with the cluster state and the state log, without the rest of it.
-struct Bookkeeper {
-    World w;
+// The parts of a leader that maintain the cluster state and the state log.
+struct TestLeader {
+    World world;
     StateLogLimits limits;
     StateLog state_log;
     std::set<Index> ending;
-    Bookkeeper(uint64_t fencing_token, StateLogLimits limits)
-        : limits(limits), state_log(w.cluster, fencing_token, limits) {}
+    TestLeader(uint64_t fencing_token, StateLogLimits limits)
+        : limits(limits), state_log(world.cluster, fencing_token, limits) {}
 
-    Index submit(const std::string& id, const std::vector<std::string>& on, uint32_t tasks = 1) {
-        auto spec = w.spec(id, JobKind::Array, tasks, 0.01);
-        std::vector<Index> links;
+    Index submit(const std::string& id, const std::vector<std::string>& dependencies,
+                 uint32_t tasks = 1) {
+        auto spec = world.spec(id, JobKind::Array, tasks, 0.01);
+        std::vector<Index> dependency_indices;
         bool cancelled = false;
-        for (auto& d : on) {
-            auto* job = w.cluster.find_job(d);
-            if (!job) continue;  // ended as done
-            cancelled = cancelled || job->cancel_recorded;
-            links.push_back(w.cluster.job_index.at(d));
+        for (auto& d : dependencies) {
+            auto* job = world.cluster.find_job(d);
+            if (!job) continue;  // it has ended as done
+            cancelled = cancelled || job->cancel_durable;
+            dependency_indices.push_back(world.cluster.job_index.at(d));
         }
-        if (!cancelled && !links.empty()) spec.dependencies = on;
-        auto j = w.cluster.add_job(std::move(spec), 1000, w.now);
+        if (!cancelled && !dependency_indices.empty()) spec.dependencies = dependencies;
+        auto index = world.cluster.add_job(std::move(spec), 1000, world.now);
         if (cancelled)
-            w.cluster.jobs[j]->cancelled = w.cluster.jobs[j]->cancel_recorded = true;
-        else if (w.cluster.jobs[j]->waits)
-            w.cluster.set_dependencies(j, links, w.now);
-        state_log.new_job(j);
-        return j;
+            world.cluster.jobs[index]->cancelled = world.cluster.jobs[index]->cancel_durable = true;
+        else if (world.cluster.jobs[index]->waits_for_dependencies)
+            world.cluster.set_dependencies(index, dependency_indices, world.now);
+        state_log.queue_new_job(index);
+        return index;
     }
-    void cancel(Index j) {
-        w.cluster.jobs[j]->cancelled = true;
-        state_log.cancel(j);
+    void cancel(Index index) {
+        world.cluster.jobs[index]->cancelled = true;
+        state_log.queue_cancellation(index);
     }
-    // Ends of jobs that may end.
-    void check() {
-        for (Index j = 0; j < w.cluster.jobs.size(); ++j) {
-            auto* job = w.cluster.jobs[j].get();
-            if (!job || job->version == 0 || job->ending || job->placed > 0) continue;
-            if (job->cancelled ? !w.cluster.cancellation_logged(j) : job->done < job->tasks.size())
+    // Queues the ends of all jobs that can end.
+    void end_finished_jobs() {
+        for (Index index = 0; index < world.cluster.jobs.size(); ++index) {
+            auto* job = world.cluster.jobs[index].get();
+            if (!job || job->record_revision == 0 || job->ending || job->placed > 0) continue;
+            if (job->cancelled ? !world.cluster.cancellation_fully_logged(index)
+                               : job->done < job->tasks.size())
                 continue;
             job->ending = true;
-            job->ended = std::round(w.now * 8) / 8;
-            state_log.finish(j);
+            job->ended_wall = std::round(world.now * 8) / 8;
+            state_log.queue_job_end(index);
         }
     }
-    void committed(const StateLogBatch& b, uint64_t revision) {
-        state_log.committed(b, revision);
-        for (auto& e : b.entries) {
-            if (e.kind == EntryKind::Cancel)
-                for (auto d : w.cluster.cancel_dependants(e.job))
-                    if (w.cluster.jobs[d]->version != 0) state_log.cancel(d);
-            if (e.kind == EntryKind::Finish) w.cluster.remove_job(e.job, w.now);
+    void committed(const StateLogBatch& batch, uint64_t revision) {
+        state_log.committed(batch, revision);
+        for (auto& entry : batch.entries) {
+            if (entry.kind == EntryKind::Cancellation)
+                for (auto d : world.cluster.cancel_dependants(entry.job))
+                    if (world.cluster.jobs[d]->record_revision != 0)
+                        state_log.queue_cancellation(d);
+            if (entry.kind == EntryKind::JobEnd) world.cluster.remove_job(entry.job, world.now);
         }
-        check();
+        end_finished_jobs();
     }
-    void rejected(const StateLogBatch& b) {
-        for (auto& e : b.entries)
-            if (e.kind == EntryKind::NewJob) w.cluster.remove_job(e.job, w.now);
-        state_log.rejected(b);
+    void rejected(const StateLogBatch& batch) {
+        for (auto& entry : batch.entries)
+            if (entry.kind == EntryKind::NewJob) world.cluster.remove_job(entry.job, world.now);
+        state_log.rejected(batch);
     }
-    // Nothing more to be recorded.
-    int settle(Store& store) {
-        int n = 0;
-        check();
-        for (; state_log.waiting() && n < 5000; ++n) {
-            auto b = state_log.next(limits.txn_ops);
-            if (b.empty()) break;
-            test::expect_limits(b, limits);
-            auto revision = store.apply(b.txn);
+    // Commits transactions until nothing is left to record. Returns their number.
+    int record_all(Store& store) {
+        int transactions = 0;
+        end_finished_jobs();
+        for (; state_log.has_work() && transactions < 5000; ++transactions) {
+            auto batch = state_log.next_batch(limits.txn_ops);
+            if (batch.empty()) break;
+            test::expect_limits(batch, limits);
+            auto revision = store.apply(batch.txn);
             EXPECT_NE(revision, 0u);
-            committed(b, revision);
+            committed(batch, revision);
         }
-        return n;
+        return transactions;
     }
 };
 
-constexpr StateLogLimits kTight{4, 2};
+constexpr StateLogLimits kTightLimits{4, 2};
 
-TEST(PipelineRecords, AFreshLeaderFindsWhatWaitsAndWhatIsCancelledWhateverBecameOfTheAnswers) {
-    // Random histories. After every one applied transaction a fresh leader reads the log: who waits
-    // for whom, since when a job is ready, and who is cancelled must be as the leader that wrote it
-    // has it.
-    int cascades = 0, readied = 0;
+TEST(StateLogPipelines, NewLeaderRestoresRandomHistories) {
+    // After each applied transaction of a random history, a new leader reads the log. Its
+    // dependencies, ready times and cancellations must equal those of the leader that wrote the
+    // log.
+    int cancelled_ends = 0, ready_checks = 0;
     for (unsigned seed = 1; seed <= 12; ++seed) {
         std::mt19937 random(seed);
-        auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
+        auto random_below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
         Store store;
-        Bookkeeper k(41, seed % 2 ? kTight : StateLogLimits{12, 4});
-        auto& cluster = k.w.cluster;
+        TestLeader leader(41, seed % 2 ? kTightLimits : StateLogLimits{12, 4});
+        auto& cluster = leader.world.cluster;
         std::vector<Index> machines;
-        for (int i = 0; i < 4; ++i) machines.push_back(k.w.machine("vm-00000" + std::to_string(i)));
+        for (int i = 0; i < 4; ++i)
+            machines.push_back(leader.world.machine("vm-00000" + std::to_string(i)));
         std::vector<CasTransaction> sent;
         int jobs = 0;
         for (int step = 0; step < 700; ++step) {
-            k.w.now += 0.25;
-            if (below(4) == 0 && cluster.job_index.size() < 25) {
-                std::vector<std::string> on;
+            leader.world.now += 0.25;
+            if (random_below(4) == 0 && cluster.job_index.size() < 25) {
+                std::vector<std::string> dependencies;
                 for (int i = 0; i < 3 && jobs > 0; ++i) {
                     auto id =
-                        "req-" + std::to_string(jobs - static_cast<int>(below(std::min(jobs, 6))));
+                        "req-" +
+                        std::to_string(jobs - static_cast<int>(random_below(std::min(jobs, 6))));
                     auto* job = cluster.find_job(id);
                     auto final = store.keys.find(final_key(id));
-                    bool gone_well = final != store.keys.end() &&
-                                     final->second.first.find("true") == std::string::npos;
-                    if ((job ? job->version != 0 : gone_well) &&
-                        !std::count(on.begin(), on.end(), id))
-                        on.push_back(id);
+                    bool ended_as_done = final != store.keys.end() &&
+                                         final->second.first.find("true") == std::string::npos;
+                    if ((job ? job->record_revision != 0 : ended_as_done) &&
+                        !std::count(dependencies.begin(), dependencies.end(), id))
+                        dependencies.push_back(id);
                 }
-                k.submit("req-" + std::to_string(++jobs), on, 1 + below(8));
+                leader.submit("req-" + std::to_string(++jobs), dependencies, 1 + random_below(8));
             }
-            for (Index j = 0; j < cluster.jobs.size(); ++j) {
-                auto* job = cluster.jobs[j].get();
-                if (!job || job->version == 0 || job->ending) continue;
-                auto t = below(job->tasks.size());
+            for (Index index = 0; index < cluster.jobs.size(); ++index) {
+                auto* job = cluster.jobs[index].get();
+                if (!job || job->record_revision == 0 || job->ending) continue;
+                auto t = random_below(job->tasks.size());
                 auto& task = job->tasks[t];
-                if (task.state == TaskState::Pending && !job->cancelled && !job->waits)
-                    cluster.place(j, t, machines[below(4)], task.attempt + 1, k.w.now);
-                else if (task.state == TaskState::Placed && below(3) > 0)
-                    cluster.finish(j, t, k.w.now);
+                if (task.state == TaskState::Pending && !job->cancelled &&
+                    !job->waits_for_dependencies)
+                    cluster.place(index, t, machines[random_below(4)], task.attempt + 1,
+                                  leader.world.now);
+                else if (task.state == TaskState::Placed && random_below(3) > 0)
+                    cluster.finish(index, t, leader.world.now);
                 else if (task.state == TaskState::Placed)
-                    cluster.unassign(j, t, k.w.now);
-                if (below(150) == 0 && !job->cancelled) k.cancel(j);
+                    cluster.unassign(index, t, leader.world.now);
+                if (random_below(150) == 0 && !job->cancelled) leader.cancel(index);
             }
-            k.check();
-            if (!sent.empty() && below(3) == 0) {
-                EXPECT_EQ(store.apply(sent[below(sent.size())]), 0u)
-                    << "a late copy, seed " << seed;
+            leader.end_finished_jobs();
+            if (!sent.empty() && random_below(3) == 0) {
+                EXPECT_EQ(store.apply(sent[random_below(sent.size())]), 0u)
+                    << "a late copy was applied, seed " << seed;
             }
-            auto b = k.state_log.next(
-                1 + static_cast<int>(below(static_cast<size_t>(k.limits.txn_ops))));
-            if (b.empty()) continue;
-            test::expect_limits(b, k.limits);
-            if (below(8) == 0) {
-                k.rejected(b);
+            auto batch = leader.state_log.next_batch(
+                1 + static_cast<int>(random_below(static_cast<size_t>(leader.limits.txn_ops))));
+            if (batch.empty()) continue;
+            test::expect_limits(batch, leader.limits);
+            if (random_below(8) == 0) {
+                leader.rejected(batch);
                 continue;
             }
-            auto revision = store.apply(b.txn);
+            auto revision = store.apply(batch.txn);
             ASSERT_NE(revision, 0u);
-            sent.push_back(b.txn);
-            k.committed(b, revision);
-            Bookkeeper fresh(42, k.limits);
-            store.load(fresh.state_log, fresh.w.now);
-            // Placements not recorded yet are the old leader's alone: only what pipelines are made
-            // of counts.
+            sent.push_back(batch.txn);
+            leader.committed(batch, revision);
+            TestLeader restored(42, leader.limits);
+            store.load(restored.state_log, restored.world.now);
+            // Only the state of pipelines is compared: the new leader can't know placements that
+            // are not recorded yet.
             for (auto& [id, index] : cluster.job_index) {
                 auto& job = *cluster.jobs[index];
-                auto* found = fresh.w.cluster.find_job(id);
-                ASSERT_EQ(found != nullptr, job.version != 0)
+                auto* found = restored.world.cluster.find_job(id);
+                ASSERT_EQ(found != nullptr, job.record_revision != 0)
                     << id << " seed " << seed << " step " << step;
                 if (!found) continue;
-                EXPECT_EQ(found->cancel_recorded, job.cancel_recorded) << id << " seed " << seed;
-                if (job.cancel_recorded) continue;
-                EXPECT_EQ(found->waits, job.waits) << id << " seed " << seed;
-                EXPECT_EQ(found->ready, job.ready) << id << " seed " << seed;
-                readied += job.ready > 0;
+                EXPECT_EQ(found->cancel_durable, job.cancel_durable) << id << " seed " << seed;
+                if (job.cancel_durable) continue;
+                EXPECT_EQ(found->waits_for_dependencies, job.waits_for_dependencies)
+                    << id << " seed " << seed;
+                EXPECT_EQ(found->ready_wall, job.ready_wall) << id << " seed " << seed;
+                ready_checks += job.ready_wall > 0;
             }
-            for (auto& [id, index] : fresh.w.cluster.job_index)
-                EXPECT_TRUE(cluster.find_job(id)) << id << " came back, seed " << seed;
+            for (auto& [id, index] : restored.world.cluster.job_index)
+                EXPECT_TRUE(cluster.find_job(id))
+                    << id << " was restored after its end, seed " << seed;
         }
-        k.settle(store);
+        leader.record_all(store);
         for (auto& [key, value] : store.keys)
-            cascades += key.starts_with("f/") && value.first.find("true") != std::string::npos;
-        Bookkeeper fresh(42, k.limits);
-        store.load(fresh.state_log, fresh.w.now);
-        EXPECT_EQ(test::picture(fresh.w.cluster), test::picture(cluster)) << "seed " << seed;
-        EXPECT_TRUE(store.keys.count(kLogKey)) << "no segment was dropped";
+            cancelled_ends +=
+                key.starts_with("f/") && value.first.find("true") != std::string::npos;
+        TestLeader restored(42, leader.limits);
+        store.load(restored.state_log, restored.world.now);
+        EXPECT_EQ(test::picture(restored.world.cluster), test::picture(cluster)) << "seed " << seed;
+        EXPECT_TRUE(store.keys.count(kLogKey)) << "no segment was deleted";
     }
-    EXPECT_GT(cascades, 50);
-    EXPECT_GT(readied, 1000);
+    EXPECT_GT(cancelled_ends, 50);
+    EXPECT_GT(ready_checks, 1000);
 }
 
-TEST(PipelineRecords, ACancellationStandsForAllWhoNeedTheJobUntilEachHasItsOwn) {
-    // A chain too long for one transaction. Whenever the leader ends, the next one finds all of it
-    // cancelled.
-    for (size_t crash_after : {1u, 2u, 3u, 5u, 9u}) {
+TEST(StateLogPipelines, CancellationCoversDependantsAcrossFailover) {
+    // The chain is too long for one transaction. After a crash of the leader after some of the
+    // transactions, the next leader must find all jobs of the chain cancelled.
+    for (size_t transactions_before_crash : {1u, 2u, 3u, 5u, 9u}) {
         Store store;
-        Bookkeeper k(41, kTight);
-        k.submit("req-0", {});
+        TestLeader leader(41, kTightLimits);
+        leader.submit("req-0", {});
         for (int i = 1; i <= 400; ++i) {
-            k.settle(store);
-            k.submit("req-" + std::to_string(i), {"req-" + std::to_string(i - 1)});
+            leader.record_all(store);
+            leader.submit("req-" + std::to_string(i), {"req-" + std::to_string(i - 1)});
         }
-        k.settle(store);
-        k.cancel(k.w.cluster.job_index.at("req-0"));
-        for (size_t i = 0; i < crash_after; ++i) {
-            auto b = k.state_log.next(kTight.txn_ops);
-            ASSERT_FALSE(b.empty());
-            k.committed(b, store.apply(b.txn));
+        leader.record_all(store);
+        leader.cancel(leader.world.cluster.job_index.at("req-0"));
+        for (size_t i = 0; i < transactions_before_crash; ++i) {
+            auto batch = leader.state_log.next_batch(kTightLimits.txn_ops);
+            ASSERT_FALSE(batch.empty());
+            leader.committed(batch, store.apply(batch.txn));
         }
-        Bookkeeper next(42, kTight);
-        store.load(next.state_log, next.w.now);
+        TestLeader next_leader(42, kTightLimits);
+        store.load(next_leader.state_log, next_leader.world.now);
         size_t cancelled = 0;
         for (int i = 0; i <= 400; ++i) {
-            auto* job = next.w.cluster.find_job("req-" + std::to_string(i));
+            auto* job = next_leader.world.cluster.find_job("req-" + std::to_string(i));
             if (job)
-                cancelled += job->cancel_recorded;
+                cancelled += job->cancel_durable;
             else
                 cancelled +=
                     store.keys.at(final_key("req-" + std::to_string(i))).first.find("true") !=
                     std::string::npos;
         }
-        EXPECT_EQ(cancelled, 401u) << crash_after;
-        // And it can finish what the first began.
+        EXPECT_EQ(cancelled, 401u) << transactions_before_crash;
+        // The next leader can record the rest of the cancellations.
         store.keys[kLeaderKey].second = 42;
-        next.settle(store);
-        EXPECT_TRUE(next.w.cluster.job_index.empty()) << crash_after;
+        next_leader.record_all(store);
+        EXPECT_TRUE(next_leader.world.cluster.job_index.empty()) << transactions_before_crash;
     }
 }
 
-TEST(PipelineRecords, EndsAndCancellationsThatCrossANewDependant) {
+TEST(StateLogPipelines, DependencyEndsWhileDependantIsSubmitted) {
     struct Row {
-        const char* why;
-        int first;  // transactions between what becomes of the first job and the submission of the
-                    // second
-        bool cancel;
-        const char* then;  // of the second: "waits", "ready", "cancelled"
+        const char* description;
+        // Transactions between the end or cancellation of the first job and the submission of the
+        // second.
+        int transactions;
+        bool cancel;               // the first job is cancelled; otherwise it is done
+        const char* second_state;  // "waits", "ready" or "cancelled"
     };
     const Row rows[] = {
-        {"cancelled in the same moment", 0, true, "cancelled"},
-        {"named just after the cancellation was recorded", 1, true, "cancelled"},
-        {"ends in the same moment", 0, false, "ready"},
+        {"cancelled at the same time", 0, true, "cancelled"},
+        {"submitted just after the cancellation was recorded", 1, true, "cancelled"},
+        {"ends at the same time", 0, false, "ready"},
         {"ended just before", 1, false, "ready"},
     };
     for (auto& row : rows)
         for (bool fail_over : {false, true}) {
             Store store;
-            Bookkeeper k(41, kTight);
-            auto first = k.submit("req-1", {});
-            k.submit("req-3", {});  // something that stays
-            k.settle(store);
+            TestLeader leader(41, kTightLimits);
+            auto first = leader.submit("req-1", {});
+            leader.submit("req-3", {});  // a job that does not end
+            leader.record_all(store);
             if (row.cancel) {
-                k.cancel(first);
+                leader.cancel(first);
             } else {
-                k.w.cluster.finish(first, 0, k.w.now);
-                k.check();
+                leader.world.cluster.finish(first, 0, leader.world.now);
+                leader.end_finished_jobs();
             }
-            for (int i = 0; i < row.first; ++i) {
-                auto b = k.state_log.next(kTight.txn_ops);
-                k.state_log.committed(b, store.apply(b.txn));
-                for (auto& e : b.entries) {
-                    if (e.kind == EntryKind::Cancel) {
-                        EXPECT_TRUE(k.w.cluster.cancel_dependants(e.job).empty());
+            for (int i = 0; i < row.transactions; ++i) {
+                auto batch = leader.state_log.next_batch(kTightLimits.txn_ops);
+                leader.state_log.committed(batch, store.apply(batch.txn));
+                for (auto& entry : batch.entries) {
+                    if (entry.kind == EntryKind::Cancellation) {
+                        EXPECT_TRUE(leader.world.cluster.cancel_dependants(entry.job).empty());
                     }
-                    if (e.kind == EntryKind::Finish) k.w.cluster.remove_job(e.job, k.w.now);
+                    if (entry.kind == EntryKind::JobEnd)
+                        leader.world.cluster.remove_job(entry.job, leader.world.now);
                 }
             }
-            k.submit("req-2", {"req-1"});
-            auto b = k.state_log.next(kTight.txn_ops);
-            k.committed(b, store.apply(b.txn));
-            if (!fail_over) k.settle(store);
-            Bookkeeper next(42, kTight);
-            store.load(next.state_log, next.w.now);
+            leader.submit("req-2", {"req-1"});
+            auto batch = leader.state_log.next_batch(kTightLimits.txn_ops);
+            leader.committed(batch, store.apply(batch.txn));
+            if (!fail_over) leader.record_all(store);
+            TestLeader next_leader(42, kTightLimits);
+            store.load(next_leader.state_log, next_leader.world.now);
             store.keys[kLeaderKey].second = 42;
-            next.settle(store);
-            auto* job = next.w.cluster.find_job("req-2");
-            bool cancelled = job ? job->cancel_recorded : store.keys.count("f/req-2") > 0;
-            bool ready = job && !job->cancelled && !job->waits;
+            next_leader.record_all(store);
+            auto* job = next_leader.world.cluster.find_job("req-2");
+            bool cancelled = job ? job->cancel_durable : store.keys.count("f/req-2") > 0;
+            bool ready = job && !job->cancelled && !job->waits_for_dependencies;
             EXPECT_EQ(std::string(cancelled ? "cancelled"
                                   : ready   ? "ready"
                                             : "waits"),
-                      row.then)
-                << row.why << (fail_over ? ", after a failover" : "");
+                      row.second_state)
+                << row.description << (fail_over ? ", after a failover" : "");
         }
 }
 
-TEST(PipelineRecords, ALongListIsToldInPiecesAndHoldsBackNothing) {
+TEST(StateLogPipelines, MultiPartRecordDoesNotDelayOtherJobs) {
     for (bool rejects : {false, true}) {
         Store store;
-        Bookkeeper k(41, kTight);
-        std::vector<std::string> on;
+        TestLeader leader(41, kTightLimits);
+        std::vector<std::string> dependencies;
         for (int i = 1; i <= 1500; ++i) {
-            on.push_back("req-" + std::to_string(100000 + i));
-            k.submit(on.back(), {});
+            dependencies.push_back("req-" + std::to_string(100000 + i));
+            leader.submit(dependencies.back(), {});
         }
-        k.settle(store);
-        k.submit("req-1", on);
-        k.submit("req-2", {on[0]});
-        // The one behind it is recorded with the first transaction.
-        auto b = k.state_log.next(kTight.txn_ops);
-        EXPECT_TRUE(std::any_of(b.entries.begin(), b.entries.end(), [&](auto& e) {
-            return e.kind == EntryKind::NewJob && k.w.cluster.jobs[e.job]->spec.id == "req-2";
+        leader.record_all(store);
+        leader.submit("req-1", dependencies);
+        leader.submit("req-2", {dependencies[0]});
+        // The job after it is recorded with the first transaction.
+        auto batch = leader.state_log.next_batch(kTightLimits.txn_ops);
+        EXPECT_TRUE(std::any_of(batch.entries.begin(), batch.entries.end(), [&](auto& entry) {
+            return entry.kind == EntryKind::NewJob &&
+                   leader.world.cluster.jobs[entry.job]->spec.id == "req-2";
         }));
-        k.committed(b, store.apply(b.txn));
-        for (int i = 0; k.w.cluster.find_job("req-1")->version == 0; ++i) {
+        leader.committed(batch, store.apply(batch.txn));
+        for (int i = 0; leader.world.cluster.find_job("req-1")->record_revision == 0; ++i) {
             ASSERT_LT(i, 200);
-            b = k.state_log.next(kTight.txn_ops);
-            test::expect_limits(b, kTight);
+            batch = leader.state_log.next_batch(kTightLimits.txn_ops);
+            test::expect_limits(batch, kTightLimits);
             if (rejects && i % 5 == 1) {
-                k.state_log.rejected(b);
-                for (auto& e : b.entries)
-                    if (e.kind == EntryKind::NewJob) k.state_log.new_job(e.job);
+                leader.state_log.rejected(batch);
+                for (auto& entry : batch.entries)
+                    if (entry.kind == EntryKind::NewJob) leader.state_log.queue_new_job(entry.job);
                 continue;
             }
-            k.committed(b, store.apply(b.txn));
+            leader.committed(batch, store.apply(batch.txn));
         }
-        // Told anew as well, while the jobs around it end.
+        // Compaction rewrites the record while the dependencies of the job end.
         for (int i = 0; i < 1400; ++i) {
-            auto j = k.w.cluster.job_index.at(on[static_cast<size_t>(i)]);
-            k.w.cluster.finish(j, 0, k.w.now);
-            k.check();
-            k.w.now += 0.125;
-            if (i % 50 == 0) k.settle(store);
+            auto index = leader.world.cluster.job_index.at(dependencies[static_cast<size_t>(i)]);
+            leader.world.cluster.finish(index, 0, leader.world.now);
+            leader.end_finished_jobs();
+            leader.world.now += 0.125;
+            if (i % 50 == 0) leader.record_all(store);
         }
-        k.settle(store);
+        leader.record_all(store);
         EXPECT_TRUE(store.keys.count(kLogKey));
-        Bookkeeper next(42, kTight);
-        store.load(next.state_log, next.w.now);
-        auto* job = next.w.cluster.find_job("req-1");
+        TestLeader next_leader(42, kTightLimits);
+        store.load(next_leader.state_log, next_leader.world.now);
+        auto* job = next_leader.world.cluster.find_job("req-1");
         ASSERT_TRUE(job);
-        EXPECT_TRUE(job->waits);
-        EXPECT_EQ(next.w.cluster.dependencies().of(next.w.cluster.job_index.at("req-1")).size(),
+        EXPECT_TRUE(job->waits_for_dependencies);
+        EXPECT_EQ(next_leader.world.cluster.dependencies()
+                      .dependencies_of(next_leader.world.cluster.job_index.at("req-1"))
+                      .size(),
                   100u);
-        EXPECT_EQ(job->ready, k.w.cluster.find_job("req-1")->ready);
-        EXPECT_TRUE(next.w.cluster.find_job("req-2")->waits == false);
+        EXPECT_EQ(job->ready_wall, leader.world.cluster.find_job("req-1")->ready_wall);
+        EXPECT_TRUE(next_leader.world.cluster.find_job("req-2")->waits_for_dependencies == false);
     }
 }
 
