--- a/tests/placement_reference.h
+++ b/tests/placement_reference.h
@@ -18,13 +18,13 @@
 
     auto fit(const Job& job, Index i) const {
         auto& m = *cluster.machines[i];
-        auto left = m.room() - job.spec.demand;
+        auto left = m.free_resources() - job.spec.demand;
         bool together = job.spec.kind == JobKind::Gang && job.spec.tasks > 1;
         return std::make_tuple(job.spec.demand.gpu == 0 && m.size.gpu > 0,
-                               job.failed_on.count(i) > 0, m.tasks.empty(),
+                               job.failed_machines.count(i) > 0, m.tasks.empty(),
                                job.spec.demand.gpu > 0 ? left.gpu : left.cpu, together && m.spot,
                                !m.has_image(job.spec.image), !together && !m.spot, left.cpu,
-                               left.mem, cluster.heartbeat_due_s(m, now));
+                               left.mem, cluster.next_heartbeat_in_s(m, now));
     }
     std::vector<Index> open{};
     std::map<Index, Priority> held{};
@@ -32,13 +32,13 @@
         auto& job = *cluster.jobs[j];
         auto* m = cluster.machines[i].get();
         if (!m || !usable(*m) || !cluster.machine_allowed(job.spec, *m) ||
-            !job.spec.demand.fits_in(m->room()))
+            !job.spec.demand.fits_in(m->free_resources()))
             return false;
-        if (held.count(i) && held.at(i) > job.priority) return false;
+        if (held.count(i) && held.at(i) > job.effective_priority) return false;
         if (m->reserved_for == kNone || m->reserved_for == j || m->reserved_until <= now)
             return true;
         auto* owner = cluster.jobs[m->reserved_for].get();
-        return !owner || owner->priority < job.priority;
+        return !owner || owner->effective_priority < job.effective_priority;
     }
     Index best(Index j, const ZoneRule& rule, Index zone, bool image_only = false) const {
         auto& job = *cluster.jobs[j];
@@ -83,7 +83,7 @@
             for (auto i : open) {
                 auto& m = *cluster.machines[i];
                 if (cluster.machine_allowed(job.spec, m) && image_near(cluster, m, job.spec.image))
-                    near[m.zone] += job.spec.demand.times_in(m.room());
+                    near[m.zone] += job.spec.demand.times_in(m.free_resources());
             }
             for (auto& [z, n] : near)
                 n = job.spec.image_gb > 0 ? std::min<int64_t>(n, job.pending) : 0;
@@ -119,14 +119,15 @@
         std::set<std::pair<int64_t, Index>> some;
         for (auto i : open) {
             auto& m = *cluster.machines[i];
-            if (!demand.fits_in(m.room()) && demand.times_in(m.size) >= 2 &&
-                (!held.count(i) || held.at(i) < job.priority) &&
-                cluster.machine_allowed(job.spec, m) && !cluster.reserves_gpus(job.spec, m.type))
-                some.emplace(demand.cpu - m.room().cpu, i);
+            if (!demand.fits_in(m.free_resources()) && demand.times_in(m.size) >= 2 &&
+                (!held.count(i) || held.at(i) < job.effective_priority) &&
+                cluster.machine_allowed(job.spec, m) &&
+                !cluster.must_leave_room_for_gpus(job.spec, m.type))
+                some.emplace(demand.cpu - m.free_resources().cpu, i);
         }
         uint32_t n = 0;
         for (auto& [lack, i] : some)
-            if (n++ < job.pending) held[i] = job.priority;
+            if (n++ < job.pending) held[i] = job.effective_priority;
     }
     const std::vector<Placement>& run() {
         auto ranks = waiting_ranks(cluster, now);
@@ -140,7 +141,7 @@
                     least = {std::min(least.cpu, demand.cpu), std::min(least.gpu, demand.gpu),
                              std::min(least.mem, demand.mem)};
                 }
-            if (least.fits_in(m->room())) open.push_back(i);
+            if (least.fits_in(m->free_resources())) open.push_back(i);
         }
         for (auto& rank : ranks) {
             if (rank.size() > 1)
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -196,7 +196,7 @@
     StateLog state_log(fresh.cluster, 1, {12, 4});
     for (auto& [key, value] : s.state->keys())
         if (key.starts_with(kSegmentPrefix)) state_log.load_segment({key, value, 1, 0}, fresh.now);
-    state_log.loaded(fresh.now);
+    state_log.finish_loading(fresh.now);
     EXPECT_TRUE(fresh.cluster.job_index.empty());
     EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
 }
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -61,14 +61,14 @@
         World w;
         StateLog state_log(w.cluster, 41, kSmall);
         auto j = w.cluster.add_job(w.spec("req-1", JobKind::Array, 2, 1), 1000, w.now);
-        state_log.new_job(j, row.standby);
-        auto b = state_log.next(12);
+        state_log.queue_new_job(j, row.standby);
+        auto b = state_log.next_batch(12);
         std::map<std::string, uint64_t> seen;
         for (auto& c : b.txn.conditions) seen[c.key] = c.version;
         EXPECT_EQ(seen, row.conditions);
         state_log.committed(b, 50);
-        state_log.forget("d/req-1", 7);
-        b = state_log.next(12);
+        state_log.queue_pending_deletion("d/req-1", 7);
+        b = state_log.next_batch(12);
         seen.clear();
         for (auto& c : b.txn.conditions) seen[c.key] = c.version;
         EXPECT_EQ(seen,
@@ -77,9 +77,10 @@
         EXPECT_TRUE(b.txn.changes[0].value.empty());
         // Half of a transaction is left to users, but one record goes with each.
         state_log.rejected(b);
-        for (int i = 2; i <= 20; ++i) state_log.forget("d/req-" + std::to_string(i), 7);
-        EXPECT_EQ(state_log.next(3).txn.changes.size(), 1u);
-        EXPECT_EQ(state_log.next(12).txn.changes.size(), 6u);
+        for (int i = 2; i <= 20; ++i)
+            state_log.queue_pending_deletion("d/req-" + std::to_string(i), 7);
+        EXPECT_EQ(state_log.next_batch(3).txn.changes.size(), 1u);
+        EXPECT_EQ(state_log.next_batch(12).txn.changes.size(), 6u);
     }
 }
 
@@ -90,8 +91,9 @@
     for (int i = 0; i < 300; ++i) {
         auto id = "req-" + std::to_string(i);
         store.keys[pending_key(id)] = {"{}", 5};
-        state_log.new_job(w.cluster.add_job(w.spec(id, JobKind::Array, 1, 0.01), 1000, w.now), 5);
-        state_log.forget(pending_key(id), 5);
+        state_log.queue_new_job(w.cluster.add_job(w.spec(id, JobKind::Array, 1, 0.01), 1000, w.now),
+                                5);
+        state_log.queue_pending_deletion(pending_key(id), 5);
     }
     test::flush(state_log, w.cluster, store, kSmall, w.now);
     EXPECT_TRUE(store.keys.lower_bound(kPendingPrefix) == store.keys.lower_bound("d0"))
@@ -108,7 +110,7 @@
                     true};
     auto again = parse_pending_record(json::parse(pending_record(r)));
     EXPECT_EQ(again.job, r.job);
-    EXPECT_EQ(again.at, 1234.5);
+    EXPECT_EQ(again.submitted_wall, 1234.5);
     EXPECT_TRUE(again.cancelled && again.accepted());
     EXPECT_FALSE(parse_pending_record(json::parse(pending_record({nullptr, 0, true}))).accepted());
     for (const char* bad : {"[]", "{}", R"({"job":{}})", R"({"job":{},"at":-1})",
@@ -217,18 +219,18 @@
         std::set<std::string> ended;
         for (int step = 0; step < 1200; ++step) {
             if (below(8) == 0 && w.cluster.job_index.size() < 10)
-                state_log.new_job(w.cluster.add_job(
+                state_log.queue_new_job(w.cluster.add_job(
                     w.spec("req-" + std::to_string(++jobs), JobKind::Array, 1 + below(50), 0.01),
                     1000, w.now));
             test::live_on(w.cluster, state_log, machines, below, 300, w.now);
-            auto b = state_log.next(2 + static_cast<int>(below(11)));
+            auto b = state_log.next_batch(2 + static_cast<int>(below(11)));
             if (b.empty()) continue;
             auto revision = store.apply(b.txn);
             ASSERT_NE(revision, 0u);
-            drops += b.first != 0 && b.txn.changes.back().key == kLogKey;
+            drops += b.first_segment != 0 && b.txn.changes.back().key == kLogKey;
             state_log.committed(b, revision);
             for (auto& e : b.entries) {
-                if (e.kind != EntryKind::Finish) continue;
+                if (e.kind != EntryKind::JobEnd) continue;
                 ended.insert(w.cluster.jobs[e.job]->spec.id);
                 w.cluster.remove_job(e.job, w.now);
             }
@@ -255,7 +257,7 @@
                     ASSERT_NE(seen, nullptr) << id;
                     EXPECT_EQ(seen->done, job.done) << id << " seed " << seed;
                     EXPECT_EQ(seen->placed, job.placed) << id << " seed " << seed;
-                    EXPECT_EQ(view->cancelled(id), job.cancel_recorded) << id;
+                    EXPECT_EQ(view->cancelled(id), job.cancel_durable) << id;
                 }
             }
         }
--- a/tests/start_deadline_test.cpp
+++ b/tests/start_deadline_test.cpp
@@ -21,10 +21,10 @@
     auto cancelled = w.job(w.spec("req-5", JobKind::Array, 1, 1));
     auto fresh = w.job(w.spec("req-6", JobKind::Array, 1, 1));
     for (auto j : {old, older, begun, waits, cancelled, fresh})
-        w.cluster.jobs[j]->seen_at = w.now - 169;
-    w.cluster.jobs[older]->seen_at = w.now - 200;
-    w.cluster.jobs[fresh]->seen_at = w.now - 167;
-    w.cluster.jobs[waits]->waits = true;
+        w.cluster.jobs[j]->submitted_steady = w.now - 169;
+    w.cluster.jobs[older]->submitted_steady = w.now - 200;
+    w.cluster.jobs[fresh]->submitted_steady = w.now - 167;
+    w.cluster.jobs[waits]->waits_for_dependencies = true;
     w.cluster.jobs[cancelled]->cancelled = true;
     EXPECT_EQ(jobs_near_start_deadline(w.cluster, 240, w.now), (std::vector<Index>{older, old}));
     EXPECT_TRUE(jobs_near_start_deadline(w.cluster, 0, w.now).empty());
@@ -48,7 +48,7 @@
         w.machine("m0");
         auto other = w.job(w.spec("req-1", JobKind::Array, 8, 1));
         auto late = w.job(w.spec("req-2", row.kind, row.tasks, 1, 0, row.late));
-        w.cluster.jobs[late]->submitted = 2000;  // behind by the order among equals
+        w.cluster.jobs[late]->submitted_wall = 2000;  // behind by the order among equals
         place_waiting(w.cluster, any_machine, w.now, 4096, {}, {late});
         EXPECT_EQ(w.cluster.jobs[late]->placed, row.placed) << row.why;
         EXPECT_EQ(w.cluster.jobs[other]->placed, 8 - row.placed) << row.why;
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -23,9 +23,10 @@
     };
     const Row rows[] = {
         {"room stands free", [](World&, Job&) {}, BlockedBy::Nothing},
-        {"it came a while ago only", [](World& w, Job& j) { j.seen_at = w.now - 10; },
+        {"it came a while ago only", [](World& w, Job& j) { j.submitted_steady = w.now - 10; },
+         std::nullopt},
+        {"it waits for another", [](World&, Job& j) { j.waits_for_dependencies = true; },
          std::nullopt},
-        {"it waits for another", [](World&, Job& j) { j.waits = true; }, std::nullopt},
         {"it is cancelled", [](World&, Job& j) { j.cancelled = true; }, std::nullopt},
         {"it failed", [](World& w, Job& j) { j.not_before = w.now + 5; }, BlockedBy::BackOff},
         {"its team is at its limit",
@@ -77,7 +78,7 @@
         w.machine("vm-1");
         w.machine("vm-2");
         auto j = w.job(w.spec("req-1", row.kind, row.tasks, row.cpus, 0, Priority::Normal, "red"));
-        w.cluster.jobs[j]->seen_at = w.now - 100;
+        w.cluster.jobs[j]->submitted_steady = w.now - 100;
         row.change(w, *w.cluster.jobs[j]);
         auto usable = [](const Machine& m) { return m.up && !m.downlink.downlink_lost(); };
         auto found = starved_jobs(w.cluster, usable, w.now, kStarvedAfter_s);
--- a/tests/store.h
+++ b/tests/store.h
@@ -47,7 +47,7 @@
         if (auto it = keys.find(kLogKey); it != keys.end()) state_log.load_head(item(*it));
         for (auto& k : keys)
             if (k.first.starts_with(kSegmentPrefix)) state_log.load_segment(item(k), now);
-        state_log.loaded(now);
+        state_log.finish_loading(now);
     }
 };
 
@@ -64,15 +64,15 @@
 inline int flush(StateLog& state_log, ClusterState& cluster, Store& store, StateLogLimits limits,
                  double now) {
     int n = 0;
-    for (; state_log.waiting() && n < 20000; ++n) {
-        auto b = state_log.next(limits.txn_ops);
+    for (; state_log.has_work() && n < 20000; ++n) {
+        auto b = state_log.next_batch(limits.txn_ops);
         if (b.empty()) break;
         expect_limits(b, limits);
         auto revision = store.apply(b.txn);
         EXPECT_NE(revision, 0u);
         state_log.committed(b, revision);
         for (auto& e : b.entries)
-            if (e.kind == EntryKind::Finish) cluster.remove_job(e.job, now);
+            if (e.kind == EntryKind::JobEnd) cluster.remove_job(e.job, now);
     }
     return n;
 }
@@ -84,7 +84,7 @@
              Below&& below, uint32_t cancelled_one_in, double now) {
     for (Index j = 0; j < cluster.jobs.size(); ++j) {
         auto* job = cluster.jobs[j].get();
-        if (!job || job->version == 0 || job->ending) continue;
+        if (!job || job->record_revision == 0 || job->ending) continue;
         auto t = below(job->tasks.size());
         auto& task = job->tasks[t];
         if (task.state == TaskState::Pending && !job->cancelled)
@@ -95,11 +95,11 @@
             cluster.unassign(j, t, now);
         if (below(cancelled_one_in) == 0 && !job->cancelled) {
             job->cancelled = true;
-            state_log.cancel(j);
+            state_log.queue_cancellation(j);
         }
-        if (job->done == job->tasks.size() || (job->cancel_recorded && job->placed == 0)) {
+        if (job->done == job->tasks.size() || (job->cancel_durable && job->placed == 0)) {
             job->ending = true;
-            state_log.finish(j);
+            state_log.queue_job_end(j);
         }
     }
 }
@@ -109,9 +109,9 @@
     std::map<std::string, std::string> out;
     for (Index j = 0; j < cluster.jobs.size(); ++j) {
         auto* job = cluster.jobs[j].get();
-        if (!job || job->version == 0) continue;
+        if (!job || job->record_revision == 0) continue;
         auto& text = out[job->spec.id];
-        text = job->cancel_recorded ? "cancelled" : "";
+        text = job->cancel_durable ? "cancelled" : "";
         for (auto& t : job->tasks) {
             text += ' ';
             if (t.state == TaskState::Done)
@@ -120,11 +120,12 @@
                 text += std::to_string(t.attempt) +
                         (t.state == TaskState::Placed ? cluster.machines[t.machine]->name : "");
         }
-        if (job->cancel_recorded) continue;
+        if (job->cancel_durable) continue;
         std::set<std::string> on;
-        for (auto d : cluster.dependencies().of(j)) on.insert(cluster.jobs[d]->spec.id);
+        for (auto d : cluster.dependencies().dependencies_of(j))
+            on.insert(cluster.jobs[d]->spec.id);
         for (auto& id : on) text += " after " + id;
-        if (job->ready > 0) text += " ready " + std::to_string(job->ready);
+        if (job->ready_wall > 0) text += " ready " + std::to_string(job->ready_wall);
     }
     return out;
 }
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -32,7 +32,7 @@
     return store;
 }
 
-// The history of kOldShort, played by this version.
+// The history of kOldRecords, played by this version.
 void play_short(World& w, StateLog& l, Store& s) {
     constexpr StateLogLimits limits{12, 4};
     auto flush = [&] { test::flush(l, w.cluster, s, limits, w.now); };
@@ -49,7 +49,7 @@
     auto b = w.cluster.add_job(spec, 1001.5, w.now);
     auto c = w.cluster.add_job(w.spec("req-000003", JobKind::Service, 1, 1), 1002, w.now);
     auto d = w.cluster.add_job(w.spec("req-000004", JobKind::Array, 1, 1), 1003, w.now);
-    for (auto j : {a, b, c, d}) l.new_job(j);
+    for (auto j : {a, b, c, d}) l.queue_new_job(j);
     flush();
     auto m0 = w.machine("vm-000001"), m1 = w.machine("vm-000002", "gpu", "b");
     for (uint32_t t = 0; t < 4; ++t) w.cluster.place(a, t, m0, 1, w.now);
@@ -62,10 +62,10 @@
     w.cluster.unassign(a, 3, w.now);
     w.cluster.finish(d, 0, w.now);
     w.cluster.jobs[d]->ending = true;
-    l.finish(d);
+    l.queue_job_end(d);
     w.cluster.jobs[c]->cancelled = true;
-    l.cancel(c);
-    l.note(kRoundKey, R"({"number":3,"clearings":[],"stops":0})");
+    l.queue_cancellation(c);
+    l.queue_single_record(kRoundKey, R"({"number":3,"clearings":[],"stops":0})");
     flush();
 }
 
@@ -75,8 +75,8 @@
     StateLog l(w.cluster, 41, {12, 4});
     play_short(w, l, s);
     s.keys.erase(kLeaderKey);
-    ASSERT_EQ(s.keys.size(), std::size(test::kOldShort));
-    for (auto& r : test::kOldShort) {
+    ASSERT_EQ(s.keys.size(), std::size(test::kOldRecords));
+    for (auto& r : test::kOldRecords) {
         EXPECT_EQ(s.keys[r.key].first, r.value) << r.key;
         EXPECT_EQ(s.keys[r.key].second, r.version) << r.key;
     }
@@ -104,19 +104,19 @@
 }
 
 TEST(Upgrade, EachVersionsRecordsAreLoadedAndToldAnewByTheOther) {
-    auto s = store_of(test::kOldRetold);
+    auto s = store_of(test::kOldCompactedRecords);
     World w;
     StateLog l(w.cluster, 41, {4, 1});
     s.load(l, w.now);
     auto before = test::picture(w.cluster);
     EXPECT_EQ(w.cluster.find_job("req-000001")->done, 10u);
     EXPECT_EQ(w.cluster.find_job("req-000001")->placed, 20u);
-    EXPECT_TRUE(w.cluster.find_job("req-000002")->cancel_recorded);
+    EXPECT_TRUE(w.cluster.find_job("req-000002")->cancel_durable);
     EXPECT_EQ(w.cluster.find_job("req-000002")->tasks[0].attempt, 4u);
     // Work goes on until all that the old version wrote is dropped.
     auto j = w.cluster.job_index.at("req-000001");
     auto m = w.cluster.find_machine("vm-000007");
-    auto oldest = test::kOldRetold[std::size(test::kOldRetold) - 1].key;
+    auto oldest = test::kOldCompactedRecords[std::size(test::kOldCompactedRecords) - 1].key;
     for (uint32_t i = 0; s.keys.count(oldest) && i < 400; ++i) {
         for (uint32_t t = 20; t < 30; ++t) {
             w.cluster.unassign(j, t, w.now);
@@ -163,7 +163,7 @@
 }
 
 TEST(Upgrade, EitherVersionReadsTheOthersFramesBetweenControllers) {
-    const auto call = from_hex(test::kOldCall), reply = from_hex(test::kOldReply);
+    const auto call = from_hex(test::kOldCallFrame), reply = from_hex(test::kOldReplyFrame);
     LinkStatus links;
     links.reports_links = links.reaches_kv = true;
     links.direct_workers = 7;
@@ -283,17 +283,17 @@
             auto spec = w.spec("req-1" + std::to_string(i), JobKind::Array, 20, 0.01);
             if (pipelines && i % 3 == 0) spec.dependencies = {"req-7"};
             auto j = w.cluster.add_job(std::move(spec), 1000, w.now);
-            if (w.cluster.jobs[j]->waits)
+            if (w.cluster.jobs[j]->waits_for_dependencies)
                 w.cluster.set_dependencies(j, {w.cluster.job_index.at("req-7")}, w.now);
-            l.new_job(j);
+            l.queue_new_job(j);
             test::flush(l, w.cluster, s, tight, w.now);
-            EXPECT_NE(w.cluster.jobs[j]->version, 0u);
-            if (w.cluster.jobs[j]->waits) continue;
+            EXPECT_NE(w.cluster.jobs[j]->record_revision, 0u);
+            if (w.cluster.jobs[j]->waits_for_dependencies) continue;
             for (uint32_t t = 0; t < 20; ++t) w.cluster.place(j, t, m, 1, w.now);
             test::flush(l, w.cluster, s, tight, w.now);
             for (uint32_t t = 0; t < 20; ++t) w.cluster.finish(j, t, w.now);
             w.cluster.jobs[j]->ending = true;
-            l.finish(j);
+            l.queue_job_end(j);
             test::flush(l, w.cluster, s, tight, w.now);
         }
         // In pieces it would not be readable by the version before, which may still lead: its
@@ -326,7 +326,7 @@
     for (int i = 1; i <= 40; ++i) {
         auto j = w.cluster.add_job(w.spec("req-" + std::to_string(i), JobKind::Array, 30, 0.001),
                                    1000, w.now);
-        l.new_job(j);
+        l.queue_new_job(j);
     }
     constexpr StateLogLimits held{6, 2};
     auto taken = [&](const StateLogBatch& b) {
@@ -336,46 +336,46 @@
     };
     int refused = 0;
     bool placed = false;
-    for (int i = 0; i < 500 && (l.waiting() || !placed); ++i) {
-        if (!l.waiting()) {
+    for (int i = 0; i < 500 && (l.has_work() || !placed); ++i) {
+        if (!l.has_work()) {
             placed = true;
             for (Index j = 0; j < w.cluster.jobs.size(); ++j)
                 for (uint32_t t = 0; t < 30; ++t) w.cluster.place(j, t, m, 1, w.now);
         }
-        auto b = l.next(24);
+        auto b = l.next_batch(24);
         if (b.empty()) break;
         if (!taken(b)) {
             ++refused;
-            ASSERT_TRUE(l.shrink());
+            ASSERT_TRUE(l.reduce_limits());
             l.rejected(b);
             for (auto& e : b.entries)
-                if (e.kind == EntryKind::NewJob) l.new_job(e.job);
+                if (e.kind == EntryKind::NewJob) l.queue_new_job(e.job);
             continue;
         }
         l.committed(b, s.apply(b.txn));
     }
     EXPECT_GT(refused, 0);
     EXPECT_LT(refused, 8);
-    EXPECT_FALSE(l.waiting());
+    EXPECT_FALSE(l.has_work());
     World fresh;
     StateLog next(fresh.cluster, 42, held);
     s.load(next, fresh.now);
     EXPECT_EQ(fresh.cluster.job_index.size(), 40u);
     EXPECT_EQ(test::picture(fresh.cluster), test::picture(w.cluster));
-    while (l.shrink()) ++refused;
+    while (l.reduce_limits()) ++refused;
     EXPECT_LT(refused, 12);
 }
 
 TEST(LowerLimits, ANoteThatNeverFitsHoldsBackNothing) {
     World w;
     StateLog l(w.cluster, 41, {4, 2});
-    l.note(kTypesKey, "\"" + std::string(3000, 'x') + "\"");
-    l.note(kRoundKey, R"({"number":1})");
-    auto b = l.next(4);
+    l.queue_single_record(kTypesKey, "\"" + std::string(3000, 'x') + "\"");
+    l.queue_single_record(kRoundKey, R"({"number":1})");
+    auto b = l.next_batch(4);
     ASSERT_EQ(b.txn.changes.size(), 1u);
     EXPECT_EQ(b.txn.changes[0].key, kRoundKey);
     l.committed(b, 50);
-    EXPECT_FALSE(l.waiting());
+    EXPECT_FALSE(l.has_work());
 }
 
 TEST(LowerLimits, ATransactionOfAnySizeKeepsToItsConditions) {
@@ -386,20 +386,20 @@
         StateLogLimits limits{ops, 2};
         StateLog l(w.cluster, 41, limits);
         for (int i = 1; i <= 200; ++i)
-            l.new_job(w.cluster.add_job(w.spec("req-" + std::to_string(i), JobKind::Array, 1, 0.01),
-                                        1, w.now));
+            l.queue_new_job(w.cluster.add_job(
+                w.spec("req-" + std::to_string(i), JobKind::Array, 1, 0.01), 1, w.now));
         test::flush(l, w.cluster, s, limits, w.now);
         for (Index j = 0; j < 200; ++j) {
             w.cluster.finish(j, 0, w.now);
             w.cluster.jobs[j]->ending = true;
-            l.finish(j);
-            l.note(kRoundKey, R"({"number":1})");
-            l.new_job(w.cluster.add_job(
+            l.queue_job_end(j);
+            l.queue_single_record(kRoundKey, R"({"number":1})");
+            l.queue_new_job(w.cluster.add_job(
                 w.spec("req-" + std::to_string(1000 + j), JobKind::Array, 1, 0.01), 1, w.now));
         }
         test::flush(l, w.cluster, s, limits, w.now);
         EXPECT_EQ(w.cluster.job_index.size(), 200u) << ops;
-        EXPECT_FALSE(l.waiting()) << ops;
+        EXPECT_FALSE(l.has_work()) << ops;
     }
 }
 
