--- a/src/autoscaler/drain.cpp
+++ b/src/autoscaler/drain.cpp
@@ -52,7 +52,7 @@
     for (const auto& machine : cluster.machines) {
         if (!machine || machine.get() == &source || !usable(*machine)) continue;
         if (machine->tasks.empty() || machine->tasks.size() < source.tasks.size()) continue;
-        destinations.push_back({machine.get(), machine->room()});
+        destinations.push_back({machine.get(), machine->free_resources()});
     }
     return destinations;
 }
--- a/src/autoscaler/expected_capacity.cpp
+++ b/src/autoscaler/expected_capacity.cpp
@@ -23,7 +23,7 @@
 constexpr int kMaxSilentExcess = 2;
 
 bool is_booting(const Machine& machine, double now) {
-    const bool recently_added = now - machine.added < kFirstHeartbeat_s;
+    const bool recently_added = now - machine.added_at < kFirstHeartbeat_s;
     return !machine.up && (machine.status == MachineStatus::Booting || recently_added);
 }
 
@@ -38,7 +38,8 @@
     if (task.stopping) return kStopDuration_s;
     const double run_s = cluster.expected_run_s(spec);
     if (task.running_at > 0) return remaining_run_s(run_s, now - task.running_at);
-    return run_s + std::max(0.0, cluster.fetch_s(spec, machine.type) - (now - task.placed_at));
+    return run_s +
+           std::max(0.0, cluster.image_fetch_s(spec, machine.type) - (now - task.placed_at));
 }
 
 bool ends_before(const TaskEnd& a, const TaskEnd& b) { return a.in_s < b.in_s; }
@@ -105,7 +106,7 @@
         if (!booting && !usable(*machine)) continue;
         const double available_in_s = booting ? remaining_boot_s(cluster, *machine, now) : 0;
         capacities.push_back({machine->type, machine->zone, machine->spot, available_in_s,
-                              machine->room(), expected_task_ends(cluster, *machine, now),
+                              machine->free_resources(), expected_task_ends(cluster, *machine, now),
                               booting});
     }
     return capacities;
--- a/src/autoscaler/headroom.cpp
+++ b/src/autoscaler/headroom.cpp
@@ -30,7 +30,7 @@
 
 RecentArrivals recent_arrivals(const JobClass& job_class, double now) {
     RecentArrivals recent;
-    for (const auto& [arrived_at, tasks] : job_class.arrivals) {
+    for (const auto& [arrived_at, tasks] : job_class.recent_arrivals) {
         if (now - arrived_at > kArrivalWindow_s) continue;
         recent.tasks += tasks;
         recent.largest_job = std::max(recent.largest_job, tasks);
@@ -45,7 +45,7 @@
     for (Index type = 0; type < cluster.types.size(); ++type) {
         if (!cluster.type_fits(spec, type)) continue;
         fastest_s = std::min(fastest_s, cluster.boot_factor * cluster.types[type].type.boot_s +
-                                            cluster.fetch_s(spec, type));
+                                            cluster.image_fetch_s(spec, type));
     }
     return fastest_s;
 }
@@ -65,11 +65,11 @@
 // start objective. It is limited so that jobs of lower priority can still run on a small fleet.
 int64_t tasks_on_empty_machines(const ClusterState& cluster, const AutoscalerSettings& settings,
                                 const JobClass& job_class, const RecentArrivals& recent) {
-    if (!cluster.large(job_class.last)) return 0;
+    if (!cluster.needs_whole_machines(job_class.latest_job)) return 0;
     if (settings.preemption_duration_s + settings.heartbeat_interval_s > job_class.start_within_s)
         return 0;
     return std::min(recent.expected_within(settings.preemption_duration_s),
-                    tasks_on_empty_fleet(cluster, job_class.last) / kMachinesPerEmptyMachine);
+                    tasks_on_empty_fleet(cluster, job_class.latest_job) / kMachinesPerEmptyMachine);
 }
 
 }  // namespace
@@ -78,17 +78,17 @@
                                        const AutoscalerSettings& settings, double now) {
     std::vector<Headroom> headroom;
     for (const auto& job_class : cluster.classes) {
-        if (job_class.start_within_s <= 0 || job_class.arrivals.empty() ||
-            job_class.last.team == kNone)
+        if (job_class.start_within_s <= 0 || job_class.recent_arrivals.empty() ||
+            job_class.latest_job.team == kNone)
             continue;
-        const double boot_s = fastest_boot_s(cluster, job_class.last);
+        const double boot_s = fastest_boot_s(cluster, job_class.latest_job);
         const double start_s = boot_s + 2 * settings.heartbeat_interval_s;
         if (boot_s > kHorizon_s || start_s <= job_class.start_within_s) continue;
         const auto recent = recent_arrivals(job_class, now);
         if (recent.tasks == 0) continue;
         // Covers the tasks that arrive while a new machine boots, and at least the largest job.
         const auto tasks = std::max<int64_t>(recent.largest_job, recent.expected_within(start_s));
-        headroom.push_back({&job_class.last, tasks,
+        headroom.push_back({&job_class.latest_job, tasks,
                             tasks_on_empty_machines(cluster, settings, job_class, recent)});
     }
     return headroom;
--- a/src/autoscaler/job_planner.cpp
+++ b/src/autoscaler/job_planner.cpp
@@ -133,7 +133,8 @@
     if (it == plan_.machines.end())
         it = plan_.machines.emplace(slot.machine, machines_[slot.machine]).first;
     auto& capacity = it->second;
-    capacity.assign(spec_.demand, slot.start, run_s_ + cluster_.fetch_s(spec_, capacity.type));
+    capacity.assign(spec_.demand, slot.start,
+                    run_s_ + cluster_.image_fetch_s(spec_, capacity.type));
     ++context_.use_counts[slot.machine];
     zone_rule_.add(capacity.zone);
     add_reused(slot.machine, capacity);
--- a/src/autoscaler/offers.cpp
+++ b/src/autoscaler/offers.cpp
@@ -22,7 +22,8 @@
                       Index zone, int64_t tasks_per_machine, double now, BestOffer& best) {
     const auto& type = cluster.types[type_index].type;
     for (const bool spot : {true, false}) {
-        if (!market_suits(spec, spot, zone) || cluster.refused(type_index, zone, spot, now))
+        if (!market_suits(spec, spot, zone) ||
+            cluster.capacity_refused(type_index, zone, spot, now))
             continue;
         const double price = spot ? type.spot_price : type.price;
         const double cost = price / static_cast<double>(tasks_per_machine);
--- a/src/autoscaler/scale_out.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -20,7 +20,7 @@
     double slowest_s = 0;
     for (Index type = 0; type < cluster.types.size(); ++type) {
         if (!cluster.type_fits(spec, type)) continue;
-        slowest_s = std::max(slowest_s, cluster.fetch_s(spec, type));
+        slowest_s = std::max(slowest_s, cluster.image_fetch_s(spec, type));
     }
     return slowest_s;
 }
@@ -33,12 +33,13 @@
     const double run_s = cluster.expected_run_s(spec);
     const double earliest_end = now + fetch_s + run_s;
     int missed = 0;
-    double slack = cluster.due(job, earliest_end, missed) - earliest_end;
+    double slack = cluster.due_time(job, earliest_end, missed) - earliest_end;
     if (missed > 0) slack = 0;
     if (spec.job_class < cluster.classes.size()) {
         const double start_within_s = cluster.classes[spec.job_class].start_within_s;
         if (start_within_s > 0)
-            slack = std::min(slack, job.came_at() + start_within_s - now - fetch_s);
+            slack =
+                std::min(slack, job.schedulable_since_steady() + start_within_s - now - fetch_s);
     }
     return slack > kHorizon_s ? run_s : std::max(0.0, slack);
 }
@@ -100,8 +101,8 @@
     const bool one_zone = job.spec.one_zone && (gang || job.placed > 0);
     const auto& index = forecast_.index_for(job.spec);
     const double slack = slack_s(cluster_, job, context_.now);
-    const auto zones =
-        one_zone ? zones_by_capacity(index, ZoneConstraint(cluster_, job)) : std::vector<Index>{kNone};
+    const auto zones = one_zone ? zones_by_capacity(index, ZoneConstraint(cluster_, job))
+                                : std::vector<Index>{kNone};
     std::optional<JobPlan> best;
     for (const Index zone : zones) {
         auto plan =
--- a/src/autoscaler/suitability.h
+++ b/src/autoscaler/suitability.h
@@ -8,7 +8,7 @@
 // Returns whether tasks of the job fit the machine type and the type is not reserved for jobs with
 // GPUs.
 inline bool type_suits(const ClusterState& cluster, const JobSpec& spec, Index type) {
-    return cluster.type_fits(spec, type) && !cluster.reserves_gpus(spec, type);
+    return cluster.type_fits(spec, type) && !cluster.must_leave_room_for_gpus(spec, type);
 }
 
 // Returns whether the job may run in the zone and, if `spot`, on spot instances.
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -77,7 +77,7 @@
 // reachable. When duplicates were answered, they kept leases from expiring.
 bool HeartbeatHandler::is_duplicate(const Machine& machine, const Heartbeat& heartbeat) {
     if (std::pair(heartbeat.agent_epoch, heartbeat.seq) >
-        std::pair(machine.agent_epoch, machine.seq))
+        std::pair(machine.agent_epoch, machine.heartbeat_seq))
         return false;
     context_.metrics.count("report_copies_total");
     return true;
@@ -87,7 +87,7 @@
                                      const Heartbeat& heartbeat) {
     machine.addr = heartbeat.addr;
     machine.relayed_by = call.sender;
-    if (call.sender.empty()) machine.direct_at = context_.now;
+    if (call.sender.empty()) machine.last_direct_heartbeat = context_.now;
     if (machine.type == kNone || machine.size == Resources{})
         context_.cluster.describe_machine(machine, heartbeat.type, heartbeat.zone, heartbeat.spot);
 }
@@ -108,7 +108,7 @@
     if (heartbeat.agent_epoch > machine.agent_epoch)
         handle_agent_restart(machine, machine_index, heartbeat.agent_epoch);
     machine.agent_epoch = heartbeat.agent_epoch;
-    machine.seq = heartbeat.seq;
+    machine.heartbeat_seq = heartbeat.seq;
     machine.last_heartbeat = context_.now;
     // A worker that has seen our fencing token ignores responses of earlier leaders.
     machine.saw_fencing_token = heartbeat.fencing_token == context_.term->fencing_token;
@@ -127,7 +127,7 @@
     // The first boot of a machine that this leader provisioned shows how long boots take at
     // present.
     if (machine.provisioned_here && machine.up_at == 0)
-        context_.cluster.learn_boot(machine.type, context_.now - machine.requested_at);
+        context_.cluster.observe_boot_time(machine.type, context_.now - machine.requested_at);
     machine.up = true;
     machine.up_at = context_.now;
     machine.status = MachineStatus::Running;
@@ -148,7 +148,7 @@
             task.agent_epoch < agent_epoch)
             task_lifecycle_.mark_lost(ref.job, ref.task);
     }
-    machine.images.clear();
+    machine.cached_images.clear();
 }
 
 // A negative `notice_s` means that there is no notice.
@@ -217,18 +217,19 @@
     // The machine has the image of a task that is past fetching. A new leader learns of images in
     // this way.
     if (status.phase != task.phase && status.phase != TaskPhase::Fetching)
-        context_.cluster.saw_image(machine, job.spec);
+        context_.cluster.mark_image_used(machine, job.spec);
     bool job_started = job.running == 0 && is_running;
     context_.cluster.set_phase(job, task, status.phase);
     // The gang's attempt ended while this task was fetching its image.
-    if (job.gang_ending && !task.stopping && status.phase != TaskPhase::Fetching)
+    if (job.gang_attempt_ending && !task.stopping && status.phase != TaskPhase::Fetching)
         task_lifecycle_.stop_task(job_index, status.task, false);
     if (!job_started) return;
     spdlog::debug(
         "job: {} class={} tasks={} attempt={} running {:.1f}s after it became ready, {:.1f}s after "
         "its placement",
         job.spec.id, context_.cluster.names.classes.name(job.spec.job_class), job.spec.tasks,
-        status.attempt, context_.now - job.came_at(), context_.now - task.placed_at);
+        status.attempt, context_.now - job.schedulable_since_steady(),
+        context_.now - task.placed_at);
 }
 
 // A task that the heartbeat does not list is proven gone only if the worker has seen our fencing
@@ -262,13 +263,13 @@
         auto& job = *context_.cluster.jobs[ref.job];
         auto& task = job.tasks[ref.task];
         if (task.phase == TaskPhase::Unseen && !task.stopping &&
-            !context_.cluster.recorded(job, ref.task))
+            !context_.cluster.task_recorded(job, ref.task))
             return true;
     }
     for (auto& entry : machine.unexpected_tasks) {
         auto* job = context_.cluster.find_job(entry.job);
         if (!job) continue;
-        if (entry.task < job->tasks.size() && !context_.cluster.recorded(*job, entry.task))
+        if (entry.task < job->tasks.size() && !context_.cluster.task_recorded(*job, entry.task))
             return true;
     }
     return false;
@@ -300,7 +301,7 @@
     if (expected) return {};
     if (!entry.exited) return Command{CommandOp::Stop, entry.job, entry.task, entry.attempt, 0};
     // The worker forgets an acknowledged attempt, so its outcome must be recorded first.
-    if (known && (job->ending || !context_.cluster.recorded(*job, entry.task))) return {};
+    if (known && (job->ending || !context_.cluster.task_recorded(*job, entry.task))) return {};
     return Command{CommandOp::AcknowledgeExit, entry.job, entry.task, entry.attempt, 0};
 }
 
@@ -310,7 +311,7 @@
     if (task.phase != TaskPhase::Unseen || !context_.lease_valid() || !job.active()) return false;
     if (task.agent_epoch != machine.agent_epoch) return false;
     if (machine.interruption_at >= 0 || machine.terminating) return false;
-    if (!context_.cluster.recorded(job, ref.task)) return false;
+    if (!context_.cluster.task_recorded(job, ref.task)) return false;
     return task.start_seq > 0 ||
            may_launch(context_.cluster, job, ref.task, context_.settings.gang_wait_s,
                       context_.settings.heartbeat_interval_s, context_.now);
--- a/src/controller/instance_manager.cpp
+++ b/src/controller/instance_manager.cpp
@@ -81,7 +81,7 @@
     std::erase_if(terminated_at_, [&](auto& entry) {
         return context_.now - entry.second > kTerminatedRetention_s;
     });
-    std::erase_if(context_.cluster.refusals,
+    std::erase_if(context_.cluster.capacity_refusals,
                   [&](auto& refusal) { return refusal.first <= context_.now; });
 }
 
@@ -111,8 +111,8 @@
     machine.saw_fencing_token = false;
     // If the machine returns with the same name, its agent epoch and sequence numbers may start
     // again. Its heartbeats must not be taken for duplicates then.
-    reset_downlink(machine.downlink, {machine.agent_epoch, machine.seq});
-    machine.agent_epoch = machine.seq = 0;
+    reset_downlink(machine.downlink, {machine.agent_epoch, machine.heartbeat_seq});
+    machine.agent_epoch = machine.heartbeat_seq = 0;
 }
 
 // Abandons a machine whose heartbeats arrive, but which has not received responses for too long.
@@ -150,7 +150,7 @@
     double list_lag_s = context_.settings.list_lag_s;
     if (machine.listed)
         return machine.missing && context_.now - machine.missing_since > 2 * list_lag_s + 2;
-    return context_.now - machine.added > std::max(60.0, 6 * list_lag_s);
+    return context_.now - machine.added_at > std::max(60.0, 6 * list_lag_s);
 }
 
 // Abandons a machine that is silent and missing from the cloud's list. The cloud has probably
@@ -159,7 +159,7 @@
 void InstanceManager::abandon_unlisted(Machine& machine) const {
     bool silent = context_.now - std::max(machine.last_heartbeat, context_.term->won_at) >
                   silence_threshold_s(context_.settings);
-    bool overdue = context_.now - machine.added > 2 * context_.settings.list_lag_s + 1;
+    bool overdue = context_.now - machine.added_at > 2 * context_.settings.list_lag_s + 1;
     bool unlisted = list_received_ && (machine.listed ? machine.missing : overdue);
     if (!silent || !unlisted || machine.abandoned) return;
     if (!machine.up && machine.tasks.empty()) return;
@@ -172,7 +172,7 @@
     if (!is_offered(machine)) return;
     double boot_s = context_.now - machine.requested_at;
     if (boot_s <= 3 * context_.cluster.types[machine.type].type.boot_s + 5) return;
-    context_.cluster.learn_boot(machine.type, boot_s);
+    context_.cluster.observe_boot_time(machine.type, boot_s);
     spdlog::info("machine: {} still booting after {:.0f}s, will be terminated", machine.name,
                  boot_s);
     machine.abandoned = true;
@@ -190,7 +190,7 @@
     bool fits = static_cast<double>(record.size()) < context_.settings.value_kb * 1024;
     if (without_prices != recorded_without_prices_ && record != recorded_types_ && fits) {
         recorded_without_prices_ = without_prices;
-        context_.state_log.note(kTypesKey, record);
+        context_.state_log.queue_single_record(kTypesKey, record);
     }
     context_.cluster.set_types(std::move(message.types));
 }
@@ -250,7 +250,7 @@
     }
     if (message.names.size() >= static_cast<size_t>(request.count)) return;
     std::uniform_real_distribution<double> delay_s(kMinNoCapacityDelay_s, kMaxNoCapacityDelay_s);
-    context_.cluster.refusals.push_back(
+    context_.cluster.capacity_refusals.push_back(
         {context_.now + delay_s(context_.random), {request.type, request.zone, request.spot}});
 }
 
--- a/src/controller/job_admission.cpp
+++ b/src/controller/job_admission.cpp
@@ -54,9 +54,9 @@
     auto& index = context_.cluster.job_index;
     if (auto it = index.find(id); it != index.end()) {
         auto& job = *context_.cluster.jobs[it->second];
-        out.undecided = out.undecided || job.version == 0;
+        out.undecided = out.undecided || job.record_revision == 0;
         // A cancellation that is not recorded yet propagates to the new job when it is recorded.
-        if (job.cancel_recorded)
+        if (job.cancel_durable)
             out.cancelled = true;
         else
             out.live_jobs.push_back(it->second);
@@ -77,18 +77,18 @@
     if (dependencies.live_jobs.empty() || dependencies.cancelled) spec.dependencies.clear();
     auto index = context_.cluster.add_job(std::move(spec), submitted, context_.now);
     auto& job = *context_.cluster.jobs[index];
-    job.seen_at = context_.now - std::max(0.0, wall_now() - submitted);
+    job.submitted_steady = context_.now - std::max(0.0, wall_now() - submitted);
     if (dependencies.cancelled) {
         job.cancelled = true;
-        job.cancel_recorded = true;  // the record of the new job includes the cancellation
-    } else if (job.waits) {
+        job.cancel_durable = true;  // the record of the new job includes the cancellation
+    } else if (job.waits_for_dependencies) {
         context_.cluster.set_dependencies(index, dependencies.live_jobs, context_.now);
     }
     return index;
 }
 
 void JobAdmission::drop(Index job) {
-    auto dependencies = context_.cluster.dependencies().of(job);
+    auto dependencies = context_.cluster.dependencies().dependencies_of(job);
     context_.cluster.remove_job(job, context_.now);
     callbacks_.check_cancelled(dependencies);
 }
@@ -99,7 +99,7 @@
 // transactions are not answered.
 void JobAdmission::request_cancellation(Index job) {
     context_.cluster.jobs[job]->cancelled = true;
-    context_.state_log.cancel(job);
+    context_.state_log.queue_cancellation(job);
     callbacks_.check_job(job);
 }
 
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -131,7 +131,7 @@
         tasks_placed += job->placed;
         tasks_pending += job->pending;
     }
-    out["jobs_waiting"] = static_cast<double>(context_.cluster.dependencies().waiting());
+    out["jobs_waiting"] = static_cast<double>(context_.cluster.dependencies().waiting_count());
     out["jobs"] = static_cast<double>(context_.cluster.job_index.size());
     out["machines"] = static_cast<double>(context_.cluster.machine_index.size());
     out["machines_up"] = static_cast<double>(machines_up);
@@ -206,11 +206,11 @@
     for (Index job_index = 0; job_index < context_.cluster.jobs.size(); ++job_index) {
         if (!context_.cluster.jobs[job_index]) continue;
         auto& job = *context_.cluster.jobs[job_index];
-        job.seen_at = context_.now - std::max(0.0, wall_now() - job.submitted);
-        job.ready_at = context_.now - std::max(0.0, wall_now() - job.ready);
+        job.submitted_steady = context_.now - std::max(0.0, wall_now() - job.submitted_wall);
+        job.ready_steady = context_.now - std::max(0.0, wall_now() - job.ready_wall);
         task_lifecycle_.check_job(job_index);
     }
-    context_.cluster.propagate_demands();
+    context_.cluster.propagate_priorities_and_deadlines();
     if (!pending.events.empty())
         spdlog::info("leader: adopting {} pending records", pending.events.size());
     adoption_.apply_changes(pending);
--- a/src/controller/pending_adoption.cpp
+++ b/src/controller/pending_adoption.cpp
@@ -115,7 +115,7 @@
 void PendingAdoption::adopt_due() {
     if (entries_.empty() || !context_.lease_valid()) return;
     for (auto& [id, entry] : entries_) {
-        if (context_.state_log.submissions() >= kMaxQueuedJobs) return;
+        if (context_.state_log.queued_new_jobs() >= kMaxQueuedJobs) return;
         if (entry.state == State::Waiting && context_.now >= entry.not_before) adopt(id, entry);
     }
 }
@@ -144,8 +144,8 @@
 // Handles the record of a job that is already in the cluster state.
 void PendingAdoption::adopt_existing(const std::string& id, const Entry& entry, Index index) {
     auto& job = *context_.cluster.jobs[index];
-    if (job.version == 0) return;  // its record is queued or being written
-    if (!entry.record.cancelled || job.cancel_recorded) return request_deletion(id);
+    if (job.record_revision == 0) return;  // its record is queued or being written
+    if (!entry.record.cancelled || job.cancel_durable) return request_deletion(id);
     // A standby controller accepted the cancellation. The pending record is deleted only after the
     // state log holds the cancellation, so that the request is not lost.
     if (!job.cancelled && !job.ending) admission_.request_cancellation(index);
@@ -165,11 +165,11 @@
 
 void PendingAdoption::record_job(JobSpec spec, Entry& entry, DependencyResolution dependencies) {
     dependencies.cancelled = dependencies.cancelled || entry.record.cancelled;
-    auto index = admission_.add(std::move(spec), dependencies, entry.record.at);
+    auto index = admission_.add(std::move(spec), dependencies, entry.record.submitted_wall);
     // Standby controllers accept jobs only if every controller's version adopts pending records.
     // All of these versions can read multi-part records.
     context_.state_log.allow_multi_part_records();
-    context_.state_log.new_job(index, entry.version);
+    context_.state_log.queue_new_job(index, entry.version);
     entry.state = State::Recording;
     context_.metrics.count("door_jobs_collected_total");
 }
@@ -194,7 +194,7 @@
     auto it = entries_.find(id);
     if (it == entries_.end() || it->second.state == State::Deleting) return;
     it->second.state = State::Deleting;
-    context_.state_log.forget(pending_key(id), it->second.version);
+    context_.state_log.queue_pending_deletion(pending_key(id), it->second.version);
 }
 
 uint64_t PendingAdoption::adopted_version(const std::string& id) const {
--- a/src/controller/scheduling_loop.cpp
+++ b/src/controller/scheduling_loop.cpp
@@ -32,8 +32,7 @@
                                              context_.now);
     place_waiting_jobs(
         context_.cluster, usable_predicate(context_), context_.now, kMaxPlacementsPerPass,
-        planned_headroom(context_.cluster, autoscaler_settings(context_), context_.now),
-                  late_jobs);
+        planned_headroom(context_.cluster, autoscaler_settings(context_), context_.now), late_jobs);
     reserve_for_late_gang(late_jobs);
 }
 
@@ -59,7 +58,8 @@
     ++preemption_rounds_;
     context_.metrics.count("preemption_rounds_total");
     context_.metrics.count("preemption_stops_total", round.victims.size());
-    context_.state_log.note(kRoundKey, preemption_round_json(round, context_.cluster, preemption_rounds_));
+    context_.state_log.queue_single_record(
+        kRoundKey, preemption_round_json(round, context_.cluster, preemption_rounds_));
     reserve_cleared(round);
     for (auto& ref : round.victims) {
         auto& task = context_.cluster.jobs[ref.job]->tasks[ref.task];
--- a/src/controller/state_loader.cpp
+++ b/src/controller/state_loader.cpp
@@ -23,7 +23,7 @@
 // Reads the records with fixed keys first, including the head of the log, and then the log's
 // segments.
 asio::awaitable<std::optional<LoadedMetadata>> StateLoader::load() {
-    context_.cluster.clear_work();
+    context_.cluster.clear_jobs_and_machines();
     context_.state_log.clear();
     double started = steady_now();
     segment_count_ = 0;
@@ -33,7 +33,7 @@
         bool loaded = co_await load_prefix(prefix);
         if (!loaded) co_return std::nullopt;
     }
-    context_.state_log.loaded(steady_now());
+    context_.state_log.finish_loading(steady_now());
     spdlog::info("leader: read {} segments in {:.2f}s", segment_count_, steady_now() - started);
     co_return metadata_;
 }
@@ -67,10 +67,10 @@
 // Throws BadMessage if the record is malformed.
 void StateLoader::load_item(const std::string& prefix, const KvItem& item) {
     if (item.key == kRoundKey) {
-        context_.state_log.load_note(item.key, item.version);
+        context_.state_log.load_single_record_version(item.key, item.version);
         metadata_.preemption_rounds = read::count(read::object(item.value), "number", 0);
     } else if (item.key == kTypesKey) {
-        context_.state_log.load_note(item.key, item.version);
+        context_.state_log.load_single_record_version(item.key, item.version);
         metadata_.machine_types = boost::json::serialize(item.value);
         if (!context_.cluster.types_known)
             context_.cluster.set_types(parse_machine_types(metadata_.machine_types));
--- a/src/controller/state_log_writer.cpp
+++ b/src/controller/state_log_writer.cpp
@@ -104,11 +104,11 @@
 
 void StateLogWriter::flush() {
     if (in_flight_ || context_.now < flush_not_before_ || !context_.lease_valid() ||
-        !context_.state_log.waiting())
+        !context_.state_log.has_work())
         return;
     double budget = rate_.available(context_.now);
     if (budget < (context_.state_log.urgent() ? kMinUrgentBatchChanges : kMinBatchChanges)) return;
-    auto batch = context_.state_log.next(static_cast<int>(budget));
+    auto batch = context_.state_log.next_batch(static_cast<int>(budget));
     if (batch.empty()) return;
     rate_.consume(static_cast<double>(batch.txn.changes.size()));
     set_end_sent(batch, true);
@@ -118,7 +118,7 @@
 
 void StateLogWriter::set_end_sent(const StateLogBatch& batch, bool sent) {
     for (auto& entry : batch.entries)
-        if (entry.kind == EntryKind::Finish) context_.cluster.jobs[entry.job]->end_sent = sent;
+        if (entry.kind == EntryKind::JobEnd) context_.cluster.jobs[entry.job]->end_sent = sent;
 }
 
 // Repeats the transaction until its outcome is known, and then posts the outcome.
@@ -202,7 +202,8 @@
     kv_succeeded_at_ = context_.now;
     // During a burst of submissions that do not fit into one transaction, the next one is sent
     // without delay.
-    bool burst = context_.state_log.submissions() >= static_cast<size_t>(context_.settings.txn_ops);
+    bool burst =
+        context_.state_log.queued_new_jobs() >= static_cast<size_t>(context_.settings.txn_ops);
     flush_not_before_ = context_.now + (burst ? 0 : kMinFlushInterval_s);
     context_.metrics.count("transactions_total");
     context_.state_log.committed(transaction.batch, transaction.result.value);
@@ -211,16 +212,16 @@
             case EntryKind::NewJob:
                 new_job_recorded(entry);
                 break;
-            case EntryKind::Cancel:
+            case EntryKind::Cancellation:
                 cancellation_recorded(entry);
                 break;
-            case EntryKind::Finish:
+            case EntryKind::JobEnd:
                 end_recorded(entry);
                 break;
-            case EntryKind::Forget:
+            case EntryKind::PendingDeletion:
                 adoption_.deletion_finished(entry);
                 break;
-            case EntryKind::Note:
+            case EntryKind::SingleRecord:
                 break;
         }
     }
@@ -233,11 +234,11 @@
     adoption_.adoption_finished(job.spec.id, true);
     spdlog::debug("job: {} class={} tasks={} accepted, waits for {}", job.spec.id,
                   context_.cluster.names.classes.name(job.spec.job_class), job.spec.tasks,
-                  context_.cluster.dependencies().of(entry.job).size());
+                  context_.cluster.dependencies().dependencies_of(entry.job).size());
     context_.scheduling_needed = true;
     if (!job.cancelled) return;
     callbacks_.check_job(entry.job);
-    callbacks_.check_cancelled(context_.cluster.dependencies().of(entry.job));
+    callbacks_.check_cancelled(context_.cluster.dependencies().dependencies_of(entry.job));
 }
 
 void StateLogWriter::cancellation_recorded(const StateLogEntry& entry) {
@@ -246,26 +247,29 @@
     // that are not recorded yet need no entry, as the record of a new job includes its
     // cancellation.
     for (auto dependant : context_.cluster.cancel_dependants(entry.job))
-        if (context_.cluster.jobs[dependant]->version != 0) context_.state_log.cancel(dependant);
+        if (context_.cluster.jobs[dependant]->record_revision != 0)
+            context_.state_log.queue_cancellation(dependant);
     spdlog::debug("job: {} cancellation recorded, {} tasks placed", job.spec.id, job.placed);
     users_.cancellation_recorded(job);
     callbacks_.check_job(entry.job);
-    callbacks_.check_cancelled(context_.cluster.dependencies().of(entry.job));
+    callbacks_.check_cancelled(context_.cluster.dependencies().dependencies_of(entry.job));
 }
 
 void StateLogWriter::end_recorded(const StateLogEntry& entry) {
     std::string id = context_.cluster.jobs[entry.job]->spec.id;
-    users_.end_recorded(id, entry.ended);
-    auto dependencies = context_.cluster.dependencies().of(entry.job);
-    auto dependants = context_.cluster.dependencies().dependants(entry.job);
+    users_.end_recorded(id, entry.final_state);
+    auto dependencies = context_.cluster.dependencies().dependencies_of(entry.job);
+    auto dependants = context_.cluster.dependencies().dependants_of(entry.job);
     context_.cluster.remove_job(entry.job, context_.now);
     for (auto dependant : dependants) {
         context_.scheduling_needed = true;
         auto& job = *context_.cluster.jobs[dependant];
-        if (!job.waits && !job.cancelled) spdlog::debug("job: {} ready", job.spec.id);
+        if (!job.waits_for_dependencies && !job.cancelled)
+            spdlog::debug("job: {} ready", job.spec.id);
     }
     callbacks_.check_cancelled(dependencies);
-    spdlog::debug("job: {} {}", id, entry.ended.state == JobState::Done ? "done" : "cancelled");
+    spdlog::debug("job: {} {}", id,
+                  entry.final_state.state == JobState::Done ? "done" : "cancelled");
 }
 
 // A conflict is expected only at the keys of a job that has already ended, or that a standby
@@ -274,7 +278,7 @@
     auto& failed = transaction.result.failed_keys;
     std::vector<RetriedJob> retried;
     for (auto& entry : transaction.batch.entries) {
-        if (entry.kind == EntryKind::Forget && std::erase(failed, entry.key) > 0) {
+        if (entry.kind == EntryKind::PendingDeletion && std::erase(failed, entry.key) > 0) {
             // The record was changed by a standby controller or deleted; the watch reports its
             // current state.
             adoption_.deletion_finished(entry);
@@ -314,16 +318,16 @@
 void StateLogWriter::not_executed(TransactionFinished& transaction) {
     kv_failed_at_ = context_.now;
     for (auto& entry : transaction.batch.entries) {
-        if (entry.kind != EntryKind::NewJob && entry.kind != EntryKind::Cancel) continue;
+        if (entry.kind != EntryKind::NewJob && entry.kind != EntryKind::Cancellation) continue;
         std::string id = context_.cluster.jobs[entry.job]->spec.id;
         users_.not_recorded(id);
-        if (entry.kind == EntryKind::Cancel) continue;
+        if (entry.kind == EntryKind::Cancellation) continue;
         admission_.drop(entry.job);
         adoption_.adoption_finished(id, false);
     }
     // The transaction is well-formed, so the key-value store rejected it for its size. Repeating it
     // unchanged would block all records that wait to be written.
-    if (transaction.result.outcome == KvOutcome::Invalid && context_.state_log.shrink())
+    if (transaction.result.outcome == KvOutcome::Invalid && context_.state_log.reduce_limits())
         spdlog::error("state: transaction rejected as invalid; reducing the transaction size");
     if (transaction.result.rate_limited)
         rate_.reduce_rate();
@@ -336,7 +340,7 @@
 void StateLogWriter::reject(const StateLogBatch& batch, const std::vector<RetriedJob>& retried) {
     set_end_sent(batch, false);
     context_.state_log.rejected(batch);
-    for (auto& job : retried) context_.state_log.new_job(job.job, job.pending_version);
+    for (auto& job : retried) context_.state_log.queue_new_job(job.job, job.pending_version);
 }
 
 }  // namespace weirmill
--- a/src/controller/state_log_writer.h
+++ b/src/controller/state_log_writer.h
@@ -37,7 +37,7 @@
     void outcome_unknown();
 
     // Returns whether a transaction is in flight or records wait to be written.
-    [[nodiscard]] bool busy() const { return in_flight_ || context_.state_log.waiting(); }
+    [[nodiscard]] bool busy() const { return in_flight_ || context_.state_log.has_work(); }
     // Returns whether a transaction has failed and no transaction or lease renewal has succeeded
     // since.
     [[nodiscard]] bool kv_unavailable() const;
--- a/src/controller/task_lifecycle.cpp
+++ b/src/controller/task_lifecycle.cpp
@@ -42,9 +42,10 @@
     auto& job = *context_.cluster.jobs[job_index];
     auto& machine = *context_.cluster.machines[machine_index];
     machine.faulty_jobs.clear();
-    machine.faults = 0;
+    machine.fault_count = 0;
     if (observed_whole_run(job.tasks[task_index]))
-        context_.cluster.learn_run(job.spec, context_.now - job.tasks[task_index].running_at);
+        context_.cluster.observe_run_time(job.spec,
+                                          context_.now - job.tasks[task_index].running_at);
     if (job.spec.kind != JobKind::Gang)
         return context_.cluster.finish(job_index, task_index, context_.now);
     // All tasks of a gang complete together.
@@ -75,28 +76,28 @@
     auto& job = *context_.cluster.jobs[job_index];
     auto& machine = *context_.cluster.machines[machine_index];
     ++job.failures;
-    ++machine.faults;
-    job.failed_on.insert(machine_index);
+    ++machine.fault_count;
+    job.failed_machines.insert(machine_index);
     machine.faulty_jobs.insert(job_index);
     bool has_working_tasks = job.done > 0 || job.running > 0;
-    if (job.failed_on.size() >= 2 && !has_working_tasks && machine.faulty_jobs.size() < 2)
+    if (job.failed_machines.size() >= 2 && !has_working_tasks && machine.faulty_jobs.size() < 2)
         return back_off(job);
     quarantine(machine, job);
 }
 
 // Delays the job, and ends the quarantine of machines on which no other job has failed.
 void TaskLifecycle::back_off(Job& job) {
-    double weighted_failures = static_cast<double>(job.failed_on.size()) + job.failures / 8.0;
+    double weighted_failures = static_cast<double>(job.failed_machines.size()) + job.failures / 8.0;
     double exponent = std::min(weighted_failures, static_cast<double>(kMaxBackOffExponent));
     job.not_before = context_.now + std::min(kMaxBackOff_s, kBackOff_s * std::pow(2.0, exponent));
-    for (auto i : job.failed_on) {
+    for (auto i : job.failed_machines) {
         auto* other_machine = context_.cluster.machines[i].get();
         if (other_machine && other_machine->faulty_jobs.size() <= 1 &&
             other_machine->quarantined_until > context_.now)
             other_machine->quarantined_until = 0;
     }
     spdlog::info("job: {} failed on {} machines, retry in {:.0f}s", job.spec.id,
-                 job.failed_on.size(), job.not_before - context_.now);
+                 job.failed_machines.size(), job.not_before - context_.now);
 }
 
 void TaskLifecycle::quarantine(Machine& machine, const Job& job) {
@@ -125,7 +126,7 @@
 // than its tasks wait for each other restarted every half minute and never ran.
 void TaskLifecycle::end_gang_attempt(Index job_index, bool graceful, bool keep_fetching) {
     auto& job = *context_.cluster.jobs[job_index];
-    job.gang_ending = job.placed > 0;
+    job.gang_attempt_ending = job.placed > 0;
     for (uint32_t task_index = 0; task_index < job.tasks.size(); ++task_index) {
         auto& task = job.tasks[task_index];
         if (task.state != TaskState::Placed || task.stopping) continue;
@@ -136,22 +137,23 @@
 
 void TaskLifecycle::check_job(Index job_index) {
     auto& job = *context_.cluster.jobs[job_index];
-    if (job.ending || job.version == 0) return;
-    if (job.spec.kind == JobKind::Gang && job.placed == 0) job.gang_ending = false;
+    if (job.ending || job.record_revision == 0) return;
+    if (job.spec.kind == JobKind::Gang && job.placed == 0) job.gang_attempt_ending = false;
     if (job.cancelled) {
         stop_cancelled_job(job_index);
         if (job.placed > 0) return;
         spdlog::debug("job: {} cancelled, none of its tasks is left", job.spec.id);
-        if (!context_.cluster.cancellation_logged(job_index)) return;
+        if (!context_.cluster.cancellation_fully_logged(job_index)) return;
     } else if (job.done < job.tasks.size()) {
         // After a change of leader or the loss of a task, only a part of the gang is placed.
-        if (job.spec.kind == JobKind::Gang && job.placed > 0 && job.pending > 0 && !job.gang_ending)
+        if (job.spec.kind == JobKind::Gang && job.placed > 0 && job.pending > 0 &&
+            !job.gang_attempt_ending)
             end_gang_attempt(job_index, false);
         return;
     }
     job.ending = true;
-    job.ended = wall_now();
-    context_.state_log.finish(job_index);
+    job.ended_wall = wall_now();
+    context_.state_log.queue_job_end(job_index);
 }
 
 // The results of a cancelled job are not needed, so its tasks get no time to write a checkpoint.
@@ -174,7 +176,7 @@
     auto& task = job.tasks[task_index];
     task.stopping = true;
     task.graceful = graceful && job.spec.checkpoint_interval_s > 0;
-    if (job.spec.kind == JobKind::Gang) job.gang_ending = true;
+    if (job.spec.kind == JobKind::Gang) job.gang_attempt_ending = true;
     stop_sender_.queue_stop(task.machine, {CommandOp::Stop, job.spec.id, task_index, task.attempt,
                                            stop_grace_s(job, task)});
 }
--- a/src/scheduler/capacity_breakdown.cpp
+++ b/src/scheduler/capacity_breakdown.cpp
@@ -44,7 +44,7 @@
             auto& job = *cluster.jobs[ref.job];
             out[task_use(job.tasks[ref.task])] += job.spec.demand;
         }
-        out[free_capacity_use(*m, usable, now)] += m->room();
+        out[free_capacity_use(*m, usable, now)] += m->free_resources();
     }
     return out;
 }
--- a/src/scheduler/deadline_feasibility.cpp
+++ b/src/scheduler/deadline_feasibility.cpp
@@ -44,7 +44,7 @@
         auto& job = *cluster.jobs[j];
         double run_s = cluster.expected_run_s(job.spec);
         int missed = 0;
-        double due = cluster.due(job, now + run_s, missed);
+        double due = cluster.due_time(job, now + run_s, missed);
         if (due > kNoDueTime_s || missed != static_cast<int>(position)) continue;
         out.push_back({j, waiting_work(cluster, job), due - run_s - now});
     }
@@ -65,7 +65,7 @@
     }
     size_t max_due_times = 0;
     for (auto j : jobs)
-        max_due_times = std::max(max_due_times, cluster.times_asked(*cluster.jobs[j]));
+        max_due_times = std::max(max_due_times, cluster.due_time_count(*cluster.jobs[j]));
     double earlier_work = 0;
     // Jobs that can meet their first due time are served before those that can only meet a later
     // one.
--- a/src/scheduler/eligibility.h
+++ b/src/scheduler/eligibility.h
@@ -10,7 +10,7 @@
 // Returns whether tasks of this spec may run on the machine: its type, zone and kind (spot or not)
 // are allowed, and its capacity is not reserved for tasks with GPUs.
 inline bool machine_eligible(const ClusterState& cluster, const JobSpec& spec, const Machine& m) {
-    return cluster.machine_allowed(spec, m) && !cluster.reserves_gpus(spec, m.type);
+    return cluster.machine_allowed(spec, m) && !cluster.must_leave_room_for_gpus(spec, m.type);
 }
 
 // Returns whether the machine has the image or is fetching it for another task.
--- a/src/scheduler/fit_queues.cpp
+++ b/src/scheduler/fit_queues.cpp
@@ -21,12 +21,12 @@
 
 FitScore fit_score(const ClusterState& cluster, const Job& job, Index machine_index, double now) {
     auto& m = *cluster.machines[machine_index];
-    auto left = m.room() - job.spec.demand;
+    auto left = m.free_resources() - job.spec.demand;
     bool wasted_gpus = job.spec.demand.gpu == 0 && m.size.gpu > 0;
     int64_t main_resource_left = job.spec.demand.gpu > 0 ? left.gpu : left.cpu;
     bool multi_task_gang = is_multi_task_gang(job.spec);
     return {wasted_gpus,
-            !job.failed_on.empty() && job.failed_on.contains(machine_index),
+            !job.failed_machines.empty() && job.failed_machines.contains(machine_index),
             m.tasks.empty(),
             main_resource_left,
             multi_task_gang && m.spot,
@@ -34,7 +34,7 @@
             !multi_task_gang && !m.spot,
             left.cpu,
             left.mem,
-            cluster.heartbeat_due_s(m, now)};
+            cluster.next_heartbeat_in_s(m, now)};
 }
 
 int64_t FitQueue::free_slots(Index zone) const {
@@ -75,7 +75,7 @@
     auto shape = shape_of_job_[job_index];
     // Machines on which the job has failed score worse for this job only, so it can't share a
     // queue.
-    if (jobs_of_shape_[shape] < 2 || !job.failed_on.empty()) {
+    if (jobs_of_shape_[shape] < 2 || !job.failed_machines.empty()) {
         uncached_ = {};
         uncached_.image_machines_only_ = image_machines_only;
         build(uncached_, job);
@@ -99,9 +99,9 @@
 void FitQueues::update_machine(FitQueue& queue, const Job& job, Index machine) const {
     auto& m = *cluster_.machines[machine];
     int64_t slots = 0;
-    if (job.spec.demand.fits_in(m.room()) && cluster_.machine_allowed(job.spec, m) &&
+    if (job.spec.demand.fits_in(m.free_resources()) && cluster_.machine_allowed(job.spec, m) &&
         (!queue.image_machines_only_ || has_or_fetches_image(cluster_, m, job.spec.image)))
-        slots = job.spec.demand.times_in(m.room());
+        slots = job.spec.demand.times_in(m.free_resources());
     if (slots == 0 && queue.slots_[machine] == 0) return;
     auto& zone = queue.zones_[m.zone];
     zone.free_slots += slots - queue.slots_[machine];
--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -28,23 +28,24 @@
 };
 
 bool may_be_placed(const Job& job, double now) {
-    if (!job.active() || job.waits || job.pending == 0 || job.not_before > now) return false;
+    if (!job.active() || job.waits_for_dependencies || job.pending == 0 || job.not_before > now)
+        return false;
     // A gang is placed again only after every task of its previous attempt has ended.
-    return job.spec.kind != JobKind::Gang || (job.placed == 0 && !job.gang_ending);
+    return job.spec.kind != JobKind::Gang || (job.placed == 0 && !job.gang_attempt_ending);
 }
 
 // Returns the due time that orders the job among its equals: jobs with fewer missed due times come
 // first, then the one that is due earliest.
 EffectiveDueTime effective_due_time(const ClusterState& cluster, const Job& job, double now) {
     EffectiveDueTime due;
-    due.at_s = cluster.due(job, now + cluster.expected_run_s(job.spec), due.missed);
+    due.at_s = cluster.due_time(job, now + cluster.expected_run_s(job.spec), due.missed);
     // In an overloaded queue, smaller jobs are placed first, so that as many jobs as possible
     // finish in time. The due time counts from the job's arrival, so that its wait is bounded in
     // proportion to its work. A job with dependants keeps the time by which these need it.
     double slowdown = cluster.slowdown(job.spec);
     if (slowdown > 0 && job.needed_by > kNoDueTime_s) {
         due.missed = 0;
-        due.at_s = job.came_at() + slowdown * waiting_work(cluster, job);
+        due.at_s = job.schedulable_since_steady() + slowdown * waiting_work(cluster, job);
     }
     return due;
 }
@@ -53,9 +54,9 @@
     auto& job = *cluster.jobs[index];
     auto due = effective_due_time(cluster, job, now);
     auto& team = cluster.teams[job.spec.team];
-    Rank rank{!job.guaranteed, -static_cast<int>(job.priority),
+    Rank rank{!job.guaranteed, -static_cast<int>(job.effective_priority),
               !cluster.within_guarantee(team, job.spec.demand), -job.spec.demand.gpu, due.missed};
-    return {{rank, due.at_s, job.submitted, job.spec.id}, index};
+    return {{rank, due.at_s, job.submitted_wall, job.spec.id}, index};
 }
 
 }  // namespace
--- a/src/scheduler/overload_forecast.cpp
+++ b/src/scheduler/overload_forecast.cpp
@@ -58,8 +58,8 @@
     queue.used_units += units_per_task * job.placed;
     queue.demanded_units += demanded;
     queue_sums.gpu = gpu;
-    queue_sums.priority = std::max(queue_sums.priority, job.priority);
-    sums.by_priority[gpu][job.priority] += demanded;
+    queue_sums.priority = std::max(queue_sums.priority, job.effective_priority);
+    sums.by_priority[gpu][job.effective_priority] += demanded;
     if (job.pending == 0) return;
     ++queue.waiting_jobs;
     queue.waiting_work += waiting_work(cluster, job);
@@ -69,7 +69,7 @@
 DemandSums sum_demand(const ClusterState& cluster) {
     DemandSums sums;
     for (auto& job : cluster.jobs)
-        if (job && job->active() && !job->waits) add_job(sums, cluster, *job);
+        if (job && job->active() && !job->waits_for_dependencies) add_job(sums, cluster, *job);
     for (auto& [key, queue_sums] : sums.queues)
         sums.demanded_units[queue_sums.gpu] += queue_sums.forecast.demanded_units;
     return sums;
@@ -80,8 +80,8 @@
 double expected_target_s(const ClusterState& cluster, const QueueKey& key,
                          const QueueSums& queue_sums) {
     if (key.job_class < cluster.classes.size() &&
-        !cluster.classes[key.job_class].done_within_s.empty())
-        return cluster.classes[key.job_class].done_within_s.back();
+        !cluster.classes[key.job_class].finish_within_s.empty())
+        return cluster.classes[key.job_class].finish_within_s.back();
     return queue_sums.forecast.waiting_jobs > 0
                ? queue_sums.deadlines_s / queue_sums.forecast.waiting_jobs
                : 0;
@@ -167,7 +167,7 @@
 void OverloadForecast::mark_abandoned_deadlines(ClusterState& cluster, double now) {
     std::map<QueueKey, std::vector<Index>> jobs_by_queue;
     for (Index j = 0; j < cluster.jobs.size(); ++j)
-        if (auto* job = cluster.jobs[j].get(); job && job->active() && !job->waits)
+        if (auto* job = cluster.jobs[j].get(); job && job->active() && !job->waits_for_dependencies)
             jobs_by_queue[{job->spec.team, job->spec.job_class}].push_back(j);
     for (auto& [key, jobs] : jobs_by_queue) {
         auto& queue = queues_[key];
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -40,7 +40,7 @@
     // only jobs of equal precedence.
     std::pair<bool, int> precedence(Index index) const {
         auto& job = *cluster_.jobs[index];
-        return {!job.guaranteed, -static_cast<int>(job.priority)};
+        return {!job.guaranteed, -static_cast<int>(job.effective_priority)};
     }
 
     void place(Index index, size_t max_placements) {
--- a/src/scheduler/placement_pass.h
+++ b/src/scheduler/placement_pass.h
@@ -110,7 +110,7 @@
     template <class Place>
     bool fill_machine(const Job& job, Index machine, ZoneConstraint& zones, Place& place) {
         auto& m = *cluster_.machines[machine];
-        while (job.spec.demand.fits_in(m.room()) && zones.allows(m.zone) &&
+        while (job.spec.demand.fits_in(m.free_resources()) && zones.allows(m.zone) &&
                cluster_.leaves_gpus_usable(job.spec, m)) {
             if (!place(machine)) return false;
             zones.add(m.zone);
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -51,12 +51,12 @@
     // A job may inherit the priority of a job that depends on it. Preemption must be justified with
     // and without inheritance, so the victim counts with its inherited priority and the preemptor
     // only with its own.
-    if (victim.priority < preemptor.spec.priority) return true;
+    if (victim.effective_priority < preemptor.spec.priority) return true;
     // Work beyond its team's guarantee yields to a job within the guarantee of another team.
     auto& preemptor_team = cluster.teams[preemptor.spec.team];
     auto& victim_team = cluster.teams[victim.spec.team];
     return victim.spec.team != preemptor.spec.team &&
-           cluster.over_guarantee(victim_team, victim.spec.demand) &&
+           cluster.exceeds_guarantee(victim_team, victim.spec.demand) &&
            cluster.within_guarantee(preemptor_team,
                                     preemptor.spec.kind == JobKind::Array
                                         ? preemptor.spec.demand
@@ -242,7 +242,7 @@
 
 PreemptionRound PreemptionPlanner::run() {
     for (auto j : waiting_jobs(cluster_, now_))
-        if (cluster_.large(cluster_.jobs[j]->spec)) plan_job(j);
+        if (cluster_.needs_whole_machines(cluster_.jobs[j]->spec)) plan_job(j);
     return std::move(round_);
 }
 
@@ -341,7 +341,7 @@
     for (Index i = 0; i < cluster_.machines.size(); ++i) {
         if (!may_plan_on(job, zones, zone, i)) continue;
         auto& m = *cluster_.machines[i];
-        auto free = job.spec.demand.times_in(m.room() - claimed_[i]);
+        auto free = job.spec.demand.times_in(m.free_resources() - claimed_[i]);
         if (free > 0) {
             plan.missing_tasks -= free;
             plan.free_slots.push_back({i, free});
--- a/src/scheduler/starvation.cpp
+++ b/src/scheduler/starvation.cpp
@@ -42,8 +42,8 @@
     std::vector<CandidateMachine> out;
     for (auto i : machines_with_room) {
         auto& m = *cluster.machines[i];
-        if (!spec.demand.fits_in(m.room()) || !cluster.machine_allowed(spec, m)) continue;
-        auto free_slots = std::min<int64_t>(spec.demand.times_in(m.room()), needed);
+        if (!spec.demand.fits_in(m.free_resources()) || !cluster.machine_allowed(spec, m)) continue;
+        auto free_slots = std::min<int64_t>(spec.demand.times_in(m.free_resources()), needed);
         out.push_back({i, m.zone, blocked_by(cluster, m, usable, index, now), free_slots});
     }
     std::ranges::sort(out, [](auto& a, auto& b) { return a.blocked_by < b.blocked_by; });
@@ -82,9 +82,9 @@
     std::vector<Index> out;
     for (Index j = 0; j < cluster.jobs.size(); ++j) {
         auto* job = cluster.jobs[j].get();
-        if (!job || !job->active() || job->waits || job->pending == 0) continue;
+        if (!job || !job->active() || job->waits_for_dependencies || job->pending == 0) continue;
         if (job->placed > 0 || job->done > 0) continue;
-        if (now - job->came_at() >= min_wait_s) out.push_back(j);
+        if (now - job->schedulable_since_steady() >= min_wait_s) out.push_back(j);
     }
     return out;
 }
@@ -101,7 +101,8 @@
     std::vector<Index> machines_with_room;
     for (Index i = 0; i < cluster.machines.size(); ++i) {
         auto* m = cluster.machines[i].get();
-        if (m && m->up && !m->abandoned && m->zone != kNone && smallest.fits_in(m->room()))
+        if (m && m->up && !m->abandoned && m->zone != kNone &&
+            smallest.fits_in(m->free_resources()))
             machines_with_room.push_back(i);
     }
     std::vector<StarvedJob> out;
--- a/src/standby/standby_decisions.cpp
+++ b/src/standby/standby_decisions.cpp
@@ -12,7 +12,7 @@
     JobStatus status;
     status.location = JobLocation::Ended;
     status.state = final_state.state;
-    status.done = final_state.done;
+    status.done = final_state.done_tasks;
     return status;
 }
 
--- a/src/standby/standby_service.cpp
+++ b/src/standby/standby_service.cpp
@@ -236,7 +236,7 @@
 }
 
 asio::awaitable<PeerReply> StandbyService::submit_parsed(JobSpec spec) {
-    if (cluster_.never_runs(spec)) {
+    if (cluster_.unschedulable_reason(spec)) {
         auto refusal = unschedulable_reply();
         co_return co_await refuse_submission(spec.id, std::move(refusal));
     }
--- a/src/standby/state_log_view.cpp
+++ b/src/standby/state_log_view.cpp
@@ -131,7 +131,7 @@
         job.task_states[task] = static_cast<uint8_t>(state);
     };
     for (size_t i = 2; i < entry.size(); ++i) {
-        auto row = parse_row(entry[i], job.task_states.size());
+        auto row = parse_task_row(entry[i], job.task_states.size());
         for (uint32_t task = row.first; task <= row.last; ++task) set_state(task, row.state);
     }
 }
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -21,7 +21,7 @@
 // on servers 1 and 2, job b on 3, job c on 4 and 5, and job d on 5 and 6.
 struct ArylFigure5 {
     std::vector<EvictionCandidate> machines{{0, {0}, 0}, {1, {0}, 0},    {2, {1}, 0},
-                                           {3, {2}, 0}, {4, {2, 3}, 0}, {5, {3}, 0}};
+                                            {3, {2}, 0}, {4, {2, 3}, 0}, {5, {3}, 0}};
     std::vector<uint32_t> spans{2, 1, 2, 2};
 };
 
@@ -128,7 +128,7 @@
     }
     auto first = w.job(w.spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
     auto second = w.job(w.spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High));
-    w.cluster.jobs[first]->submitted = 1;
+    w.cluster.jobs[first]->submitted_wall = 1;
     auto round = plan_preemption(w.cluster, any_machine, w.now);
     ASSERT_EQ(round.evictions.size(), 2u);
     EXPECT_EQ(round.evictions[0].job, first);
@@ -178,7 +178,7 @@
         spec.one_zone = true;
         spec.image_gb = 6;
         for (auto& name : row.image_on)
-            w.cluster.machines[w.cluster.find_machine(name)]->images = {spec.image};
+            w.cluster.machines[w.cluster.find_machine(name)]->cached_images = {spec.image};
         w.job(spec);
         std::vector<std::string> used_machines;
         for (auto& placement : place_waiting_jobs(w.cluster, any_machine, w.now))
@@ -198,8 +198,8 @@
         w.job(specs.back());
     }
     auto& machine = *w.cluster.machines[machine_index];
-    for (int i : {0, 1, 0, 2}) w.cluster.saw_image(machine, specs[i]);
-    EXPECT_EQ(machine.images, (std::vector<Index>{specs[0].image, specs[2].image}));
+    for (int i : {0, 1, 0, 2}) w.cluster.mark_image_used(machine, specs[i]);
+    EXPECT_EQ(machine.cached_images, (std::vector<Index>{specs[0].image, specs[2].image}));
 }
 
 TEST(GangLaunch, LaunchesFetchingTasksFirst) {
@@ -241,7 +241,7 @@
         auto job_index = w.running(spec, machines);
         auto& job = *w.cluster.jobs[job_index];
         for (uint32_t t = 0; t < 3; ++t)
-            if (row.has_image[t]) w.cluster.machines[machines[t]]->images = {spec.image};
+            if (row.has_image[t]) w.cluster.machines[machines[t]]->cached_images = {spec.image};
         if (row.fetch_launched) {
             job.tasks[1].start_seq = 7;
             job.tasks[1].placed_at = static_cast<float>(w.now - row.launched_s_ago);
@@ -332,7 +332,7 @@
         auto job = w.running(spec, {w.machine("m0", "gpu"), w.machine("m1", "gpu")});
         auto& team = w.cluster.teams[0];
         EXPECT_EQ(w.cluster.jobs[job]->guaranteed, row.guaranteed) << row.description;
-        EXPECT_EQ(w.cluster.over_guarantee(team, spec.demand), row.above) << row.description;
+        EXPECT_EQ(w.cluster.exceeds_guarantee(team, spec.demand), row.above) << row.description;
         team.used -= spec.demand;
         EXPECT_EQ(w.cluster.within_guarantee(team, spec.demand), row.within) << row.description;
     }
@@ -356,7 +356,7 @@
     w.machine("m0");
     auto m1 = w.machine("m1");
     auto job = w.job(w.spec("req-1", JobKind::Array, 1, 3));
-    w.cluster.machines[m1]->images = {w.cluster.jobs[job]->spec.image};
+    w.cluster.machines[m1]->cached_images = {w.cluster.jobs[job]->spec.image};
     EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now)[0].machine, m1);
 }
 
@@ -373,7 +373,8 @@
                                      random_below(2) ? "a" : "b", random_below(3) == 0));
         auto& machine = *w.cluster.machines[machines.back()];
         for (uint32_t k = random_below(3); k > 0; --k)
-            machine.images.push_back(names.images.intern("i" + std::to_string(random_below(4))));
+            machine.cached_images.push_back(
+                names.images.intern("i" + std::to_string(random_below(4))));
         machine.up = random_below(10) > 0;
         machine.last_heartbeat = w.now - 0.5 * random_below(8);
     }
@@ -394,11 +395,11 @@
         if (random_below(6) == 0) spec.types = {names.types.find("gpu")};
         auto job_index = w.job(spec);
         auto& job = *w.cluster.jobs[job_index];
-        if (random_below(4) == 0) job.failed_on = {machines[random_below(machines.size())]};
+        if (random_below(4) == 0) job.failed_machines = {machines[random_below(machines.size())]};
         if (kind == JobKind::Array && !spec.spread && random_below(2)) {
             auto i = machines[random_below(machines.size())];
             if (w.cluster.machine_allowed(job.spec, *w.cluster.machines[i]) &&
-                job.spec.demand.fits_in(w.cluster.machines[i]->room()) &&
+                job.spec.demand.fits_in(w.cluster.machines[i]->free_resources()) &&
                 w.cluster.within_limit(w.cluster.teams[job.spec.team], job.spec.demand))
                 w.cluster.place(job_index, 0, i, 1, w.now);
         }
@@ -443,7 +444,7 @@
     World world;
     world.cluster.classes.resize(world.cluster.names.classes.intern("class") + 1);
     world.cluster.classes.back().start_within_s = 30;
-    world.cluster.classes.back().done_within_s = {250};
+    world.cluster.classes.back().finish_within_s = {250};
     auto missed = world.job(world.spec("req-1", JobKind::Array, 1, 1));
     world.now += 40;
     auto recent = world.job(world.spec("req-2", JobKind::Array, 1, 1));
@@ -459,7 +460,7 @@
     other.image_gb = cached.image_gb = 4;
     w.job(other);
     auto job = w.job(cached);
-    w.cluster.machines[machine]->images = {cached.image};
+    w.cluster.machines[machine]->cached_images = {cached.image};
     EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now),
               (std::vector<Placement>{{job, 0, machine, 1}}));
 }
@@ -491,7 +492,7 @@
         }
         auto large = w.job(w.spec("req-1", JobKind::Array, 2, row.cpus, 0, row.priority));
         auto small = w.job(w.spec("req-2", JobKind::Array, 3, 1));
-        w.cluster.jobs[small]->submitted = 1;
+        w.cluster.jobs[small]->submitted_wall = 1;
         place_waiting_jobs(w.cluster, any_machine, w.now);
         if (row.priority == Priority::High && row.cpus == 2) {
             EXPECT_EQ(w.cluster.jobs[large]->placed, 1u);
@@ -631,7 +632,7 @@
     auto spec = w.spec("req-1", JobKind::Array, 2, 1);
     spec.one_zone = true;
     auto job = w.job(spec);
-    w.cluster.restore_placed(job, 0, w.cluster.add_machine("unknown", w.now), 1, 1);
+    w.cluster.restore_placement(job, 0, w.cluster.add_machine("unknown", w.now), 1, 1);
     EXPECT_TRUE(place_waiting_jobs(w.cluster, any_machine, w.now).empty());
 }
 
@@ -639,7 +640,8 @@
     World w;
     for (int i = 0; i < 6; ++i) w.machine("m" + std::to_string(i));
     auto job = w.job(w.spec("req-1", JobKind::Array, 6, 8, 0, Priority::Normal, "red"));
-    EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now).size(), 4u);  // the limit is 32 CPUs
+    EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now).size(),
+              4u);  // the limit is 32 CPUs
     // A task that has been told to stop counts until it has ended.
     w.cluster.jobs[job]->tasks[0].stopping = true;
     EXPECT_TRUE(place_waiting_jobs(w.cluster, any_machine, w.now).empty());
@@ -704,7 +706,7 @@
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_a, true, 2}}));
     // If the cloud refuses the cheapest offer, the next one is requested.
-    w.cluster.refusals.push_back({w.now + 10, {std_type, zone_a, true}});
+    w.cluster.capacity_refusals.push_back({w.now + 10, {std_type, zone_a, true}});
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_b, true, 2}}));
 }
@@ -724,7 +726,7 @@
     w.running(spec, {machine});
     spec.id = "req-2";
     w.job(spec);
-    w.cluster.refusals.push_back({w.now + 10, {std_type, zone_a, false}});
+    w.cluster.capacity_refusals.push_back({w.now + 10, {std_type, zone_a, false}});
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_b, false, 1}}));
 }
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -22,7 +22,7 @@
     int next_id = 0;
     explicit ClusterWithObjective(int machines) {
         cluster.classes.resize(cluster.names.classes.size());
-        cluster.classes[job_class].done_within_s = {30, 60};
+        cluster.classes[job_class].finish_within_s = {30, 60};
         for (int i = 0; i < machines; ++i) machine("vm-" + std::to_string(i));
     }
     Index add_waiting_job(uint32_t tasks, double estimate_s, const std::string& team = "blue",
@@ -161,7 +161,7 @@
         0u);
     EXPECT_EQ(waiting_jobs(c.cluster, c.now), (std::vector<Index>{small, other, large}));
     int missed;
-    EXPECT_DOUBLE_EQ(c.cluster.due(*c.cluster.jobs[large], c.now, missed), c.now + 60);
+    EXPECT_DOUBLE_EQ(c.cluster.due_time(*c.cluster.jobs[large], c.now, missed), c.now + 60);
     EXPECT_EQ(missed, 1);
     for (int i = 0; i < 3; ++i) c.machine("more-" + std::to_string(i));
     c.observe();
@@ -255,7 +255,7 @@
             }
             auto ids = c.placement_order();
             auto high = c.add_waiting_job(50, 100);
-            c.cluster.jobs[high]->priority = Priority::High;
+            c.cluster.jobs[high]->effective_priority = Priority::High;
             auto guaranteed = c.add_waiting_job(50, 100);
             c.cluster.jobs[guaranteed]->guaranteed = true;
             auto placement_order = c.placement_order();
--- a/tests/placement_reference.h
+++ b/tests/placement_reference.h
@@ -22,28 +22,29 @@
     // The machine with the lowest key is the best fit.
     auto fit_key(const Job& job, Index machine_index) const {
         auto& machine = *cluster.machines[machine_index];
-        auto left = machine.room() - job.spec.demand;
+        auto left = machine.free_resources() - job.spec.demand;
         bool multi_task_gang = job.spec.kind == JobKind::Gang && job.spec.tasks > 1;
         return std::make_tuple(job.spec.demand.gpu == 0 && machine.size.gpu > 0,
-                               job.failed_on.count(machine_index) > 0, machine.tasks.empty(),
+                               job.failed_machines.count(machine_index) > 0, machine.tasks.empty(),
                                job.spec.demand.gpu > 0 ? left.gpu : left.cpu,
                                multi_task_gang && machine.spot, !machine.has_image(job.spec.image),
                                !multi_task_gang && !machine.spot, left.cpu, left.mem,
-                               cluster.heartbeat_due_s(machine, now));
+                               cluster.next_heartbeat_in_s(machine, now));
     }
     bool is_candidate(Index job_index, Index machine_index) const {
         auto& job = *cluster.jobs[job_index];
         auto* machine = cluster.machines[machine_index].get();
         if (!machine || !usable(*machine) || !cluster.machine_allowed(job.spec, *machine) ||
-            !job.spec.demand.fits_in(machine->room()))
+            !job.spec.demand.fits_in(machine->free_resources()))
             return false;
-        if (held_machines.count(machine_index) && held_machines.at(machine_index) > job.priority)
+        if (held_machines.count(machine_index) &&
+            held_machines.at(machine_index) > job.effective_priority)
             return false;
         if (machine->reserved_for == kNone || machine->reserved_for == job_index ||
             machine->reserved_until <= now)
             return true;
         auto* owner = cluster.jobs[machine->reserved_for].get();
-        return !owner || owner->priority < job.priority;
+        return !owner || owner->effective_priority < job.effective_priority;
     }
     // Returns the best machine in the zone (kNone: any zone), or kNone. `image_only`: only machines
     // that have the job's image or are fetching it.
@@ -92,7 +93,8 @@
                 auto& machine = *cluster.machines[i];
                 if (cluster.machine_allowed(job.spec, machine) &&
                     has_or_fetches_image(cluster, machine, job.spec.image))
-                    tasks_near_image[machine.zone] += job.spec.demand.times_in(machine.room());
+                    tasks_near_image[machine.zone] +=
+                        job.spec.demand.times_in(machine.free_resources());
             }
             for (auto& [zone, tasks] : tasks_near_image)
                 tasks = job.spec.image_gb > 0 ? std::min<int64_t>(tasks, job.pending) : 0;
@@ -129,15 +131,15 @@
         std::set<std::pair<int64_t, Index>> partial_fits;  // missing CPUs and machine
         for (auto i : open_machines) {
             auto& machine = *cluster.machines[i];
-            if (!demand.fits_in(machine.room()) && demand.times_in(machine.size) >= 2 &&
-                (!held_machines.count(i) || held_machines.at(i) < job.priority) &&
+            if (!demand.fits_in(machine.free_resources()) && demand.times_in(machine.size) >= 2 &&
+                (!held_machines.count(i) || held_machines.at(i) < job.effective_priority) &&
                 cluster.machine_allowed(job.spec, machine) &&
-                !cluster.reserves_gpus(job.spec, machine.type))
-                partial_fits.emplace(demand.cpu - machine.room().cpu, i);
+                !cluster.must_leave_room_for_gpus(job.spec, machine.type))
+                partial_fits.emplace(demand.cpu - machine.free_resources().cpu, i);
         }
         uint32_t n = 0;
         for (auto& [missing_cpu, i] : partial_fits)
-            if (n++ < job.pending) held_machines[i] = job.priority;
+            if (n++ < job.pending) held_machines[i] = job.effective_priority;
     }
     const std::vector<Placement>& run() {
         auto ranks = waiting_ranks(cluster, now);
@@ -152,7 +154,7 @@
                                 std::min(smallest.gpu, demand.gpu),
                                 std::min(smallest.mem, demand.mem)};
                 }
-            if (smallest.fits_in(machine->room())) open_machines.push_back(i);
+            if (smallest.fits_in(machine->free_resources())) open_machines.push_back(i);
         }
         for (auto& rank : ranks) {
             if (rank.size() > 1)
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -64,14 +64,14 @@
         StateLog state_log(world.cluster, 41, kSmallLimits);
         auto job =
             world.cluster.add_job(world.spec("req-1", JobKind::Array, 2, 1), 1000, world.now);
-        state_log.new_job(job, row.pending_version);
-        auto batch = state_log.next(12);
+        state_log.queue_new_job(job, row.pending_version);
+        auto batch = state_log.next_batch(12);
         std::map<std::string, uint64_t> conditions;
         for (auto& condition : batch.txn.conditions) conditions[condition.key] = condition.version;
         EXPECT_EQ(conditions, row.conditions);
         state_log.committed(batch, 50);
-        state_log.forget("d/req-1", 7);
-        batch = state_log.next(12);
+        state_log.queue_pending_deletion("d/req-1", 7);
+        batch = state_log.next_batch(12);
         conditions.clear();
         for (auto& condition : batch.txn.conditions) conditions[condition.key] = condition.version;
         EXPECT_EQ(conditions,
@@ -81,9 +81,10 @@
         // Deletions of pending records take at least one and at most half of a transaction's
         // changes. The rest is left for users' requests.
         state_log.rejected(batch);
-        for (int i = 2; i <= 20; ++i) state_log.forget("d/req-" + std::to_string(i), 7);
-        EXPECT_EQ(state_log.next(3).txn.changes.size(), 1u);
-        EXPECT_EQ(state_log.next(12).txn.changes.size(), 6u);
+        for (int i = 2; i <= 20; ++i)
+            state_log.queue_pending_deletion("d/req-" + std::to_string(i), 7);
+        EXPECT_EQ(state_log.next_batch(3).txn.changes.size(), 1u);
+        EXPECT_EQ(state_log.next_batch(12).txn.changes.size(), 6u);
     }
 }
 
@@ -94,9 +95,9 @@
     for (int i = 0; i < 300; ++i) {
         auto id = "req-" + std::to_string(i);
         store.keys[pending_key(id)] = {"{}", 5};
-        state_log.new_job(
+        state_log.queue_new_job(
             world.cluster.add_job(world.spec(id, JobKind::Array, 1, 0.01), 1000, world.now), 5);
-        state_log.forget(pending_key(id), 5);
+        state_log.queue_pending_deletion(pending_key(id), 5);
     }
     test::flush(state_log, world.cluster, store, kSmallLimits, world.now);
     EXPECT_TRUE(store.keys.lower_bound(kPendingPrefix) == store.keys.lower_bound("d0"))
@@ -114,7 +115,7 @@
         true};
     auto parsed = parse_pending_record(json::parse(pending_record(record)));
     EXPECT_EQ(parsed.job, record.job);
-    EXPECT_EQ(parsed.at, 1234.5);
+    EXPECT_EQ(parsed.submitted_wall, 1234.5);
     EXPECT_TRUE(parsed.cancelled && parsed.accepted());
     EXPECT_FALSE(parse_pending_record(json::parse(pending_record({nullptr, 0, true}))).accepted());
     for (const char* bad : {"[]", "{}", R"({"job":{}})", R"({"job":{},"at":-1})",
@@ -231,19 +232,19 @@
         std::set<std::string> ended;
         for (int step = 0; step < 1200; ++step) {
             if (below(8) == 0 && world.cluster.job_index.size() < 10)
-                state_log.new_job(
+                state_log.queue_new_job(
                     world.cluster.add_job(world.spec("req-" + std::to_string(++jobs),
                                                      JobKind::Array, 1 + below(50), 0.01),
                                           1000, world.now));
             test::live_on(world.cluster, state_log, machines, below, 300, world.now);
-            auto batch = state_log.next(2 + static_cast<int>(below(11)));
+            auto batch = state_log.next_batch(2 + static_cast<int>(below(11)));
             if (batch.empty()) continue;
             auto revision = store.apply(batch.txn);
             ASSERT_NE(revision, 0u);
-            compactions += batch.first != 0 && batch.txn.changes.back().key == kLogKey;
+            compactions += batch.first_segment != 0 && batch.txn.changes.back().key == kLogKey;
             state_log.committed(batch, revision);
             for (auto& entry : batch.entries) {
-                if (entry.kind != EntryKind::Finish) continue;
+                if (entry.kind != EntryKind::JobEnd) continue;
                 ended.insert(world.cluster.jobs[entry.job]->spec.id);
                 world.cluster.remove_job(entry.job, world.now);
             }
@@ -271,7 +272,7 @@
                     ASSERT_NE(viewed, nullptr) << id;
                     EXPECT_EQ(viewed->done, job.done) << id << " seed " << seed;
                     EXPECT_EQ(viewed->placed, job.placed) << id << " seed " << seed;
-                    EXPECT_EQ(view->is_cancelled(id), job.cancel_recorded) << id;
+                    EXPECT_EQ(view->is_cancelled(id), job.cancel_durable) << id;
                 }
             }
         }
--- a/tests/starvation_test.cpp
+++ b/tests/starvation_test.cpp
@@ -24,9 +24,10 @@
     };
     const Row rows[] = {
         {"capacity is free", [](World&, Job&) {}, BlockedBy::Nothing},
-        {"the job arrived recently", [](World& w, Job& j) { j.seen_at = w.now - 10; },
+        {"the job arrived recently", [](World& w, Job& j) { j.submitted_steady = w.now - 10; },
+         std::nullopt},
+        {"the job waits for a dependency", [](World&, Job& j) { j.waits_for_dependencies = true; },
          std::nullopt},
-        {"the job waits for a dependency", [](World&, Job& j) { j.waits = true; }, std::nullopt},
         {"the job is cancelled", [](World&, Job& j) { j.cancelled = true; }, std::nullopt},
         {"the job failed and is retried later", [](World& w, Job& j) { j.not_before = w.now + 5; },
          BlockedBy::BackOff},
@@ -91,7 +92,7 @@
         w.machine("vm-1");
         w.machine("vm-2");
         auto j = w.job(w.spec("req-1", row.kind, row.tasks, row.cpus, 0, Priority::Normal, "red"));
-        w.cluster.jobs[j]->seen_at = w.now - 100;
+        w.cluster.jobs[j]->submitted_steady = w.now - 100;
         row.change(w, *w.cluster.jobs[j]);
         auto usable = [](const Machine& m) { return m.up && !m.downlink.downlink_lost(); };
         auto found = starved_jobs(w.cluster, usable, w.now, kStarvationThreshold_s);
