--- a/src/autoscaler/headroom.cpp
+++ b/src/autoscaler/headroom.cpp
@@ -53,7 +53,7 @@
     int64_t tasks = 0;
     for (const auto& m : cluster.machines) {
         if (!m || !m->up || !machine_suits(cluster, spec, *m)) continue;
-        tasks += spec.demand.times_in(m->size);
+        tasks += spec.demand.max_copies_in(m->size);
     }
     return tasks;
 }
--- a/src/autoscaler/job_planner.cpp
+++ b/src/autoscaler/job_planner.cpp
@@ -23,7 +23,7 @@
     int64_t most = 0;
     for (Index t = 0; t < cluster.types.size(); ++t) {
         if (!cluster.type_fits(spec, t)) continue;
-        most = std::max(most, spec.demand.times_in(cluster.types[t].type.size));
+        most = std::max(most, spec.demand.max_copies_in(cluster.types[t].type.size));
     }
     return most;
 }
@@ -171,7 +171,7 @@
     double filled = 1;
     if (offer_)
         filled = std::min(1.0, static_cast<double>(remaining) /
-                                   static_cast<double>(spec_.demand.times_in(offer_->room)));
+                                   static_cast<double>(spec_.demand.max_copies_in(offer_->room)));
     return (kPatience + kEmptyMachinePatience * (1 - filled)) * request_.slack_s;
 }
 
--- a/src/autoscaler/offers.cpp
+++ b/src/autoscaler/offers.cpp
@@ -43,7 +43,7 @@
         if (!type_suits(cluster, spec, t)) continue;
         const auto& type = cluster.types[t].type;
         const auto fits =
-            std::min<int64_t>(spec.demand.times_in(type.size), static_cast<int64_t>(tasks));
+            std::min<int64_t>(spec.demand.max_copies_in(type.size), static_cast<int64_t>(tasks));
         for (const auto& zone_name : type.zones) {
             const auto z = cluster.names.zones.find(zone_name);
             if (zone_allowed(z)) consider_markets(cluster, spec, t, z, fits, now, best);
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -46,7 +46,7 @@
                        std::vector<Headroom>& headroom) {
     for (auto& h : headroom) {
         if (h.tasks <= 0 || !machine_suits(cluster, *h.like, m)) continue;
-        h.tasks -= h.like->demand.times_in(m.room());
+        h.tasks -= h.like->demand.max_copies_in(m.room());
         return true;
     }
     return false;
--- a/src/autoscaler/scale_out.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -123,7 +123,7 @@
 int64_t ScaleOutPlanner::tasks_in_present_room(const JobSpec& spec) const {
     int64_t tasks = 0;
     for (const auto& c : forecast_.machines())
-        if (capacity_suits(cluster_, spec, c)) tasks += spec.demand.times_in(c.room);
+        if (capacity_suits(cluster_, spec, c)) tasks += spec.demand.max_copies_in(c.room);
     return tasks;
 }
 
@@ -139,7 +139,7 @@
                                           context_.silent_zones, context_.now);
         if (!offer) return;
         ++requests_[offer_of(*offer)];
-        room += std::max<int64_t>(1, spec.demand.times_in(offer->room));
+        room += std::max<int64_t>(1, spec.demand.max_copies_in(offer->room));
     }
 }
 
--- a/src/autoscaler/shape_index.cpp
+++ b/src/autoscaler/shape_index.cpp
@@ -27,7 +27,7 @@
     if (c.zone >= zone_tasks_.size()) zone_tasks_.resize(c.zone + 1, 0);
     auto& tasks = machine_tasks_[machine];
     zone_tasks_[c.zone] -= tasks;
-    tasks = suits(c) ? shape_.demand.times_in(c.room) : 0;
+    tasks = suits(c) ? shape_.demand.max_copies_in(c.room) : 0;
     zone_tasks_[c.zone] += tasks;
 }
 
--- a/src/config/capacity.h
+++ b/src/config/capacity.h
@@ -1,5 +1,5 @@
-// Limits that follow from the size of the fleet and from the controller's memory and sockets
-// (docs/limits.md).
+// Limits derived from the size of the fleet and from the memory and sockets assigned to the
+// controller (docs/limits.md).
 #pragma once
 #include <algorithm>
 #include <cstddef>
@@ -8,42 +8,43 @@
 
 namespace weirmill {
 
-// The largest fleet that one leader serves. All of its machines may send a heartbeat within the
+// The largest fleet that one leader supports. All of its machines may send a heartbeat within the
 // same second.
 inline constexpr size_t kMaxMachines = 4000;
 
-// Requests of users and workers that may be queued for the leader: a heartbeat of each machine, and
-// as many others.
+// Limit on the requests of users and workers that are queued for the leader: one heartbeat of each
+// machine, and as many other requests.
 inline constexpr size_t kMaxQueuedRequests = 2 * kMaxMachines;
 
-// Of the memory that is assigned, the part that one queue may fill.
+// Share of the assigned memory that one queue may use.
 inline constexpr double kQueueMemoryShare = 1.0 / 8;
 
-// In bytes.
+// Returns the limit of one queue in bytes.
 inline size_t max_queue_bytes(const Settings& s) {
     return static_cast<size_t>(s.mem_mb * 1e6 * kQueueMemoryShare);
 }
 
-// Bytes of requests that may be queued for the leader: 4 KiB for each machine at 128 MB.
+// Returns the limit in bytes on the requests queued for the leader. With 128 MB of memory it allows
+// 4 KB for each machine.
 inline size_t max_queued_request_bytes(const Settings& s) { return max_queue_bytes(s); }
 
-// Bytes that may be queued to be written to one peer: a relayed heartbeat of each machine, of 4 KB
-// at 128 MB.
+// Returns the limit in bytes on the messages queued for one peer. With 128 MB of memory it allows a
+// relayed heartbeat of 4 KB from each machine.
 inline size_t max_peer_queue_bytes(const Settings& s) { return max_queue_bytes(s); }
 
-// Sockets kept for the key-value store, the cloud and peers.
-inline constexpr int kServiceSockets = 64;
+// Sockets reserved for the key-value store, the cloud and peers.
+inline constexpr int kReservedSockets = 64;
 
-// Limits of users, workers and stops are never below this, however few sockets there are.
+// Lower bound of the socket limits below, even if fewer sockets are assigned.
 inline constexpr int kMinSockets = 16;
 
-// Sockets over which stop commands are sent to workers at a time: a sixteenth of all for first
-// stops, and as many for repeated ones.
+// Returns the number of sockets over which stop commands are sent to workers at the same time: a
+// sixteenth of all sockets for the first attempts, and as many again for repeated ones.
 inline int stop_sockets(const Settings& s) { return std::max(kMinSockets, s.max_sockets / 16); }
 
-// Connections that users and workers may hold.
+// Returns the limit on the connections of users and workers.
 inline int max_connections(const Settings& s) {
-    return std::max(kMinSockets, s.max_sockets - kServiceSockets - 2 * stop_sockets(s));
+    return std::max(kMinSockets, s.max_sockets - kReservedSockets - 2 * stop_sockets(s));
 }
 
 }  // namespace weirmill
--- a/src/config/properties.cpp
+++ b/src/config/properties.cpp
@@ -49,17 +49,17 @@
     } catch (const Poco::Exception&) {
         throw SettingsError(std::string("properties: ") + property.name + " must be a number");
     }
-    // Not a number is in no range.
+    // The comparisons are false for NaN, so NaN is rejected too.
     const bool in_range = value >= property.min && value <= property.max;
     if (!in_range)
-        throw SettingsError(std::string("properties: ") + property.name + " must lie between " +
+        throw SettingsError(std::string("properties: ") + property.name + " must be between " +
                             std::to_string(property.min) + " and " + std::to_string(property.max));
     return value;
 }
 
-bool read_flag(const PropertyFile& file, const FlagProperty& property, bool missing) {
+bool read_flag(const PropertyFile& file, const FlagProperty& property, bool default_value) {
     try {
-        return file->getBool(property.name, missing);
+        return file->getBool(property.name, default_value);
     } catch (const Poco::Exception&) {
         throw SettingsError(std::string("properties: ") + property.name + " must be true or false");
     }
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -24,16 +24,16 @@
 
 using Node = toml::node_view<toml::node>;
 
-// The least rate or duration that makes sense, so that none is 0.
+// Lower bound of rates and durations that must be positive.
 constexpr double kMinPositive = 1e-3;
-// The largest transaction that this service needs if it splits what it can.
+// Number of operations of the largest transaction that the service can't split.
 constexpr double kMinTransactionOps = 4;
 constexpr double kMinMemory_mb = 16;
 constexpr double kMinSockets = 32;
 
 std::string required_string(Node node, const std::string& field) {
     auto v = node.value<std::string>();
-    if (!v || v->empty()) throw SettingsError("settings: " + field + " is missing or not a text");
+    if (!v || v->empty()) throw SettingsError("settings: " + field + " is missing or not a string");
     return *v;
 }
 
@@ -50,7 +50,7 @@
     return Endpoint::parse(required_string(node, field), field);
 }
 
-// A table and its name in the file, for error texts.
+// A table and its name in the file, for error messages.
 struct Section {
     Node node;
     std::string name;
@@ -70,16 +70,17 @@
     }
 };
 
-// Calls `read` with each table of a list, in order; never if it is missing.
+// Calls `read` with each table of a list, in order. A missing list counts as empty.
 template <class F>
 void for_each_table(Node node, const std::string& name, const F& read) {
     if (!node) return;
     auto* list = node.as_array();
     if (!list) throw SettingsError("settings: " + name + " must be a list of tables");
     for (size_t i = 0; i < list->size(); ++i) {
-        auto at = name + "[" + std::to_string(i) + "]";
-        if (!(*list)[i].is_table()) throw SettingsError("settings: " + at + " must be a table");
-        read(Section{Node((*list)[i]), std::move(at)});
+        auto item_name = name + "[" + std::to_string(i) + "]";
+        if (!(*list)[i].is_table())
+            throw SettingsError("settings: " + item_name + " must be a table");
+        read(Section{Node((*list)[i]), std::move(item_name)});
     }
 }
 
@@ -106,7 +107,7 @@
     std::vector<std::string> zones;
     for (auto& z : *list) {
         auto v = z.value<std::string>();
-        if (!v) throw SettingsError("settings: deployment.zones must be a list of texts");
+        if (!v) throw SettingsError("settings: deployment.zones must be a list of strings");
         zones.push_back(*v);
     }
     return zones;
@@ -130,7 +131,7 @@
     return teams;
 }
 
-// What is missing or of another type counts as not given.
+// An optional field that is missing or has the wrong type counts as not set.
 std::vector<Objective> read_objectives(Node node) {
     std::vector<Objective> objectives;
     for_each_table(node, "deployment.objectives", [&](const Section& objective) {
@@ -153,9 +154,9 @@
     s.cancel_s = workers.number("cancel_s", kMinPositive);
 }
 
-// Takes over the figure that is announced for later where it is the tighter one.
+// Lowers a limit to its announced value if that is lower.
 template <class T>
-void tighten(const Section& next, const char* key, double min, T& value) {
+void apply_announced_limit(const Section& next, const char* key, double min, T& value) {
     if (!next.node[key]) return;
     value = std::min(value, static_cast<T>(next.number(key, min)));
 }
@@ -168,10 +169,10 @@
     const Section next{state.node["next"], state.field("next")};
     if (!next.node) return;
     if (!next.node.is_table()) throw SettingsError("settings: " + next.name + " must be a table");
-    tighten(next, "rps", 1, s.state_rps);
-    tighten(next, "write_rps", 1, s.state_write_rps);
-    tighten(next, "value_kb", 1, s.value_kb);
-    tighten(next, "txn_ops", kMinTransactionOps, s.txn_ops);
+    apply_announced_limit(next, "rps", 1, s.state_rps);
+    apply_announced_limit(next, "write_rps", 1, s.state_write_rps);
+    apply_announced_limit(next, "value_kb", 1, s.value_kb);
+    apply_announced_limit(next, "txn_ops", kMinTransactionOps, s.txn_ops);
 }
 
 void read_cloud(const Section& cloud, Settings& s) {
--- a/src/controller/cloud_client.cpp
+++ b/src/controller/cloud_client.cpp
@@ -17,9 +17,9 @@
 constexpr double kMinTroublePause_s = 0.8, kMaxTroublePause_s = 1.6;
 
 // The cloud is overloaded or out of order. That it has no capacity is an answer like any other.
-bool is_trouble(const std::optional<HttpAnswer>& answer) {
+bool is_trouble(const std::optional<HttpResponse>& answer) {
     return !answer || answer->status == 429 ||
-           (answer->status == 503 && !says_no_capacity(answer->body));
+           (answer->status == 503 && !is_no_capacity_error(answer->body));
 }
 
 }  // namespace
@@ -29,8 +29,9 @@
       http_(context.io, context.settings.cloud, kMaxAnswerBytes),
       rate_limiter_(context.settings.cloud_rps * kRateShare, kBurst_s) {}
 
-asio::awaitable<std::optional<HttpAnswer>> CloudClient::call(const char* method, std::string target,
-                                                             std::string body, double timeout_s) {
+asio::awaitable<std::optional<HttpResponse>> CloudClient::call(const char* method,
+                                                               std::string target, std::string body,
+                                                               double timeout_s) {
     while (!context_.stopped) {
         double now = steady_now();
         if (now >= pause_until_ && rate_limiter_.available(now) >= 1) break;
--- a/src/controller/cloud_client.h
+++ b/src/controller/cloud_client.h
@@ -18,8 +18,8 @@
     // Waits for its turn within the rate limit, then sends the request. Nothing: no answer came
     // within `timeout_s` seconds, and whether the request was executed is unknown. The caller keeps
     // the leader alive.
-    boost::asio::awaitable<std::optional<HttpAnswer>> call(const char* method, std::string target,
-                                                           std::string body, double timeout_s);
+    boost::asio::awaitable<std::optional<HttpResponse>> call(const char* method, std::string target,
+                                                             std::string body, double timeout_s);
 
   private:
     LeaderContext& context_;
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -53,7 +53,7 @@
     try {
         return parse_heartbeat(call.body);
     } catch (const BadMessage& e) {
-        context_.metrics.count("malformed_reports_total");
+        context_.metrics.increment("malformed_reports_total");
         if (warning_due())
             spdlog::error("worker: malformed report from {} refused: {}", call.subject, e.what());
     }
@@ -63,7 +63,7 @@
 
 bool HeartbeatHandler::from_later_term(const Heartbeat& heartbeat) {
     if (heartbeat.fencing_token <= context_.term->fencing_token) return false;
-    context_.metrics.count("reports_of_later_tokens_total");
+    context_.metrics.increment("reports_of_later_tokens_total");
     if (warning_due())
         spdlog::info("worker: {} has seen token={}, later than ours", heartbeat.machine,
                      heartbeat.fencing_token);
@@ -77,7 +77,7 @@
     if (std::pair(heartbeat.agent_epoch, heartbeat.seq) >
         std::pair(machine.agent_epoch, machine.seq))
         return false;
-    context_.metrics.count("report_copies_total");
+    context_.metrics.increment("report_copies_total");
     return true;
 }
 
@@ -162,7 +162,7 @@
     for (auto& ref : machine.tasks) {
         auto& job = *context_.cluster.jobs[ref.job];
         auto& task = job.tasks[ref.task];
-        if (task.phase != TaskPhase::Unseen || task.start_seq == 0 ||
+        if (task.phase != TaskPhase::NotReported || task.start_seq == 0 ||
             task.start_seq >= heartbeat.seq)
             continue;
         if (reported.contains({job.spec.id, ref.task}))
@@ -171,7 +171,7 @@
             seen.start_missing = true;
     }
     if (!observe_heartbeat(machine.downlink, seen, context_.settings, context_.now)) return;
-    context_.metrics.count("machines_deaf_total");
+    context_.metrics.increment("machines_deaf_total");
     spdlog::info("machine: {} downlink lost", machine.name);
 }
 
@@ -237,7 +237,8 @@
         if (!proof) continue;
         // One that was not taken is started again, unless the machine's downlink is lost: then it
         // would not receive that either.
-        if (task.phase != TaskPhase::Unseen || task.stopping || machine.downlink.downlink_lost())
+        if (task.phase != TaskPhase::NotReported || task.stopping ||
+            machine.downlink.downlink_lost())
             task_lifecycle_.lose_task(ref.job, ref.task);
     }
 }
@@ -249,7 +250,7 @@
     for (auto& ref : machine.tasks) {
         auto& job = *context_.cluster.jobs[ref.job];
         auto& task = job.tasks[ref.task];
-        if (task.phase == TaskPhase::Unseen && !task.stopping &&
+        if (task.phase == TaskPhase::NotReported && !task.stopping &&
             !context_.cluster.recorded(job, ref.task))
             return true;
     }
@@ -294,7 +295,8 @@
 bool HeartbeatHandler::may_start(const Machine& machine, const TaskRef& ref) const {
     auto& job = *context_.cluster.jobs[ref.job];
     auto& task = job.tasks[ref.task];
-    if (task.phase != TaskPhase::Unseen || !context_.lease_valid() || !job.active()) return false;
+    if (task.phase != TaskPhase::NotReported || !context_.lease_valid() || !job.active())
+        return false;
     if (task.agent_epoch != machine.agent_epoch) return false;
     if (machine.interruption_at >= 0 || machine.terminating) return false;
     if (!context_.cluster.recorded(job, ref.task)) return false;
@@ -357,7 +359,7 @@
 }
 
 void HeartbeatHandler::redirect_held() {
-    for (auto& [machine, held] : held_) held.reply.set({421, redirect_answer("")});
+    for (auto& [machine, held] : held_) held.reply.set({421, redirect_response("")});
     held_.clear();
 }
 
--- a/src/controller/instance_manager.cpp
+++ b/src/controller/instance_manager.cpp
@@ -229,7 +229,7 @@
     auto& zone = context_.cluster.names.zones.name(request.zone);
     spdlog::info("cloud: provisioned {}/{} of {} in {} spot={}", message.names.size(),
                  request.count, type, zone, request.spot);
-    context_.metrics.count("machines_rented_total", message.names.size());
+    context_.metrics.increment("machines_rented_total", message.names.size());
     for (auto& name : message.names) {
         if (is_terminated(name)) continue;
         auto& machine =
@@ -350,7 +350,7 @@
         if (!answer || answer->status != 200) co_return std::nullopt;
         try {
             auto page = parse_machine_page(answer->body);
-            more = page.more && !page.machines.empty();
+            more = page.has_more && !page.machines.empty();
             if (!page.machines.empty()) after = page.machines.back().name;
             std::ranges::move(page.machines, std::back_inserter(all));
         } catch (const BadMessage& e) {
@@ -379,20 +379,20 @@
     // Unique for ever: no other leader has this fencing token, and no other request of this leader
     // this number.
     auto id = fmt::format("w{}-{}", context_.term->fencing_token, ++provision_count_);
-    auto body =
-        rental_json(id, context_.cluster.names.types.name(request.type),
-                    context_.cluster.names.zones.name(request.zone), request.spot, request.count);
+    auto body = provision_request_json(id, context_.cluster.names.types.name(request.type),
+                                       context_.cluster.names.zones.name(request.zone),
+                                       request.spot, request.count);
     std::vector<std::string> none;
     while (!context_.stopped) {
         auto answer = co_await cloud_.call("POST", paths::kMachines, body, kChangeTimeout_s);
         if (context_.stopped) break;
         if (answer && answer->status == 200) {
             try {
-                co_return parse_rented(answer->body);
+                co_return parse_provisioned_machines(answer->body);
             } catch (const BadMessage& e) {
                 spdlog::error("cloud: malformed response to a scale-out request: {}", e.what());
             }
-        } else if (answer && answer->status == 503 && says_no_capacity(answer->body)) {
+        } else if (answer && answer->status == 503 && is_no_capacity_error(answer->body)) {
             co_return none;
         } else if (answer && answer->status == 400) {
             spdlog::error("cloud: scale-out request refused as malformed: {}", body);
@@ -406,8 +406,9 @@
 asio::awaitable<void> InstanceManager::terminate(std::shared_ptr<void> keep_alive,
                                                  std::vector<std::string> names) {
     (void)keep_alive;
-    auto body = return_json(names);
-    auto answer = co_await cloud_.call("POST", paths::kReturn, std::move(body), kChangeTimeout_s);
+    auto body = termination_request_json(names);
+    auto answer =
+        co_await cloud_.call("POST", paths::kTerminateMachines, std::move(body), kChangeTimeout_s);
     // Without an answer they may be gone or not: they stay out of use and are terminated again.
     context_.post(MachinesTerminated{std::move(names), answer && answer->status == 200});
 }
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -87,7 +87,7 @@
     // A worker waits for as long as its own patience: with a burst of heartbeats on a small share
     // of a core, some are answered late.
     double wait_s =
-        is_heartbeat ? std::max(kAnswer_s, context_.settings.worker_patience_s) : kAnswer_s;
+        is_heartbeat ? std::max(kAnswer_s, context_.settings.worker_response_timeout_s) : kAnswer_s;
     auto answer = co_await reply.wait(wait_s);
     if (answer) co_return *answer;
     co_return is_heartbeat ? PeerReply{503, "{}"} : retry_later(context_);
--- a/src/controller/leader_replies.cpp
+++ b/src/controller/leader_replies.cpp
@@ -8,7 +8,7 @@
 
 PeerReply undecided(const LeaderContext& context) {
     auto reply = retry_later(context);
-    reply.undecided = true;
+    reply.leadership_unconfirmed = true;
     return reply;
 }
 
--- a/src/controller/pending_adoption.cpp
+++ b/src/controller/pending_adoption.cpp
@@ -39,7 +39,7 @@
             co_await context_.kv.list(kPendingPrefix, after, kRecordsPerPage, kListTimeout_s);
         if (context_.stopped || !page) co_return std::nullopt;
         if (after.empty()) revision_ = page.value.revision;
-        more = page.value.more && !page.value.items.empty();
+        more = page.value.has_more && !page.value.items.empty();
         if (more) after = page.value.items.back().key;
         for (auto& item : page.value.items) read.events.push_back({std::move(item), false});
     }
@@ -150,8 +150,8 @@
 std::optional<JobSpec> PendingAdoption::parse_job(const std::string& id, const Entry& entry) const {
     try {
         JobSpec spec = parse_submission(entry.record.job, context_.cluster.names);
-        if (spec.team == kNone) read::bad("job.team");
-        if (spec.id != id) read::bad("job.name_id");
+        if (spec.team == kNone) read::throw_invalid("job.team");
+        if (spec.id != id) read::throw_invalid("job.name_id");
         return spec;
     } catch (const BadMessage& e) {
         spdlog::error("leader: malformed record {}: {}", pending_key(id), e.what());
@@ -167,7 +167,7 @@
     context_.state_log.allow_multi_part_records();
     context_.state_log.new_job(index, entry.version);
     entry.step = Step::Recording;
-    context_.metrics.count("door_jobs_collected_total");
+    context_.metrics.increment("door_jobs_collected_total");
 }
 
 void PendingAdoption::resume(const DependenciesRead& read) {
--- a/src/controller/request_router_forwarding.cpp
+++ b/src/controller/request_router_forwarding.cpp
@@ -59,10 +59,10 @@
     auto* link = leader_client();
     if (!link || leader_knowledge_->is_silent()) {
         if (auto way = relay_for(call)) {
-            metrics_.count("second_hops_total");
+            metrics_.increment("second_hops_total");
             call.relay = true;
             auto reply = co_await call_peer(*way, std::move(call));
-            if (!reply.undecided) leader_knowledge_->excuse_silence();
+            if (!reply.leadership_unconfirmed) leader_knowledge_->excuse_silence();
             co_return reply;
         }
         // It is asked again each second: until it answers, nobody waits for it.
@@ -119,7 +119,7 @@
     PeerCall again = call;
     if (auto leader = leader_) {
         auto reply = co_await leader->ask(std::move(call));
-        if (!reply.undecided) co_return reply;
+        if (!reply.leadership_unconfirmed) co_return reply;
         co_return co_await standby_->serve(std::move(again));
     }
     if (!leader_client() || leader_knowledge_->is_silent())
@@ -132,7 +132,7 @@
     asio::co_spawn(io_, forward(std::move(call), forwarded), asio::detached);
     auto reply = co_await await_leader_reply(forwarded, started,
                                              submits ? kMaxSubmitWait_s : kMaxLeaderWait_s);
-    if (reply && !reply->undecided) co_return *reply;
+    if (reply && !reply->leadership_unconfirmed) co_return *reply;
     auto own = co_await standby_->serve(std::move(again));
     if (reply || own.status != 503) co_return own;
     auto late = co_await forwarded.wait(std::max(0.01, started + kForward_s - steady_now()));
--- a/src/controller/request_router_heartbeats.cpp
+++ b/src/controller/request_router_heartbeats.cpp
@@ -20,7 +20,7 @@
 // For a heartbeat, a call's subject is the address that it came from.
 asio::awaitable<HttpReply> RequestRouter::handle_heartbeat(HttpRequest r) {
     if (auto leader = leader_) {
-        PeerCall call{PeerOp::Heartbeat, std::move(r.from), std::move(r.body)};
+        PeerCall call{PeerOp::Heartbeat, std::move(r.client_address), std::move(r.body)};
         auto reply = co_await leader->ask(std::move(call));
         co_return HttpReply{reply.status, std::move(reply.body)};
     }
@@ -28,25 +28,25 @@
     try {
         head = parse_heartbeat_header(r.body);
     } catch (const BadMessage& e) {
-        spdlog::error("worker: malformed report from {} refused: {}", r.from, e.what());
+        spdlog::error("worker: malformed report from {} refused: {}", r.client_address, e.what());
         co_return HttpReply{400, "{}"};
     }
     double now = steady_now();
     bool relay = roster_.should_relay(head.machine, head.fencing_token,
                                       leader_knowledge_->fencing_token(), now);
-    if (!leader_client()) co_return HttpReply{421, redirect_answer("")};
+    if (!leader_client()) co_return HttpReply{421, redirect_response("")};
     relay = relay || leader_uplink_lost();
     if (relay) {
-        PeerCall call{PeerOp::Heartbeat, std::move(r.from), std::move(r.body)};
+        PeerCall call{PeerOp::Heartbeat, std::move(r.client_address), std::move(r.body)};
         auto reply = co_await call_leader(std::move(call));
         // The worker would drop the answer of an older leader than it knows, and its lease would
         // run out here.
         if (reply.status == 200 && reply.fencing_token >= head.fencing_token)
             co_return HttpReply{200, std::move(reply.body)};
         roster_.end_relay(head.machine);
-        co_return HttpReply{421, redirect_answer("")};
+        co_return HttpReply{421, redirect_response("")};
     }
-    co_return HttpReply{421, redirect_answer(leader_knowledge_->name())};
+    co_return HttpReply{421, redirect_response(leader_knowledge_->name())};
 }
 
 }  // namespace weirmill
--- a/src/controller/request_router_http.cpp
+++ b/src/controller/request_router_http.cpp
@@ -65,7 +65,7 @@
     if (leader_ && leader_->ready()) leader_->gauges(gauges);
     if (membership_->enabled()) membership_->gauges(gauges);
     gauges["workers_relayed"] = static_cast<double>(roster_.relayed(steady_now()));
-    HttpReply reply{200, metrics_.text(gauges)};
+    HttpReply reply{200, metrics_.to_prometheus_text(gauges)};
     reply.content_type = "text/plain; version=0.0.4";
     return reply;
 }
@@ -74,7 +74,7 @@
     double started = steady_now();
     auto routed = co_await route(std::move(r));
     double took = steady_now() - started;
-    metrics_.request(routed.kind, routed.reply.status, took);
+    metrics_.record_request(routed.kind, routed.reply.status, took);
     if (routed.reply.status >= 429 || took > kSlowRequest_s)
         spdlog::debug("http: {} {} after {:.3f}s", routed.kind, routed.reply.status, took);
     co_return std::move(routed.reply);
@@ -83,12 +83,12 @@
 asio::awaitable<RequestRouter::RoutedReply> RequestRouter::route(HttpRequest r) {
     std::string path = r.target.substr(0, r.target.find('?'));
     RoutedReply routed{"other", empty_reply(404)};
-    if (path == paths::kReport) {
+    if (path == paths::kHeartbeats) {
         routed.reply = empty_reply(405);
         if (r.method != "POST") co_return routed;
         routed.kind = "report";
         routed.reply = co_await handle_heartbeat(std::move(r));
-        routed.reply.from_machine = true;
+        routed.reply.from_worker = true;
     } else if (path == paths::kMetrics) {
         routed.reply = metrics_page();
     } else if (path == paths::kHealth) {
--- a/src/controller/request_router_peers.cpp
+++ b/src/controller/request_router_peers.cpp
@@ -43,7 +43,7 @@
 // Stop commands for a worker that the leader can't reach. Like any that it sends itself they name
 // the fencing token, agent epoch and attempt, so a late or second copy does no harm.
 asio::awaitable<PeerReply> RequestRouter::pass_command(PeerCall call) {
-    metrics_.count("stops_passed_on_total");
+    metrics_.increment("stops_passed_on_total");
     std::string body = call.body;
     if (co_await send_commands(&io_, call.subject, std::move(body), kWorkerCommand_s))
         co_return PeerReply{200, "{}"};
@@ -85,7 +85,7 @@
 
 asio::awaitable<void> RequestRouter::ping_loop() {
     for (;;) {
-        co_await sleep_s(settings_.ping_s);
+        co_await sleep_s(settings_.ping_interval_s);
         if (term_ && leader_knowledge_->reported_fencing_token() > term_->fencing_token) {
             // The state service refuses this node alone, and another leads by now. Without this,
             // the node would go on as a leader without a valid lease, and refuse its users for as
--- a/src/controller/scheduling_loop.cpp
+++ b/src/controller/scheduling_loop.cpp
@@ -54,8 +54,8 @@
     auto round = plan_preemption(context_.cluster, usable_now(context_), context_.now);
     if (round.clearings.empty()) return;
     ++rounds_;
-    context_.metrics.count("preemption_rounds_total");
-    context_.metrics.count("preemption_stops_total", round.stops.size());
+    context_.metrics.increment("preemption_rounds_total");
+    context_.metrics.increment("preemption_stops_total", round.stops.size());
     context_.state_log.note(kRoundKey, round_record(round, context_.cluster, rounds_));
     reserve_cleared(round);
     for (auto& ref : round.stops) {
--- a/src/controller/state_loader.cpp
+++ b/src/controller/state_loader.cpp
@@ -46,7 +46,7 @@
                 spdlog::info("leader: loading waits for the state service");
             co_return false;
         }
-        more = page.value.more && !page.value.items.empty();
+        more = page.value.has_more && !page.value.items.empty();
         for (auto& item : page.value.items) {
             after = item.key;
             try {
--- a/src/controller/state_log_writer.cpp
+++ b/src/controller/state_log_writer.cpp
@@ -198,7 +198,7 @@
     // What one transaction could not take of a burst of submissions goes with the next at once.
     bool burst = context_.state_log.submissions() >= static_cast<size_t>(context_.settings.txn_ops);
     not_before_ = context_.now + (burst ? 0 : kFlushPause_s);
-    context_.metrics.count("transactions_total");
+    context_.metrics.increment("transactions_total");
     context_.state_log.committed(transaction.batch, transaction.result.value);
     for (auto& entry : transaction.batch.entries) {
         switch (entry.kind) {
--- a/src/controller/stop_sender.cpp
+++ b/src/controller/stop_sender.cpp
@@ -45,7 +45,7 @@
         }
         start_sending(
             {machine->addr, machine->relayed_by, false},
-            direct_commands(context_.term->fencing_token, machine->agent_epoch, it->second),
+            command_request(context_.term->fencing_token, machine->agent_epoch, it->second),
             flush_sockets_);
         it = queued_.erase(it);
     }
@@ -73,9 +73,9 @@
         if (commands.empty()) continue;
         next_repeat_[index] = context_.now + context_.settings.heartbeat_interval_s;
         ++repeated_in_interval_;
-        context_.metrics.count("stops_repeated_total");
+        context_.metrics.increment("stops_repeated_total");
         start_sending({machine->addr, machine->relayed_by, true},
-                      direct_commands(context_.term->fencing_token, agent_epoch, commands),
+                      command_request(context_.term->fencing_token, agent_epoch, commands),
                       repeat_sockets_);
     }
 }
--- a/src/controller/task_lifecycle.cpp
+++ b/src/controller/task_lifecycle.cpp
@@ -55,10 +55,11 @@
                      m.name, static_cast<int>(status.cause));
     context_.cluster.unassign(j, t, context_.now);
     if (status.cause == ExitCause::Error) task_failed(j, machine);
-    bool not_taken = status.cause == ExitCause::NoRoom || status.cause == ExitCause::Busy ||
+    bool not_taken = status.cause == ExitCause::NoCapacity || status.cause == ExitCause::Busy ||
                      status.cause == ExitCause::Unknown;
     if (not_taken) job.not_before = std::max(job.not_before, context_.now + kNotTakenPause_s);
-    if (job.spec.kind == JobKind::Gang) end_gang(j, was_graceful, status.cause == ExitCause::Alone);
+    if (job.spec.kind == JobKind::Gang)
+        end_gang(j, was_graceful, status.cause == ExitCause::GangWaitTimeout);
 }
 
 // A machine that fails different jobs is faulty; a job that fails on different machines is faulty
@@ -92,7 +93,7 @@
 void TaskLifecycle::quarantine(Machine& m, const Job& job) {
     if (m.quarantined_until > context_.now) return;
     spdlog::info("machine: {} quarantined after failing {}", m.name, job.spec.id);
-    context_.metrics.count("machines_quarantined_total");
+    context_.metrics.increment("machines_quarantined_total");
     m.quarantined_until = context_.now + context_.properties.quarantine_s;
 }
 
@@ -101,7 +102,7 @@
     auto& job = *context_.cluster.jobs[j];
     spdlog::info("task: {}/{} attempt={} gone from {}", job.spec.id, t, job.tasks[t].attempt,
                  context_.cluster.machines[job.tasks[t].machine]->name);
-    context_.metrics.count("tasks_lost_total");
+    context_.metrics.increment("tasks_lost_total");
     bool graceful = job.tasks[t].graceful;
     context_.cluster.unassign(j, t, context_.now);
     context_.scheduling_needed = true;
--- a/src/controller/user_requests.cpp
+++ b/src/controller/user_requests.cpp
@@ -31,13 +31,13 @@
 PeerReply job_reply(const Job& job, PeerOp op, int status) {
     auto state = job_state(job);
     if (op == PeerOp::Status)
-        return {status, job_status(job.spec.id, state, job.done, job.running)};
-    return {status, job_answer(job.spec.id, state)};
+        return {status, job_status_json(job.spec.id, state, job.done, job.running)};
+    return {status, job_state_json(job.spec.id, state)};
 }
 
 PeerReply final_reply(const std::string& id, const FinalState& ended, PeerOp op) {
-    if (op == PeerOp::Status) return {200, job_status(id, ended.state, ended.done, 0)};
-    return {200, job_answer(id, ended.state)};
+    if (op == PeerOp::Status) return {200, job_status_json(id, ended.state, ended.done, 0)};
+    return {200, job_state_json(id, ended.state)};
 }
 
 }  // namespace
@@ -76,7 +76,7 @@
         out.malformed =
             PeerReply{400, boost::json::serialize(boost::json::object{{"error", e.what()}})};
         // What was accepted under that id is not refused for good, whatever its repetition holds.
-        out.spec.id = submission_id(call.body);
+        out.spec.id = parse_submission_id(call.body);
     }
     return out;
 }
--- a/src/liveness/downlink.cpp
+++ b/src/liveness/downlink.cpp
@@ -20,8 +20,8 @@
 bool stays_here(const DownlinkState& state, const DownlinkObservation& heartbeat, const Settings& s,
                 double now) {
     if (s.peers.empty() || !heartbeat.direct || state.direct_at <= 0) return false;
-    double around_s =
-        static_cast<double>(s.peers.size() + 1) * (s.worker_patience_s + s.worker_next_s);
+    double around_s = static_cast<double>(s.peers.size() + 1) *
+                      (s.worker_response_timeout_s + s.worker_failover_delay_s);
     return now - state.direct_at < around_s - kLateMargin_s;
 }
 
@@ -29,7 +29,7 @@
 // lease would hold until `valid_until` at least: the answered heartbeat was sent no earlier than
 // its patience before.
 DownlinkEvidence new_epoch_evidence(const DownlinkState& state, const Settings& s, double now) {
-    double sent_at = state.answered_at - s.worker_patience_s;
+    double sent_at = state.answered_at - s.worker_response_timeout_s;
     double valid_until = sent_at + s.lease_s * (1 - kLeaseMargin) - kLateMargin_s;
     return now < valid_until ? DownlinkEvidence::Lost : DownlinkEvidence::Nothing;
 }
@@ -38,7 +38,7 @@
 bool epoch_outlived_lease(const DownlinkState& state, const DownlinkObservation& heartbeat,
                           const Settings& s, double now) {
     if (heartbeat.order.agent_epoch != state.agent_epoch || state.epoch_since <= 0) return false;
-    double longest_s = s.lease_s * (1 + kLeaseMargin) + s.worker_patience_s + kLateMargin_s;
+    double longest_s = s.lease_s * (1 + kLeaseMargin) + s.worker_response_timeout_s + kLateMargin_s;
     return now - state.epoch_since > longest_s;
 }
 
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,5 @@
-// The controller's command line. Exit codes: 1 for settings or addresses that can't be used, 2 for
-// the environment, CLI11's for the arguments.
+// The controller's command line. Exit codes: 1 for invalid settings or addresses, 2 for invalid
+// environment variables, and those of CLI11 for invalid arguments.
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
@@ -24,7 +24,8 @@
     return std::nullopt;
 }
 
-// All logs go to standard error, at the level that LOG_LEVEL names. False: it names none.
+// Sends all logs to standard error, at the level that the environment variable LOG_LEVEL names.
+// Returns false if it names no level.
 bool set_up_logging() {
     auto logger = std::make_shared<spdlog::logger>(
         "weirmill", std::make_shared<spdlog::sinks::stderr_sink_st>());
@@ -58,7 +59,7 @@
         ->required()
         ->type_name("FILE");
     app.add_option("--properties", properties_file,
-                   "the operators' own settings (Java-style properties)")
+                   "the operators' settings (Java-style properties)")
         ->type_name("FILE");
     app.add_flag("--check-config", check, "check the settings and exit");
     CLI11_PARSE(app, argc, argv);
@@ -67,12 +68,13 @@
         auto settings = weirmill::load_settings(config);
         auto properties = properties_file.empty() ? weirmill::Properties{}
                                                   : weirmill::load_properties(properties_file);
-        for (const auto* e : {&settings.api, &settings.peer, &settings.cloud, &settings.state})
-            weirmill::resolve(*e);
+        for (const auto* endpoint :
+             {&settings.api, &settings.peer, &settings.cloud, &settings.state})
+            weirmill::to_tcp_endpoint(*endpoint);
         if (const auto warning = weirmill::grace_warning(settings); !warning.empty())
             spdlog::warn(warning);
         if (check) {
-            std::cout << "settings are sound\n";
+            std::cout << "settings are valid\n";
             return 0;
         }
         serve(settings, properties);
--- a/src/membership/link_records.cpp
+++ b/src/membership/link_records.cpp
@@ -32,9 +32,9 @@
     links.known_workers = count("known");
     auto* peers = read::field(o, "hears");
     if (!peers) return links;
-    if (!peers->is_array()) read::bad("hears");
+    if (!peers->is_array()) read::throw_invalid("hears");
     for (auto& name : peers->get_array()) {
-        if (!name.is_string()) read::bad("hears");
+        if (!name.is_string()) read::throw_invalid("hears");
         links.reachable_peers.emplace_back(name.get_string());
     }
     return links;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -152,7 +152,7 @@
         if (renewed && !differs(links, published_)) co_return;
     }
     if (record_lease_ == 0) {
-        double lease_s = std::max(kMinRecordLease_s, kRecordLeasePings * settings_.ping_s);
+        double lease_s = std::max(kMinRecordLease_s, kRecordLeasePings * settings_.ping_interval_s);
         auto granted = co_await kv_.grant(lease_s, kRead_s);
         if (!granted) co_return;
         record_lease_ = granted.value;
@@ -169,14 +169,15 @@
 asio::awaitable<void> Membership::membership_loop() {
     double next_publish = 0;
     for (;;) {
-        co_await sleep_s(settings_.ping_s / kTicksPerPing);
+        co_await sleep_s(settings_.ping_interval_s / kTicksPerPing);
         double now = steady_now();
         // Also a probe: whether the state service answers this controller.
-        if (now - kv_.answered_at() > settings_.ping_s) co_await read_transfer_record(kRead_s);
+        if (now - kv_.answered_at() > settings_.ping_interval_s)
+            co_await read_transfer_record(kRead_s);
         now = steady_now();
         bool peer_missing = reachable_peers(now).size() < settings_.peers.size();
         if (peer_missing && now >= next_publish && reaches_kv(now)) {
-            next_publish = now + settings_.ping_s;
+            next_publish = now + settings_.ping_interval_s;
             co_await read_link_records();
             auto links = own_links(steady_now());
             // One that no worker needs has nothing to report that its silence does not say.
@@ -220,7 +221,7 @@
         "links: hands over to {}: workers direct={} reach={} of {}, there direct={} reach={}",
         candidate_, own.direct_workers, own.reachable_workers, own.known_workers,
         theirs->direct_workers, theirs->reachable_workers);
-    metrics_.count("hand_overs_total");
+    metrics_.increment("hand_overs_total");
     hooks_.transfer_leadership(
         next_transfer(last_transfer_, times_.transfer_pause_s, settings_.name, candidate_, wall));
     candidate_.clear();
--- a/src/membership/worker_roster.cpp
+++ b/src/membership/worker_roster.cpp
@@ -18,14 +18,15 @@
 
 bool WorkerRoster::redirected_lately(const Worker& w, uint64_t leader, double now) const {
     return w.redirected_to == leader &&
-           now - w.redirected_at < kRecentPatiences * settings_.worker_patience_s;
+           now - w.redirected_at < kRecentPatiences * settings_.worker_response_timeout_s;
 }
 
 // A worker that comes back after its own patience has found the leader silent. Sooner, it was
 // turned away, as by a leader that is not ready yet, and is redirected there a few times more.
 bool WorkerRoster::came_back(const Worker& w, uint64_t leader, double now) const {
     if (!redirected_lately(w, leader, now)) return false;
-    return now - w.redirected_at >= settings_.worker_patience_s || w.redirects >= kMaxRedirects;
+    return now - w.redirected_at >= settings_.worker_response_timeout_s ||
+           w.redirects >= kMaxRedirects;
 }
 
 // From time to time the worker is redirected to the leader again, more rarely each time that it
--- a/src/metrics/gauge.h
+++ b/src/metrics/gauge.h
@@ -1,4 +1,4 @@
-// A value of the moment for the metrics page.
+// A gauge of the metrics page: a value that can go up and down.
 #pragma once
 #include <string>
 
--- a/src/metrics/metrics.h
+++ b/src/metrics/metrics.h
@@ -1,5 +1,5 @@
-// Counters and latency histograms of one node, exported in the Prometheus text format. Not
-// thread-safe: owned by the node's io_context thread.
+// Counters and latency histograms of one controller, exported in the Prometheus text format. Not
+// thread-safe: used on the controller's io_context thread only.
 #pragma once
 #include <array>
 #include <boost/histogram.hpp>
@@ -11,24 +11,25 @@
 
 class Metrics {
   public:
-    // A request of this kind was answered with the HTTP status after so many seconds.
-    void request(const std::string& kind, int status, double seconds);
+    // Records a request of this kind that was answered with the HTTP status `status`.
+    void record_request(const std::string& kind, int status, double latency_s);
     // Adds to the counter weirmill_<name>.
-    void count(const std::string& name, uint64_t n = 1) { counts_[name] += n; }
-    // All metrics as text. `gauges`: values of the moment, by name with labels, exported along.
-    std::string text(const std::map<std::string, double>& gauges) const;
+    void increment(const std::string& name, uint64_t n = 1) { counters_[name] += n; }
+    // Returns all metrics in the Prometheus text format, `gauges` included. The key of a gauge is
+    // its name with labels.
+    std::string to_prometheus_text(const std::map<std::string, double>& gauges) const;
 
   private:
     using Axis = boost::histogram::axis::variable<>;
     using Histogram = decltype(boost::histogram::make_histogram(std::declval<Axis>()));
-    struct Kind {
-        Kind();
-        Histogram seconds;
-        double sum = 0;
-        std::map<int, uint64_t> by_status;
+    struct RequestStats {
+        RequestStats();
+        Histogram latency_s;
+        double latency_sum_s = 0;
+        std::map<int, uint64_t> count_by_status;
     };
-    std::map<std::string, Kind> requests_;
-    std::map<std::string, uint64_t> counts_;
+    std::map<std::string, RequestStats> requests_;  // by kind
+    std::map<std::string, uint64_t> counters_;
 };
 
 }  // namespace weirmill
--- a/src/protocol/cloud_codec.cpp
+++ b/src/protocol/cloud_codec.cpp
@@ -9,20 +9,20 @@
 
 namespace {
 
-constexpr size_t kMaxName = 200;  // bytes
-constexpr const char* kNoCapacity = "no capacity";
+constexpr size_t kMaxNameBytes = 200;
+constexpr const char* kNoCapacityError = "no capacity";
 
-constexpr wire::Name<MachineStatus> kStatuses[] = {{"booting", MachineStatus::Booting},
-                                                   {"running", MachineStatus::Running},
-                                                   {"failed", MachineStatus::Failed}};
+constexpr wire::EnumName<MachineStatus> kStatuses[] = {{"booting", MachineStatus::Booting},
+                                                       {"running", MachineStatus::Running},
+                                                       {"failed", MachineStatus::Failed}};
 
-double amount(int64_t milli) { return static_cast<double>(milli) / 1000; }
+double from_milli(int64_t milli) { return static_cast<double>(milli) / 1000; }
 
 std::vector<std::string> text_list(const json::object& o, const char* name) {
     std::vector<std::string> out;
     for (auto& v : read::array(o, name)) {
-        if (!v.is_string() || v.get_string().empty() || v.get_string().size() > kMaxName)
-            read::bad(name);
+        if (!v.is_string() || v.get_string().empty() || v.get_string().size() > kMaxNameBytes)
+            read::throw_invalid(name);
         out.emplace_back(v.get_string());
     }
     return out;
@@ -37,9 +37,9 @@
         auto& o = read::object(item);
         MachineType t;
         t.name = read::text(o, wire::kTypeName);
-        t.size.cpu = milli_down(read::number(o, wire::kCpus));
-        t.size.gpu = milli_down(read::number(o, wire::kGpus, 0.0));
-        t.size.mem = milli_down(read::number(o, wire::kMemory_gb));
+        t.size.cpu = to_milli_floor(read::number(o, wire::kCpus));
+        t.size.gpu = to_milli_floor(read::number(o, wire::kGpus, 0.0));
+        t.size.mem = to_milli_floor(read::number(o, wire::kMemory_gb));
         t.cache_gb = read::number(o, wire::kImageCache_gb, 0.0);
         t.fetch_gb_per_s = read::number(o, wire::kFetchRate);
         t.price = read::number(o, wire::kPrice);
@@ -58,9 +58,9 @@
         json::array zones;
         for (auto& z : t.zones) zones.emplace_back(z);
         list.push_back(json::object{{wire::kTypeName, t.name},
-                                    {wire::kCpus, amount(t.size.cpu)},
-                                    {wire::kGpus, amount(t.size.gpu)},
-                                    {wire::kMemory_gb, amount(t.size.mem)},
+                                    {wire::kCpus, from_milli(t.size.cpu)},
+                                    {wire::kGpus, from_milli(t.size.gpu)},
+                                    {wire::kMemory_gb, from_milli(t.size.mem)},
                                     {wire::kImageCache_gb, t.cache_gb},
                                     {wire::kFetchRate, t.fetch_gb_per_s},
                                     {wire::kPrice, t.price},
@@ -87,34 +87,34 @@
         m.age_s = read::number(o, wire::kAge_s, 0.0);
         page.machines.push_back(std::move(m));
     }
-    page.more = read::flag(root, wire::kMorePages, false);
+    page.has_more = read::flag(root, wire::kMorePages, false);
     return page;
 }
 
-bool says_no_capacity(std::string_view body) {
+bool is_no_capacity_error(std::string_view body) {
     try {
         auto v = read::parse(body);
-        return read::text(read::object(v), wire::kError) == kNoCapacity;
+        return read::text(read::object(v), wire::kError) == kNoCapacityError;
     } catch (const BadMessage&) {
         return false;
     }
 }
 
-std::vector<std::string> parse_rented(std::string_view body) {
+std::vector<std::string> parse_provisioned_machines(std::string_view body) {
     auto v = read::parse(body);
     return text_list(read::object(v), wire::kMachines);
 }
 
-std::string rental_json(const std::string& request, const std::string& type,
-                        const std::string& zone, bool spot, int count) {
-    return json::serialize(json::object{{wire::kProvisionRequest, request},
+std::string provision_request_json(const std::string& request_id, const std::string& type,
+                                   const std::string& zone, bool spot, int count) {
+    return json::serialize(json::object{{wire::kProvisionRequest, request_id},
                                         {wire::kMachineType, type},
                                         {wire::kZone, zone},
                                         {wire::kSpot, spot},
                                         {wire::kCount, count}});
 }
 
-std::string return_json(const std::vector<std::string>& machines) {
+std::string termination_request_json(const std::vector<std::string>& machines) {
     json::array list;
     for (auto& m : machines) list.emplace_back(m);
     return json::serialize(json::object{{wire::kMachines, std::move(list)}});
--- a/src/protocol/json_read.h
+++ b/src/protocol/json_read.h
@@ -1,4 +1,4 @@
-// Checked access to JSON values. A missing field and a null one are the same.
+// Checked access to JSON values. A null field counts as missing.
 #pragma once
 #include <boost/json.hpp>
 #include <cmath>
@@ -8,6 +8,7 @@
 
 namespace weirmill {
 
+// A message that is not valid JSON or has a missing or invalid field.
 struct BadMessage : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -30,51 +31,57 @@
     throw BadMessage("not an object");
 }
 
+// Returns null if the field is missing.
 inline const json::value* field(const json::object& o, const char* name) {
     auto* v = o.if_contains(name);
     return v && !v->is_null() ? v : nullptr;
 }
 
-[[noreturn]] inline void bad(const char* name) {
+// Throws BadMessage that names the missing or invalid field.
+[[noreturn]] inline void throw_invalid(const char* name) {
     throw BadMessage(std::string(name) + " is missing or invalid");
 }
 
-inline std::string text(const json::object& o, const char* name, size_t longest = 200) {
+// Reads a string that is not empty.
+inline std::string text(const json::object& o, const char* name, size_t max_bytes = 200) {
     auto* v = field(o, name);
-    if (!v || !v->is_string() || v->get_string().empty() || v->get_string().size() > longest)
-        bad(name);
+    if (!v || !v->is_string() || v->get_string().empty() || v->get_string().size() > max_bytes)
+        throw_invalid(name);
     return std::string(v->get_string());
 }
 
-inline bool flag(const json::object& o, const char* name, std::optional<bool> missing = {}) {
+// `default_value` is returned for a missing field; without one, a missing field is an error.
+inline bool flag(const json::object& o, const char* name, std::optional<bool> default_value = {}) {
     auto* v = field(o, name);
-    if (!v && missing) return *missing;
-    if (!v || !v->is_bool()) bad(name);
+    if (!v && default_value) return *default_value;
+    if (!v || !v->is_bool()) throw_invalid(name);
     return v->get_bool();
 }
 
-inline double number(const json::object& o, const char* name, std::optional<double> missing = {},
-                     double most = 1e9) {
+// Reads a finite number from 0 to `max`.
+inline double number(const json::object& o, const char* name,
+                     std::optional<double> default_value = {}, double max = 1e9) {
     auto* v = field(o, name);
-    if (!v && missing) return *missing;
-    if (!v || !v->is_number()) bad(name);
+    if (!v && default_value) return *default_value;
+    if (!v || !v->is_number()) throw_invalid(name);
     double d = v->to_number<double>();
-    if (!std::isfinite(d) || d < 0 || d > most) bad(name);
+    if (!std::isfinite(d) || d < 0 || d > max) throw_invalid(name);
     return d;
 }
 
+// Reads a non-negative integer.
 inline uint64_t count(const json::object& o, const char* name,
-                      std::optional<uint64_t> missing = {}) {
+                      std::optional<uint64_t> default_value = {}) {
     auto* v = field(o, name);
-    if (!v && missing) return *missing;
+    if (!v && default_value) return *default_value;
     if (v && v->is_uint64()) return v->get_uint64();
     if (v && v->is_int64() && v->get_int64() >= 0) return static_cast<uint64_t>(v->get_int64());
-    bad(name);
+    throw_invalid(name);
 }
 
 inline const json::array& array(const json::object& o, const char* name) {
     auto* v = field(o, name);
-    if (!v || !v->is_array()) bad(name);
+    if (!v || !v->is_array()) throw_invalid(name);
     return v->get_array();
 }
 
--- a/src/protocol/json_write.h
+++ b/src/protocol/json_write.h
@@ -1,4 +1,5 @@
-// JSON as text, appended piece by piece: for lines that are written by the million.
+// Appends JSON values to a string without building a document. Trace files have millions of lines,
+// for which building a document is too slow.
 #pragma once
 #include <charconv>
 #include <concepts>
@@ -8,16 +9,16 @@
 
 namespace weirmill::write {
 
-// `s` is UTF-8.
+// Appends `s`, which is UTF-8, as a JSON string.
 inline void text(std::string& out, std::string_view s) {
     out += '"';
-    size_t from = 0;
+    size_t unwritten_from = 0;
     for (size_t i = 0; i < s.size(); ++i) {
         auto c = static_cast<unsigned char>(s[i]);
         if (c != '"' && c != '\\' && c >= 0x20) [[likely]]
             continue;
-        out.append(s, from, i - from);
-        from = i + 1;
+        out.append(s, unwritten_from, i - unwritten_from);
+        unwritten_from = i + 1;
         if (c >= 0x20) {
             out += '\\';
             out += s[i];
@@ -28,7 +29,7 @@
             out += kHex[c & 15];
         }
     }
-    out.append(s, from);
+    out.append(s, unwritten_from);
     out += '"';
 }
 
@@ -38,13 +39,13 @@
     out.append(buffer, std::to_chars(buffer, buffer + sizeof buffer, v).ptr);
 }
 
-// The shortest form that reads back as the same number; `v` is finite. Most are whole, which is
-// quicker to write.
+// Appends the shortest text that parses back to the same number; `v` must be finite. Most numbers
+// are integers, which are formatted faster.
 inline void number(std::string& out, double v) {
-    // The range first: beyond it the cast is undefined.
+    // The range check comes first because the cast is undefined for larger values.
     if (v > -1e15 && v < 1e15)
-        if (auto whole = static_cast<int64_t>(v); static_cast<double>(whole) == v)
-            return number(out, whole);
+        if (auto integer = static_cast<int64_t>(v); static_cast<double>(integer) == v)
+            return number(out, integer);
     char buffer[40];
     out.append(buffer, std::to_chars(buffer, buffer + sizeof buffer, v).ptr);
 }
--- a/src/protocol/kv_codec.cpp
+++ b/src/protocol/kv_codec.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-KvItem item_of(const json::value& v) {
+KvItem read_item(const json::value& v) {
     auto& o = read::object(v);
     KvItem item;
     item.key = read::text(o, "path");
     auto* value = o.if_contains("value");
-    if (!value) read::bad("value");
+    if (!value) read::throw_invalid("value");
     item.value = *value;
     item.version = read::count(o, "stamp");
     item.lease = read::count(o, "permit", 0);
@@ -20,14 +20,14 @@
 
 }  // namespace
 
-KvItem parse_kv_item(std::string_view body) { return item_of(read::parse(body)); }
+KvItem parse_kv_item(std::string_view body) { return read_item(read::parse(body)); }
 
 KvPage parse_kv_page(std::string_view body) {
     auto v = read::parse(body);
     auto& o = read::object(v);
     KvPage page;
-    for (auto& item : read::array(o, "pairs")) page.items.push_back(item_of(item));
-    page.more = read::flag(o, "has_next", false);
+    for (auto& item : read::array(o, "pairs")) page.items.push_back(read_item(item));
+    page.has_more = read::flag(o, "has_next", false);
     page.revision = read::count(o, "ledger");
     return page;
 }
@@ -37,11 +37,11 @@
     return read::count(read::object(v), "ledger");
 }
 
-std::vector<std::string> parse_failed(std::string_view body) {
+std::vector<std::string> parse_failed_conditions(std::string_view body) {
     auto v = read::parse(body);
     std::vector<std::string> out;
     for (auto& key : read::array(read::object(v), "failed")) {
-        if (!key.is_string()) read::bad("failed");
+        if (!key.is_string()) read::throw_invalid("failed");
         out.emplace_back(key.get_string());
     }
     return out;
@@ -60,7 +60,7 @@
         auto& event = read::object(e);
         auto* value = event.if_contains("value");
         bool deleted = read::field(event, "drop") != nullptr;
-        if (!deleted && !value) read::bad("value");
+        if (!deleted && !value) read::throw_invalid("value");
         watch.events.push_back({{read::text(event, deleted ? "drop" : "write"),
                                  deleted ? nullptr : *value, read::count(event, "stamp"), 0},
                                 deleted});
@@ -69,7 +69,7 @@
 }
 
 std::string txn_json(const CasTransaction& txn) {
-    // Values are JSON texts already; they are spliced in rather than parsed again.
+    // Values are serialized JSON already, so they are inserted as text rather than parsed again.
     std::string out = R"({"when":[)";
     for (size_t i = 0; i < txn.conditions.size(); ++i) {
         if (i) out += ',';
--- a/src/protocol/kv_codec.h
+++ b/src/protocol/kv_codec.h
@@ -1,5 +1,6 @@
-// Messages of the key-value store's HTTP interface (the platform's state service). Pure functions.
-// A version is the revision of the last transaction that wrote a key; 0: there is no such key.
+// Codec of the HTTP API of the key-value store, which is the platform's state service. Pure
+// functions. The version of a key is the revision of the last transaction that wrote it; version 0
+// means that the key does not exist.
 #pragma once
 #include <boost/json.hpp>
 #include <cstdint>
@@ -15,14 +16,15 @@
     std::string key;
     boost::json::value value;
     uint64_t version = 0;
-    uint64_t lease = 0;
+    uint64_t lease = 0;  // 0: the key is not attached to a lease
 };
+// One page of a listing.
 struct KvPage {
     std::vector<KvItem> items;
-    bool more = false;
+    bool has_more = false;  // further pages follow
     uint64_t revision = 0;
 };
-// The key has this version.
+// Holds if the key has this version.
 struct KvCondition {
     std::string key;
     uint64_t version = 0;
@@ -33,8 +35,8 @@
     std::string value;  // serialized JSON; empty: delete
     uint64_t lease = 0;
 };
-// A compare-and-swap transaction: all changes are applied at once if every condition holds, else
-// none.
+// A compare-and-swap transaction: the store applies all changes atomically if every condition
+// holds, and none of them otherwise.
 struct CasTransaction {
     std::vector<KvCondition> conditions;
     std::vector<KvChange> changes;
@@ -44,21 +46,23 @@
 KvItem parse_kv_item(std::string_view body);
 KvPage parse_kv_page(std::string_view body);
 uint64_t parse_revision(std::string_view body);
-// The keys whose conditions failed.
-std::vector<std::string> parse_failed(std::string_view body);
+// Returns the keys whose conditions failed.
+std::vector<std::string> parse_failed_conditions(std::string_view body);
 uint64_t parse_lease(std::string_view body);
 
+// One change of a watched key.
 struct KvEvent {
-    KvItem item;  // the value is null where the key was deleted; without its lease
+    KvItem item;  // the value is null if the key was deleted; `lease` is not set
     bool deleted = false;
 };
+// The response to a watch request.
 struct KvWatch {
     uint64_t revision = 0;
     std::vector<KvEvent> events;
 };
 KvWatch parse_watch(std::string_view body);
 
-// Requests: bodies and targets.
+// Request bodies and request targets.
 std::string txn_json(const CasTransaction& txn);
 std::string lease_json(int64_t ttl_ms);
 std::string kv_key_target(const std::string& key);
--- a/src/protocol/links.h
+++ b/src/protocol/links.h
@@ -1,5 +1,5 @@
-// What one controller reports of its links: to its peers with each ping, and under a key of its
-// own.
+// The connectivity of one controller. It sends this to its peers with each ping and stores it under
+// a key of its own.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,13 +8,14 @@
 namespace weirmill {
 
 struct LinkStatus {
-    bool reports_links = false;  // false: the controller is of a version that reports no links
-    bool reaches_kv = false;     // the state service answered it lately
-    // Workers that come to it by themselves; at a follower only those that can't use the leader.
+    bool reports_links = false;  // false: the controller runs a version that does not report links
+    bool reaches_kv = false;     // the state service answered this controller recently
+    // Workers that send heartbeats directly to this controller. A follower counts only workers that
+    // can't reach the leader.
     uint32_t direct_workers = 0;
-    uint32_t reachable_workers = 0;            // the same, or through a peer that answers it
-    uint32_t known_workers = 0;                // at a leader: workers that should report
-    std::vector<std::string> reachable_peers;  // that answered it lately
+    uint32_t reachable_workers = 0;            // direct workers and those of reachable peers
+    uint32_t known_workers = 0;                // at a leader: workers that should send heartbeats
+    std::vector<std::string> reachable_peers;  // peers that answered this controller recently
     bool operator==(const LinkStatus&) const = default;
 };
 
--- a/src/protocol/paths.h
+++ b/src/protocol/paths.h
@@ -1,4 +1,4 @@
-// The paths of every interface, as they stand on the wire.
+// URL paths of the HTTP APIs of users, workers, the cloud and the key-value store.
 #pragma once
 #include <string_view>
 
@@ -8,12 +8,12 @@
 inline constexpr std::string_view kCancel = "/cancel";
 inline constexpr std::string_view kHealth = "/healthz";
 inline constexpr std::string_view kMetrics = "/metrics";
-inline constexpr std::string_view kReport = "/v1/report";
+inline constexpr std::string_view kHeartbeats = "/v1/report";
 inline constexpr const char* kCommands = "/commands";
 inline constexpr const char* kMachineTypes = "/machine_types";
 inline constexpr const char* kMachines = "/machines";
-inline constexpr const char* kReturn = "/machines/return";
-inline constexpr const char* kTxn = "/multi";
+inline constexpr const char* kTerminateMachines = "/machines/return";
+inline constexpr const char* kTransactions = "/multi";
 inline constexpr const char* kLeases = "/leases";
 inline constexpr const char* kRenew = "/renew";
 
--- a/src/protocol/peer.capnp
+++ b/src/protocol/peer.capnp
@@ -3,14 +3,14 @@
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("weirmill::peer");
 
-# What passes between controllers: one call, one reply, matched by `seq`.
+# Messages between controllers: each call gets one reply with the same `seq`.
 enum Op {
-  submit @0;   # body: the submission as the user sent it
+  submit @0;   # body: the submission as received from the user
   status @1;   # subject: job id
   cancel @2;   # subject: job id
-  report @3;   # body: the worker's report as it was sent
-  ping @4;     # is the callee the leader, and with which token
-  command @5;  # subject: a worker's address; body: commands for it, to be passed on
+  report @3;   # body: the heartbeat as received from the worker
+  ping @4;     # asks whether the callee is the leader, and with which fencing token
+  command @5;  # subject: the address of a worker; body: commands that the callee relays to it
 }
 
 struct Frame {
@@ -25,25 +25,27 @@
   op @0 :Op;
   subject @1 :Text;
   body @2 :Data;
-  via @3 :Bool;      # the caller can't reach the leader: to be passed on, by the callee alone
-  sender @4 :Text;   # the controller that calls
-  links @5 :Links;   # with a ping
+  via @3 :Bool;      # the caller can't reach the leader: the callee relays the call, as the only relay
+  sender @4 :Text;   # name of the calling controller
+  links @5 :Links;   # set in a ping: the caller's links
 }
 
-# What a controller says of its links (membership/link_policy.h).
+# The connectivity of a controller (LinkStatus in protocol/links.h).
 struct Links {
-  state @0 :Bool;
-  direct @1 :UInt32;
-  reach @2 :UInt32;
-  known @3 :UInt32;
-  hears @4 :List(Text);
+  state @0 :Bool;         # it reaches the state service
+  direct @1 :UInt32;      # workers that send heartbeats directly to it
+  reach @2 :UInt32;       # workers that it reaches directly or through a peer
+  known @3 :UInt32;       # at a leader: workers that should send heartbeats
+  hears @4 :List(Text);   # peers that answered it recently
 }
 
 struct Reply {
-  status @0 :UInt16;
+  status @0 :UInt16;   # HTTP status code
   body @1 :Data;
-  retryAfterS @2 :UInt16;
-  token @3 :UInt64;
-  undecided @4 :Bool;  # the callee does not lead, or not yet, or is unsure of it: a standby controller may serve
-  links @5 :Links;     # to a ping
+  retryAfterS @2 :UInt16;  # seconds; 0: not set
+  token @3 :UInt64;    # fencing token
+  # The callee does not lead, does not lead yet, or can't confirm its lease: a standby controller may
+  # serve the call.
+  undecided @4 :Bool;
+  links @5 :Links;     # set in the reply to a ping: the callee's links
 }
--- a/src/protocol/types.h
+++ b/src/protocol/types.h
@@ -1,5 +1,6 @@
-// Types of the domain, as the rest of the program uses them. Spellings on the wire are the codecs'
-// alone. Spans are in seconds, sizes of images and memory in gigabytes where not said otherwise.
+// Domain types of the scheduler. Only the codecs know the names of these types and fields on the
+// wire. Durations are in seconds, and sizes of images and memory in gigabytes, unless stated
+// otherwise.
 #pragma once
 #include <algorithm>
 #include <cmath>
@@ -12,16 +13,27 @@
 
 namespace weirmill {
 
+// Position in a table of jobs, machines or interned names.
 using Index = uint32_t;
 inline constexpr Index kNone = std::numeric_limits<Index>::max();
 
 enum class JobKind : uint8_t { Array, Gang, Service };
 enum class Priority : uint8_t { Low, Normal, High, Production };
-enum class TaskPhase : uint8_t { Unseen, Fetching, Waiting, Running, Saving, Exited };
-enum class ExitCause : uint8_t { None, Done, Stopped, Peers, Alone, Error, NoRoom, Busy, Unknown };
+enum class TaskPhase : uint8_t { NotReported, Fetching, Waiting, Running, Saving, Exited };
+enum class ExitCause : uint8_t {
+    None,
+    Done,
+    Stopped,
+    GangPeerLost,
+    GangWaitTimeout,
+    Error,
+    NoCapacity,
+    Busy,
+    Unknown
+};
 
-// Amounts in thousandths (of a CPU, of a GPU, of a gigabyte), so that sums and comparisons are
-// exact.
+// Resource amounts in thousandths of a CPU, of a GPU and of a gigabyte of memory. Integers keep
+// sums and comparisons exact.
 struct Resources {
     int64_t cpu = 0, gpu = 0, mem = 0;
     Resources& operator+=(const Resources& o) {
@@ -39,24 +51,27 @@
     friend Resources operator+(Resources a, const Resources& b) { return a += b; }
     friend Resources operator-(Resources a, const Resources& b) { return a -= b; }
     friend Resources operator*(Resources a, int64_t n) { return {a.cpu * n, a.gpu * n, a.mem * n}; }
-    bool fits_in(const Resources& room) const {
-        return cpu <= room.cpu && gpu <= room.gpu && mem <= room.mem;
+    bool fits_in(const Resources& available) const {
+        return cpu <= available.cpu && gpu <= available.gpu && mem <= available.mem;
     }
     bool operator==(const Resources&) const = default;
-    // How many of these fit side by side.
-    int64_t times_in(const Resources& room) const {
+    // Returns how many times these resources fit into `available`.
+    int64_t max_copies_in(const Resources& available) const {
         int64_t n = std::numeric_limits<int32_t>::max();
-        if (cpu > 0) n = std::min(n, room.cpu / cpu);
-        if (gpu > 0) n = std::min(n, room.gpu / gpu);
-        if (mem > 0) n = std::min(n, room.mem / mem);
+        if (cpu > 0) n = std::min(n, available.cpu / cpu);
+        if (gpu > 0) n = std::min(n, available.gpu / gpu);
+        if (mem > 0) n = std::min(n, available.mem / mem);
         return std::max<int64_t>(n, 0);
     }
 };
-// In thousandths, rounded up or down; figures that are whole but for their binary form stay so.
-inline int64_t milli_up(double v) { return static_cast<int64_t>(std::ceil(v * 1000 - 1e-6)); }
-inline int64_t milli_down(double v) { return static_cast<int64_t>(std::floor(v * 1000 + 1e-6)); }
+// Convert to thousandths, rounding up or down. The small offset absorbs binary representation
+// error, so that a multiple of one thousandth is not rounded to its neighbour.
+inline int64_t to_milli_ceil(double v) { return static_cast<int64_t>(std::ceil(v * 1000 - 1e-6)); }
+inline int64_t to_milli_floor(double v) {
+    return static_cast<int64_t>(std::floor(v * 1000 + 1e-6));
+}
 
-// Gives names dense indices, in the order in which they are first seen; never forgets one.
+// Assigns dense indices to names in the order of their first use. Names are never removed.
 class Interner {
   public:
     Index intern(std::string_view name) {
@@ -78,11 +93,12 @@
     std::unordered_map<std::string, Index> index_;
 };
 
+// The interned names of a cluster.
 struct Names {
     Interner teams, types, zones, images, classes;
 };
 
-// What a user submitted.
+// A job as a user submitted it.
 struct JobSpec {
     std::string id;
     Index job_class = kNone, team = kNone;
@@ -90,34 +106,36 @@
     Priority priority = Priority::Normal;
     uint32_t tasks = 1;
     Resources demand;
-    std::vector<Index> types;  // empty: any
+    std::vector<Index> types;  // allowed machine types; empty: any
     Index zone = kNone;        // kNone: any
     bool one_zone = false, spread = false, spot = false;
     Index image = kNone;
     double image_gb = 0;
     double estimate_s = 0, checkpoint_interval_s = 0, checkpoint_duration_s = 0;
     double deadline_s = -1;  // < 0: none
-    // Ids of jobs, as submitted; once the job is in the cluster state, they are kept by index
-    // there.
+    // Job ids as submitted. Once the job is in the cluster state, its dependencies are stored there
+    // by index.
     std::vector<std::string> dependencies;
-    // The same machines may run its tasks, as many on each; zones that the rest of a job excludes
-    // are left out of account.
+    // Returns true if the same machines can run tasks of both jobs, and equally many on each
+    // machine. Zones that become ineligible because of the placement of a job's other tasks are not
+    // considered.
     bool same_shape_as(const JobSpec& o) const {
         return demand == o.demand && spot == o.spot && zone == o.zone && types == o.types;
     }
 };
 
-// A task as its worker reports it.
+// The state of a task as reported by its worker.
 struct TaskStatus {
     std::string job;
     uint32_t task = 0;
     uint64_t attempt = 0;
-    TaskPhase phase = TaskPhase::Unseen;
+    TaskPhase phase = TaskPhase::NotReported;
     ExitCause cause = ExitCause::None;
-    bool saved = false;
+    bool saved = false;  // the exited task wrote a checkpoint
 };
 
-// A worker's report. Ordered by agent_epoch, then seq; fencing_token: the highest that it has seen.
+// A worker's heartbeat. The heartbeats of a machine are ordered by agent_epoch, then by seq;
+// `fencing_token` is the highest token that the worker has seen.
 struct Heartbeat {
     std::string machine, addr, type, zone;
     bool spot = false;
@@ -127,7 +145,7 @@
 };
 
 enum class CommandOp : uint8_t { Start, Stop, AcknowledgeExit };
-// From the leader to a worker, with the answer to a heartbeat.
+// A command from the leader to a worker, sent with the response to a heartbeat.
 struct Command {
     CommandOp op = CommandOp::Start;
     std::string job;
@@ -136,16 +154,19 @@
     double grace_s = 0;
 };
 
-// As the cloud offers it.
+// A machine type that the cloud offers.
 struct MachineType {
     std::string name;
     Resources size;
-    double cache_gb = 0, fetch_gb_per_s = 0, price = 0, spot_price = 0, boot_s = 0;
+    double cache_gb = 0;               // disk space for task images
+    double fetch_gb_per_s = 0;         // download rate of task images
+    double price = 0, spot_price = 0;  // per hour
+    double boot_s = 0;
     std::vector<std::string> zones;
 };
 
 enum class MachineStatus : uint8_t { Booting, Running, Failed };
-// As the cloud lists it.
+// A machine in the cloud's machine list.
 struct ListedMachine {
     std::string name, addr, type, zone;
     bool spot = false;
@@ -154,7 +175,7 @@
 };
 struct MachinePage {
     std::vector<ListedMachine> machines;
-    bool more = false;
+    bool has_more = false;  // further pages follow
 };
 
 }  // namespace weirmill
--- a/src/protocol/user_codec.cpp
+++ b/src/protocol/user_codec.cpp
@@ -11,46 +11,45 @@
 
 namespace {
 
-constexpr size_t kMaxTypes = 64;  // of one job
+constexpr size_t kMaxMachineTypes = 64;  // per job
+constexpr size_t kMaxTypeNameBytes = 100;
+constexpr size_t kMaxJobIdBytes = 40;
 
-constexpr size_t kMaxTypeName = 100;  // bytes
-constexpr size_t kMaxJobId = 40;      // bytes
-
-constexpr wire::Name<JobKind> kKinds[] = {
+constexpr wire::EnumName<JobKind> kKinds[] = {
     {"array", JobKind::Array}, {"ensemble", JobKind::Gang}, {"standing", JobKind::Service}};
-constexpr wire::Name<Priority> kPriorities[] = {{"prod", Priority::Production},
-                                                {"high", Priority::High},
-                                                {"normal", Priority::Normal},
-                                                {"low", Priority::Low}};
-constexpr wire::Name<JobState> kStates[] = {{"queued", JobState::Queued},
-                                            {"running", JobState::Running},
-                                            {"done", JobState::Done},
-                                            {"aborted", JobState::Cancelled}};
-
-double amount(int64_t milli) { return static_cast<double>(milli) / 1000.0; }
-
-// Empty: any.
+constexpr wire::EnumName<Priority> kPriorities[] = {{"prod", Priority::Production},
+                                                    {"high", Priority::High},
+                                                    {"normal", Priority::Normal},
+                                                    {"low", Priority::Low}};
+constexpr wire::EnumName<JobState> kStates[] = {{"queued", JobState::Queued},
+                                                {"running", JobState::Running},
+                                                {"done", JobState::Done},
+                                                {"aborted", JobState::Cancelled}};
+
+double from_milli(int64_t milli) { return static_cast<double>(milli) / 1000.0; }
+
+// Returns an empty list if every machine type is allowed.
 std::vector<std::string> read_types(const json::object& o) {
     std::vector<std::string> types;
     if (!read::field(o, wire::kMachineTypes)) return types;
     const auto& list = read::array(o, wire::kMachineTypes);
-    if (list.empty() || list.size() > kMaxTypes) read::bad(wire::kMachineTypes);
+    if (list.empty() || list.size() > kMaxMachineTypes) read::throw_invalid(wire::kMachineTypes);
     for (const auto& t : list) {
-        if (!t.is_string() || t.get_string().empty() || t.get_string().size() > kMaxTypeName)
-            read::bad(wire::kMachineTypes);
+        if (!t.is_string() || t.get_string().empty() || t.get_string().size() > kMaxTypeNameBytes)
+            read::throw_invalid(wire::kMachineTypes);
         types.emplace_back(t.get_string());
     }
     return types;
 }
 
-// In order, each once.
+// Returns the ids sorted and without duplicates.
 std::vector<std::string> read_dependencies(const json::object& o) {
     std::vector<std::string> ids;
     if (!read::field(o, wire::kDependencies)) return ids;
     const auto& list = read::array(o, wire::kDependencies);
     ids.reserve(list.size());
     for (const auto& id : list) {
-        if (!id.is_string() || id.get_string().empty()) read::bad(wire::kDependencies);
+        if (!id.is_string() || id.get_string().empty()) read::throw_invalid(wire::kDependencies);
         ids.emplace_back(id.get_string());
     }
     std::sort(ids.begin(), ids.end());
@@ -58,7 +57,7 @@
     return ids;
 }
 
-// Writes a JSON object's fields as text, without a value in between.
+// Writes the fields of a JSON object as text, without building a document.
 class FieldWriter {
   public:
     explicit FieldWriter(std::string& out) : out_(out) {}
@@ -76,16 +75,16 @@
         key(field);
         write::flag(out_, v);
     }
-    // `text_of` gives an item's text. An empty list is left out.
-    template <class Items, class TextOf>
-    void list(const char* field, const Items& items, const TextOf& text_of) {
+    // `to_text` returns the text of an item. An empty list is left out.
+    template <class Items, class ToText>
+    void list(const char* field, const Items& items, const ToText& to_text) {
         if (items.empty()) return;
         key(field);
-        char before = '[';
+        char separator = '[';
         for (const auto& item : items) {
-            out_ += before;
-            write::text(out_, text_of(item));
-            before = ',';
+            out_ += separator;
+            write::text(out_, to_text(item));
+            separator = ',';
         }
         out_ += ']';
     }
@@ -93,29 +92,29 @@
 
   private:
     void key(const char* field) {
-        out_ += before_;
+        out_ += separator_;
         out_ += '"';
         out_ += field;
         out_ += "\":";
-        before_ = ',';
+        separator_ = ',';
     }
 
     std::string& out_;
-    char before_ = '{';
+    char separator_ = '{';
 };
 
 }  // namespace
 
 bool valid_job_id(std::string_view id) {
     constexpr std::string_view prefix = "req-";
-    if (id.size() <= prefix.size() || id.size() > kMaxJobId ||
+    if (id.size() <= prefix.size() || id.size() > kMaxJobIdBytes ||
         id.substr(0, prefix.size()) != prefix)
         return false;
     id.remove_prefix(prefix.size());
     return std::all_of(id.begin(), id.end(), [](char c) { return c >= '0' && c <= '9'; });
 }
 
-std::string submission_id(std::string_view body) {
+std::string parse_submission_id(std::string_view body) {
     try {
         auto v = read::parse(body);
         auto id = read::text(read::object(v), wire::kJobId);
@@ -133,17 +132,17 @@
     auto& o = read::object(v);
     JobSpec s;
     s.id = read::text(o, wire::kJobId);
-    if (!valid_job_id(s.id)) read::bad(wire::kJobId);
+    if (!valid_job_id(s.id)) read::throw_invalid(wire::kJobId);
     auto job_class = read::text(o, wire::kJobClass);
     auto team = read::text(o, wire::kTeam);
     s.kind = wire::read_value(kKinds, o, wire::kJobKind);
     s.priority = wire::read_value(kPriorities, o, wire::kPriority);
     auto tasks = read::count(o, wire::kTasks);
-    if (tasks < 1 || tasks > kMaxTasks) read::bad(wire::kTasks);
+    if (tasks < 1 || tasks > kMaxTasksPerJob) read::throw_invalid(wire::kTasks);
     s.tasks = static_cast<uint32_t>(tasks);
-    s.demand.cpu = milli_up(read::number(o, wire::kCpus));
-    s.demand.gpu = milli_up(read::number(o, wire::kGpus));
-    s.demand.mem = milli_up(read::number(o, wire::kMemory_gb));
+    s.demand.cpu = to_milli_ceil(read::number(o, wire::kCpus));
+    s.demand.gpu = to_milli_ceil(read::number(o, wire::kGpus));
+    s.demand.mem = to_milli_ceil(read::number(o, wire::kMemory_gb));
     const auto types = read_types(o);
     std::string zone = read::field(o, wire::kZone) ? read::text(o, wire::kZone) : "";
     s.one_zone = read::flag(o, wire::kOneZone);
@@ -156,7 +155,7 @@
     s.checkpoint_duration_s = read::number(o, wire::kCheckpointDuration_s);
     s.deadline_s = read::field(o, wire::kDeadline_s) ? read::number(o, wire::kDeadline_s) : -1;
     s.dependencies = read_dependencies(o);
-    // Interned only once the whole message is known to be sound.
+    // Names are interned only after the whole message has been validated.
     s.job_class = names.classes.intern(job_class);
     s.team = names.teams.find(team);
     for (auto& t : types) s.types.push_back(names.types.intern(t));
@@ -173,9 +172,9 @@
     o[wire::kJobKind] = wire::name_of(kKinds, s.kind);
     o[wire::kPriority] = wire::name_of(kPriorities, s.priority);
     o[wire::kTasks] = s.tasks;
-    o[wire::kCpus] = amount(s.demand.cpu);
-    o[wire::kGpus] = amount(s.demand.gpu);
-    o[wire::kMemory_gb] = amount(s.demand.mem);
+    o[wire::kCpus] = from_milli(s.demand.cpu);
+    o[wire::kGpus] = from_milli(s.demand.gpu);
+    o[wire::kMemory_gb] = from_milli(s.demand.mem);
     if (!s.types.empty()) {
         json::array types;
         for (auto t : s.types) types.emplace_back(names.types.name(t));
@@ -191,8 +190,8 @@
     o[wire::kCheckpointInterval_s] = s.checkpoint_interval_s;
     o[wire::kCheckpointDuration_s] = s.checkpoint_duration_s;
     if (s.deadline_s >= 0) o[wire::kDeadline_s] = s.deadline_s;
-    // Never an empty list: a record without dependencies stays as versions without pipelines wrote
-    // it.
+    // An empty list is left out, so that the record of a job without dependencies is identical to
+    // that of versions without job dependencies.
     if (!s.dependencies.empty())
         o[wire::kDependencies] = json::array(s.dependencies.begin(), s.dependencies.end());
     return o;
@@ -206,9 +205,9 @@
     w.text(wire::kJobKind, wire::name_of(kKinds, s.kind));
     w.text(wire::kPriority, wire::name_of(kPriorities, s.priority));
     w.number(wire::kTasks, s.tasks);
-    w.number(wire::kCpus, amount(s.demand.cpu));
-    w.number(wire::kGpus, amount(s.demand.gpu));
-    w.number(wire::kMemory_gb, amount(s.demand.mem));
+    w.number(wire::kCpus, from_milli(s.demand.cpu));
+    w.number(wire::kGpus, from_milli(s.demand.gpu));
+    w.number(wire::kMemory_gb, from_milli(s.demand.mem));
     w.list(wire::kMachineTypes, s.types,
            [&](Index t) -> std::string_view { return names.types.name(t); });
     if (s.zone != kNone) w.text(wire::kZone, names.zones.name(s.zone));
@@ -226,7 +225,7 @@
     w.end();
 }
 
-std::string job_answer(std::string_view id, JobState state) {
+std::string job_state_json(std::string_view id, JobState state) {
     return json::serialize(json::object{{wire::kJobId, json::string_view(id.data(), id.size())},
                                         {wire::kStatus, wire::name_of(kStates, state)}});
 }
@@ -241,7 +240,7 @@
     return state ? std::optional(*state) : std::nullopt;
 }
 
-std::string job_status(std::string_view id, JobState state, uint32_t done, uint32_t running) {
+std::string job_status_json(std::string_view id, JobState state, uint32_t done, uint32_t running) {
     return json::serialize(json::object{{wire::kJobId, json::string_view(id.data(), id.size())},
                                         {wire::kStatus, wire::name_of(kStates, state)},
                                         {wire::kDone, done},
--- a/src/protocol/wire_names.h
+++ b/src/protocol/wire_names.h
@@ -1,5 +1,5 @@
-// The spellings of the users', workers' and cloud's interfaces under the names that the code has
-// for them. Only codecs include it.
+// Field names on the wire of the users', workers' and cloud APIs, under the terms that the code
+// uses for them. Only codecs include this file.
 #pragma once
 #include <boost/json.hpp>
 #include <cstddef>
@@ -9,14 +9,14 @@
 
 namespace weirmill::wire {
 
-// Fields of several interfaces.
+// Fields that several APIs share.
 inline constexpr const char* kZone = "yard";
 inline constexpr const char* kSpot = "loaners";
 inline constexpr const char* kStatus = "status";
 inline constexpr const char* kMachineTypes = "rigs";
 inline constexpr const char* kMachineType = "rig";
 inline constexpr const char* kAddress = "addr";
-inline constexpr const char* kTasks = "lots";  // of a job their number, of a heartbeat a list
+inline constexpr const char* kTasks = "lots";  // in a job their number, in a heartbeat a list
 inline constexpr const char* kCpus = "cores";
 inline constexpr const char* kGpus = "accelerators";
 inline constexpr const char* kMemory_gb = "mem_gb";
@@ -39,7 +39,7 @@
 inline constexpr const char* kDone = "done";
 inline constexpr const char* kRunning = "running";
 
-// Fields of workers' heartbeats and of the answers to them.
+// Fields of workers' heartbeats and of the responses to them.
 inline constexpr const char* kMachine = "millstone";
 inline constexpr const char* kAgentEpoch = "shift";
 inline constexpr const char* kHeartbeatSeq = "tick";
@@ -54,7 +54,7 @@
 inline constexpr const char* kGrace_s = "wind_down_s";
 inline constexpr const char* kLeader = "clerk";
 
-// Fields of the cloud.
+// Fields of the cloud API.
 inline constexpr const char* kTypeName = "label";
 inline constexpr const char* kImageCache_gb = "local_gb";
 inline constexpr const char* kFetchRate = "fetch_gb_per_s";
@@ -70,32 +70,32 @@
 inline constexpr const char* kProvisionRequest = "hire";
 inline constexpr const char* kCount = "count";
 
-// One row of a table between an enum and its spellings.
+// One row of a table that maps enum values to their names on the wire.
 template <class T>
-struct Name {
+struct EnumName {
     const char* wire;
     T value;
 };
 
-// Null: the text is none of the table's.
+// Returns the value with this name on the wire; null if the table has none.
 template <class T, size_t N>
-const T* find_value(const Name<T> (&names)[N], std::string_view text) {
+const T* find_value(const EnumName<T> (&names)[N], std::string_view text) {
     for (const auto& row : names)
         if (text == row.wire) return &row.value;
     return nullptr;
 }
 
-// Of a field that has to be there; throws BadMessage.
+// Reads the enum value of a required field; throws BadMessage.
 template <class T, size_t N>
-T read_value(const Name<T> (&names)[N], const boost::json::object& o, const char* field) {
+T read_value(const EnumName<T> (&names)[N], const boost::json::object& o, const char* field) {
     const auto* value = find_value(names, read::text(o, field));
-    if (!value) read::bad(field);
+    if (!value) read::throw_invalid(field);
     return *value;
 }
 
-// The table has a row for each value.
+// Returns the name of a value on the wire. The table must have a row for each value.
 template <class T, size_t N>
-const char* name_of(const Name<T> (&names)[N], T value) {
+const char* name_of(const EnumName<T> (&names)[N], T value) {
     for (const auto& row : names)
         if (value == row.value) return row.wire;
     return names[0].wire;
--- a/src/protocol/worker_codec.h
+++ b/src/protocol/worker_codec.h
@@ -1,4 +1,5 @@
-// Reports from workers, commands to them.
+// Codec of the workers' API: heartbeats from workers and commands to them. The parsers throw
+// BadMessage.
 #pragma once
 #include <string>
 #include <string_view>
@@ -9,13 +10,15 @@
 
 namespace weirmill {
 
-Heartbeat parse_heartbeat(std::string_view body);  // throws BadMessage
+Heartbeat parse_heartbeat(std::string_view body);
 std::string heartbeat_response(uint64_t fencing_token, const std::vector<Command>& commands);
-std::string direct_commands(uint64_t fencing_token, uint64_t agent_epoch,
+// Body of a request that sends commands to a worker outside the response to a heartbeat.
+std::string command_request(uint64_t fencing_token, uint64_t agent_epoch,
                             const std::vector<Command>& commands);
-std::string redirect_answer(const std::string& leader);  // empty: nobody to name
+// Response that names the leader to use instead; `leader` is empty if it is unknown.
+std::string redirect_response(const std::string& leader);
 
-// The machine and its token only: what a follower needs to redirect or relay.
+// The fields of a heartbeat that a follower needs to redirect or relay it.
 struct HeartbeatHeader {
     std::string machine;
     uint64_t fencing_token = 0;
--- a/src/scheduler/capacity_breakdown.cpp
+++ b/src/scheduler/capacity_breakdown.cpp
@@ -16,7 +16,7 @@
             return CapacityUse::Fetching;
         case TaskPhase::Waiting:
             return CapacityUse::Gathering;
-        case TaskPhase::Unseen:
+        case TaskPhase::NotReported:
             return CapacityUse::Starting;
         default:
             return CapacityUse::Running;
--- a/src/scheduler/fit_queues.cpp
+++ b/src/scheduler/fit_queues.cpp
@@ -91,7 +91,7 @@
     int64_t times = 0;
     if (job.spec.demand.fits_in(m.room()) && cluster_.machine_allowed(job.spec, m) &&
         (!queue.near_ || image_near(cluster_, m, job.spec.image)))
-        times = job.spec.demand.times_in(m.room());
+        times = job.spec.demand.max_copies_in(m.room());
     if (times == 0 && queue.times_[machine] == 0) return;
     auto& zone = queue.zones_[m.zone];
     zone.room += times - queue.times_[machine];
--- a/src/scheduler/placement_pass.cpp
+++ b/src/scheduler/placement_pass.cpp
@@ -40,7 +40,7 @@
         KeptHeadroom kept{h.like, -h.at_once};
         for (auto i : open_) {
             auto& m = *cluster_.machines[i];
-            if (is_headroom(kept, m)) kept.surplus += h.like->demand.times_in(m.size);
+            if (is_headroom(kept, m)) kept.surplus += h.like->demand.max_copies_in(m.size);
         }
         headroom_.push_back(kept);
     }
@@ -106,7 +106,8 @@
 // Two tasks or more fit a machine of some type.
 bool PlacementPass::shares_machines(const JobSpec& spec) const {
     for (Index t = 0; t < cluster_.types.size(); ++t)
-        if (spec.demand.times_in(cluster_.types[t].type.size) >= 2 && cluster_.type_fits(spec, t))
+        if (spec.demand.max_copies_in(cluster_.types[t].type.size) >= 2 &&
+            cluster_.type_fits(spec, t))
             return true;
     return false;
 }
@@ -123,7 +124,7 @@
     std::vector<std::pair<int64_t, Index>> partly_free;  // CPUs that one task lacks; machine
     for (auto i : open_) {
         auto& m = *cluster_.machines[i];
-        if (demand.fits_in(m.room()) || demand.times_in(m.size) < 2) continue;
+        if (demand.fits_in(m.room()) || demand.max_copies_in(m.size) < 2) continue;
         if (held_for_others(i, job.priority) || !machine_suits(cluster_, job.spec, m)) continue;
         partly_free.emplace_back(demand.cpu - m.room().cpu, i);
     }
@@ -153,7 +154,7 @@
     if (m.tasks.size() > 1 || m.reserved_for != kNone) return;
     for (auto& kept : headroom_)
         if (machine_suits(cluster_, *kept.like, m))
-            kept.surplus -= kept.like->demand.times_in(m.size);
+            kept.surplus -= kept.like->demand.max_copies_in(m.size);
 }
 
 Resources PlacementPass::capacity_for(const JobSpec& spec) {
@@ -162,7 +163,7 @@
     int64_t tasks = 0;
     for (auto& m : cluster_.machines)
         if (m && !m->abandoned && !m->terminating && machine_suits(cluster_, spec, *m))
-            tasks += spec.demand.times_in(m->size);
+            tasks += spec.demand.max_copies_in(m->size);
     capacities_.emplace_back(spec, spec.demand * tasks);
     return capacities_.back().second;
 }
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -274,7 +274,8 @@
     auto& job = *cluster_.jobs[index];
     auto wanted = tasks_within_limit(job);
     if (auto it = reserved_.find(index); it != reserved_.end())
-        for (auto i : it->second) wanted -= job.spec.demand.times_in(cluster_.machines[i]->size);
+        for (auto i : it->second)
+            wanted -= job.spec.demand.max_copies_in(cluster_.machines[i]->size);
     return wanted;
 }
 
@@ -333,7 +334,7 @@
     for (Index i = 0; i < cluster_.machines.size(); ++i) {
         if (!considered(job, rule, zone, i)) continue;
         auto& m = *cluster_.machines[i];
-        auto free = job.spec.demand.times_in(m.room() - promised_[i]);
+        auto free = job.spec.demand.max_copies_in(m.room() - promised_[i]);
         if (free > 0) {
             plan.missing -= free;
             plan.free.push_back({i, free});
@@ -341,7 +342,7 @@
         }
         if (!(promised_[i] == Resources{}) || !may_clear(job, m)) continue;
         plan.candidates.push_back(gangs.candidate(i));
-        plan.tasks.push_back(job.spec.demand.times_in(m.size));
+        plan.tasks.push_back(job.spec.demand.max_copies_in(m.size));
     }
     return plan;
 }
@@ -357,7 +358,7 @@
         counted += n;
         promised_[f.machine] += job.spec.demand * n;
         // A whole machine waits with those that are being emptied.
-        if (plan.room_suffices() || !m.tasks.empty() || job.spec.demand.times_in(m.size) > 1)
+        if (plan.room_suffices() || !m.tasks.empty() || job.spec.demand.max_copies_in(m.size) > 1)
             continue;
         taken_[f.machine] = true;
         clearing.kept.push_back(f.machine);
--- a/src/scheduler/start_deadline.cpp
+++ b/src/scheduler/start_deadline.cpp
@@ -21,7 +21,7 @@
               double now) {
     auto& spec = cluster.jobs[index]->spec;
     if (!m.tasks.empty() || !usable(m) || !machine_suits(cluster, spec, m)) return false;
-    if (spec.demand.times_in(m.size) != 1) return false;
+    if (spec.demand.max_copies_in(m.size) != 1) return false;
     return !m.reserved(now) || m.reserved_for == index;
 }
 }  // namespace
--- a/src/scheduler/starvation.cpp
+++ b/src/scheduler/starvation.cpp
@@ -40,7 +40,7 @@
     for (auto i : roomy) {
         auto& m = *cluster.machines[i];
         if (!spec.demand.fits_in(m.room()) || !cluster.machine_allowed(spec, m)) continue;
-        auto tasks = std::min<int64_t>(spec.demand.times_in(m.room()), wanted);
+        auto tasks = std::min<int64_t>(spec.demand.max_copies_in(m.room()), wanted);
         out.push_back({i, m.zone, blocked_by(cluster, m, usable, index, now), tasks});
     }
     std::ranges::sort(out, [](auto& a, auto& b) { return a.blocked_by < b.blocked_by; });
--- a/src/standby/standby_decisions.cpp
+++ b/src/standby/standby_decisions.cpp
@@ -46,9 +46,9 @@
     PeerReply not_now{503, R"({"error":"not now"})", 1, 0};
     if (s.place == JobPlace::Unclear) return not_now;
     if (s.place == JobPlace::Nowhere) return {404, "{}"};
-    if (op == PeerOp::Status) return {200, job_status(id, s.state, s.done, s.running)};
+    if (op == PeerOp::Status) return {200, job_status_json(id, s.state, s.done, s.running)};
     if (op == PeerOp::Cancel && s.open()) return not_now;
-    return {200, job_answer(id, s.state)};
+    return {200, job_state_json(id, s.state)};
 }
 
 bool all_controllers_adopt(const Settings& settings, const KvPage& adopters) {
--- a/src/standby/standby_service.cpp
+++ b/src/standby/standby_service.cpp
@@ -194,7 +194,7 @@
         reply = co_await cancel(std::move(call.subject));
     else
         reply = co_await status(std::move(call.subject));
-    metrics_.count(reply.status == 503 ? "door_refusals_total" : "door_answers_total");
+    metrics_.increment(reply.status == 503 ? "door_refusals_total" : "door_answers_total");
     co_return reply;
 }
 
@@ -226,7 +226,7 @@
         malformed = PeerReply{400, json::serialize(json::object{{"error", e.what()}})};
     }
     if (!malformed) co_return co_await submit_valid(std::move(spec));
-    auto id = submission_id(body);
+    auto id = parse_submission_id(body);
     if (id.empty()) co_return *malformed;
     co_return co_await refuse(std::move(id), std::move(*malformed));
 }
@@ -304,10 +304,10 @@
     if (live.standing.place == JobPlace::Log)
         co_return standby_reply(id, live.standing, PeerOp::Submit);
     if (log_.view().may_have_ended(id, ends_read)) co_return retry_later();
-    metrics_.count("door_jobs_accepted_total");
+    metrics_.increment("door_jobs_accepted_total");
     spdlog::debug("standby: {} accepted", id);
     auto state = record.cancelled ? JobState::Cancelled : JobState::Queued;
-    co_return PeerReply{201, job_answer(id, state)};
+    co_return PeerReply{201, job_state_json(id, state)};
 }
 
 asio::awaitable<PeerReply> StandbyService::cancel(std::string id) {
@@ -335,7 +335,7 @@
     // way.
     if (!answers_.record(result) && result.outcome != KvOutcome::Unknown) co_return false;
     if (result.outcome == KvOutcome::Conflict) co_return false;
-    metrics_.count("door_cancellations_total");
+    metrics_.increment("door_cancellations_total");
     co_return true;
 }
 
--- a/src/standby/state_log_follower.cpp
+++ b/src/standby/state_log_follower.cpp
@@ -91,7 +91,7 @@
             start_over();
             co_return ReadResult::Failed;
         }
-        if (!page.value.more || page.value.items.empty()) co_return ReadResult::Complete;
+        if (!page.value.has_more || page.value.items.empty()) co_return ReadResult::Complete;
         after = page.value.items.back().key;
     }
 }
--- a/src/standby/state_log_view.cpp
+++ b/src/standby/state_log_view.cpp
@@ -34,8 +34,8 @@
         return false;
     for (auto& item : page.items) {
         uint64_t number = segment_number(item.key);
-        if (number == 0) read::bad("key");
-        if (!item.value.is_array()) read::bad("segment");
+        if (number == 0) read::throw_invalid("key");
+        if (!item.value.is_array()) read::throw_invalid("segment");
         auto& entries = item.value.get_array();
         if (!enter_segment(number, entries.size())) return false;
         for (; open_read_ < entries.size(); ++open_read_) {
@@ -95,7 +95,7 @@
     auto id = entry_job_id(e);
     if (type == EntryType::JobPart) return records_.add_part(e, open_);
     if (type == EntryType::End) return end(id);
-    if (type == EntryType::Unknown) read::bad("entry");
+    if (type == EntryType::Unknown) read::throw_invalid("entry");
     auto it = jobs_.find(id);
     if (it == jobs_.end()) return;
     if (type == EntryType::Cancel)
@@ -108,7 +108,7 @@
     auto& o = read::object(body);
     auto id = read::text(o, "name_id");
     auto tasks = read::count(o, "lots");
-    if (tasks < 1 || tasks > kMaxTasks) read::bad("lots");
+    if (tasks < 1 || tasks > kMaxTasksPerJob) read::throw_invalid("lots");
     auto& job = jobs_[id];
     job.cancelled = job.cancelled || read::flag(record, "cancelled", false);
     job.awaits.clear();  // told anew, it may wait for less
--- a/src/state/job_record.cpp
+++ b/src/state/job_record.cpp
@@ -98,7 +98,7 @@
     const auto& header = read::object(entry[1]);
     if (!ends_multi_part(entry)) {
         const auto* body = read::field(header, "job");
-        if (!body) read::bad("job");
+        if (!body) read::throw_invalid("job");
         return DecodedJobRecord{&header, body, {}, segment};
     }
     auto found = partial_.find(read::text(header, "id"));
--- a/src/state/job_requirements.cpp
+++ b/src/state/job_requirements.cpp
@@ -40,7 +40,7 @@
     for (Index t = 0; t < types.size(); ++t) {
         if (!type_fits(spec, t)) continue;
         any = true;
-        if (spec.demand.times_in(types[t].type.size) > 1) return false;
+        if (spec.demand.max_copies_in(types[t].type.size) > 1) return false;
     }
     return any;
 }
--- a/src/state/pending_records.cpp
+++ b/src/state/pending_records.cpp
@@ -27,7 +27,7 @@
         r.job = *job;
         r.at = read::number(o, "at", {}, 1e12);
     } else if (!r.cancelled) {
-        read::bad("job");
+        read::throw_invalid("job");
     }
     return r;
 }
--- a/src/state/state_log_codec.cpp
+++ b/src/state/state_log_codec.cpp
@@ -26,10 +26,10 @@
 }
 
 uint32_t row_number(const json::array& row, size_t k) {
-    if (k >= row.size()) read::bad("row");
+    if (k >= row.size()) read::throw_invalid("row");
     boost::system::error_code bad;
     auto n = row[k].to_number<uint32_t>(bad);
-    if (bad) read::bad("row");
+    if (bad) read::throw_invalid("row");
     return n;
 }
 
@@ -38,11 +38,11 @@
 std::string segment_key(uint64_t number) { return fmt::format("{}{:016}", kSegmentPrefix, number); }
 
 uint64_t segment_number(const std::string& key) {
-    if (key.size() <= kSegmentPrefix.size()) read::bad("key");
+    if (key.size() <= kSegmentPrefix.size()) read::throw_invalid("key");
     uint64_t number = 0;
     const auto* last = key.data() + key.size();
     auto [end, ec] = std::from_chars(key.data() + kSegmentPrefix.size(), last, number);
-    if (ec != std::errc() || end != last) read::bad("key");
+    if (ec != std::errc() || end != last) read::throw_invalid("key");
     return number;
 }
 
@@ -66,7 +66,7 @@
 }
 
 TaskRow parse_row(const json::value& v, size_t tasks) {
-    if (!v.is_array()) read::bad("row");
+    if (!v.is_array()) read::throw_invalid("row");
     const auto& row = v.get_array();
     TaskRow out;
     out.first = out.last = row_number(row, 0);
@@ -81,9 +81,9 @@
     } else if (row.size() == 2) {
         out.attempt = row_number(row, 1);
     } else {
-        read::bad("row");
+        read::throw_invalid("row");
     }
-    if (out.last < out.first || out.last >= tasks) read::bad("row");
+    if (out.last < out.first || out.last >= tasks) read::throw_invalid("row");
     return out;
 }
 
@@ -130,9 +130,9 @@
 }
 
 const json::array& parse_entry(const json::value& v) {
-    if (!v.is_array() || v.get_array().size() < 2) read::bad("entry");
+    if (!v.is_array() || v.get_array().size() < 2) read::throw_invalid("entry");
     const auto& entry = v.get_array();
-    if (!entry[0].is_string()) read::bad("entry");
+    if (!entry[0].is_string()) read::throw_invalid("entry");
     return entry;
 }
 
@@ -147,21 +147,21 @@
 }
 
 std::string entry_job_id(const json::array& entry) {
-    if (!entry[1].is_string()) read::bad("entry");
+    if (!entry[1].is_string()) read::throw_invalid("entry");
     return std::string(entry[1].get_string());
 }
 
 RecordPart parse_part(const json::array& entry) {
-    if (entry.size() < 4 || !entry[3].is_string()) read::bad("piece");
+    if (entry.size() < 4 || !entry[3].is_string()) read::throw_invalid("piece");
     boost::system::error_code bad;
     auto number = entry[2].to_number<uint64_t>(bad);
-    if (bad) read::bad("piece");
+    if (bad) read::throw_invalid("piece");
     return {number, entry[3].get_string()};
 }
 
 std::optional<double> parse_end_time(const json::array& entry) {
     if (entry.size() <= 2) return {};
-    if (!entry[2].is_number()) read::bad("when");
+    if (!entry[2].is_number()) read::throw_invalid("when");
     return entry[2].to_number<double>();
 }
 
--- a/src/state/state_log_loader.cpp
+++ b/src/state/state_log_loader.cpp
@@ -26,8 +26,8 @@
 
 void StateLogLoader::load_segment(const KvItem& item, double now) {
     uint64_t number = segment_number(item.key);
-    if (number < extent_.next_number) read::bad("key");
-    if (!item.value.is_array()) read::bad("segment");
+    if (number < extent_.next_number) read::throw_invalid("key");
+    if (!item.value.is_array()) read::throw_invalid("segment");
     for (const auto& v : item.value.get_array()) load_entry(parse_entry(v), number, now);
     extent_.segments.push_back({number, item.version});
     extent_.next_number = number + 1;
@@ -66,7 +66,7 @@
         case EntryType::Tasks:
             return load_rows(it->second, entry);
         default:
-            read::bad("entry");
+            read::throw_invalid("entry");
     }
 }
 
@@ -96,7 +96,7 @@
 
 void StateLogLoader::load_record(const DecodedJobRecord& record, double now) {
     auto spec = parse_submission(record.body(), cluster_.names);
-    if (spec.team == kNone) read::bad("job.team");
+    if (spec.team == kNone) read::throw_invalid("job.team");
     bool cancelled = read::flag(*record.header, "cancelled", false);
     double ready = read::number(*record.header, "ready", 0, kMaxTime_s);
     extended_format_ = extended_format_ || ready > 0 || !spec.dependencies.empty();
--- a/src/state/task.h
+++ b/src/state/task.h
@@ -28,7 +28,7 @@
     // Steady clock, seconds. placed_at: once it is launched, when that was.
     float placed_at = 0, running_at = 0;
     TaskState state = TaskState::Pending;
-    TaskPhase phase = TaskPhase::Unseen;
+    TaskPhase phase = TaskPhase::NotReported;
     bool stopping = false;          // it is to stop
     bool graceful = false;          // stopping: with time to save a checkpoint
     bool placed_this_term = false;  // placed by this leader: no other has launched this attempt
--- a/src/state/task_placement.cpp
+++ b/src/state/task_placement.cpp
@@ -74,7 +74,7 @@
     std::erase(m.tasks, TaskRef{index, t});
     if (m.tasks.empty()) m.empty_since = now;
     teams[job.spec.team].used -= job.spec.demand;
-    set_phase(job, task, TaskPhase::Unseen);
+    set_phase(job, task, TaskPhase::NotReported);
     task.machine = kNone;
     task.stopping = task.graceful = false;
     --job.placed;
--- a/src/state/team.cpp
+++ b/src/state/team.cpp
@@ -13,8 +13,8 @@
 Team make_team(const TeamSettings& settings) {
     Team team;
     team.settings = settings;
-    team.guarantee = {milli_down(settings.cpus), milli_down(settings.gpus), 0};
-    team.limit = {milli_down(settings.cpus_max), milli_down(settings.gpus_max), 0};
+    team.guarantee = {to_milli_floor(settings.cpus), to_milli_floor(settings.gpus), 0};
+    team.limit = {to_milli_floor(settings.cpus_max), to_milli_floor(settings.gpus_max), 0};
     // What the limit rules out is guaranteed to nobody.
     if (team.limit.cpu > 0) team.guarantee.cpu = std::min(team.guarantee.cpu, team.limit.cpu);
     if (team.limit.gpu > 0) team.guarantee.gpu = std::min(team.guarantee.gpu, team.limit.gpu);
--- a/src/storage/kv_client.cpp
+++ b/src/storage/kv_client.cpp
@@ -53,7 +53,7 @@
     auto outcome = outcome_of(static_cast<unsigned>(answer->status));
     try {
         if (outcome == KvOutcome::Ok) result.value = parse(std::string_view(answer->body));
-        if (outcome == KvOutcome::Conflict) result.failed = parse_failed(answer->body);
+        if (outcome == KvOutcome::Conflict) result.failed = parse_failed_conditions(answer->body);
         result.too_fast = answer->status == 429;
         result.outcome = outcome;
     } catch (const BadMessage& e) {
@@ -82,7 +82,8 @@
 }
 
 asio::awaitable<KvResult<uint64_t>> KvClient::txn(const CasTransaction& txn, double timeout_s) {
-    return send(&calls_, {KvOperation::Transaction, "POST", paths::kTxn, txn_json(txn), timeout_s},
+    return send(&calls_,
+                {KvOperation::Transaction, "POST", paths::kTransactions, txn_json(txn), timeout_s},
                 parse_revision);
 }
 
--- a/src/traces/play.cpp
+++ b/src/traces/play.cpp
@@ -107,7 +107,7 @@
     return parse_job(line.text, path_, line.number);
 }
 
-Judgement judge_submission(const std::optional<HttpAnswer>& answer, double first_s, double now,
+Judgement judge_submission(const std::optional<HttpResponse>& answer, double first_s, double now,
                            double patience_s) {
     if (answer && (answer->status == 200 || answer->status == 201)) return {Played::Accepted, 0};
     if (answer && (answer->status == 400 || answer->status == 422)) return {Played::Refused, 0};
@@ -117,7 +117,7 @@
     return {Played::Sent, after};
 }
 
-bool judge_status(Track& track, const std::optional<HttpAnswer>& answer, double now,
+bool judge_status(Track& track, const std::optional<HttpResponse>& answer, double now,
                   double patience_s) {
     auto back = [&](const std::string& what) {
         if (track.went_back.empty()) track.went_back = what;
--- a/src/traces/play.h
+++ b/src/traces/play.h
@@ -84,10 +84,10 @@
     Played is = Played::Sent;
     double again_s = 0;  // Sent: try again after this
 };
-Judgement judge_submission(const std::optional<HttpAnswer>& answer, double first_s, double now,
+Judgement judge_submission(const std::optional<HttpResponse>& answer, double first_s, double now,
                            double patience_s);
 // Takes the answer to a poll into account; pure but for `track`. False: it told nothing.
-bool judge_status(Track& track, const std::optional<HttpAnswer>& answer, double now,
+bool judge_status(Track& track, const std::optional<HttpResponse>& answer, double now,
                   double patience_s);
 
 struct PlayOptions {
--- a/src/traces/shape.cpp
+++ b/src/traces/shape.cpp
@@ -197,8 +197,8 @@
     if (script_)
         if (auto refusal = script_->decide(d); refusal.reason != Reason::None) return refusal;
     if (!(d.tasks >= 1)) return {Reason::NoTask, "it has no task"};
-    if (d.tasks > kMaxTasks)
-        return {Reason::TooManyTasks, "more than " + std::to_string(kMaxTasks) + " tasks"};
+    if (d.tasks > kMaxTasksPerJob)
+        return {Reason::TooManyTasks, "more than " + std::to_string(kMaxTasksPerJob) + " tasks"};
     if (std::isnan(d.run_s)) return {Reason::NoEnd, "nothing tells how long it ran"};
     if (!(d.run_s <= 1e9))
         return {Reason::BadNumber, "a run time beyond what a submission may have"};
@@ -213,7 +213,7 @@
     };
     for (double v : {d.cores, d.gpus, d.mem_gb})
         if (!(v >= 0 && v < 1e6)) return no_fit();
-    spec.demand = {milli_up(d.cores), milli_up(d.gpus), milli_up(d.mem_gb)};
+    spec.demand = {to_milli_ceil(d.cores), to_milli_ceil(d.gpus), to_milli_ceil(d.mem_gb)};
     if (std::none_of(types_.begin(), types_.end(),
                      [&](auto& t) { return spec.demand.fits_in(t.size); }))
         return no_fit();
--- a/src/transport/clock.h
+++ b/src/transport/clock.h
@@ -1,4 +1,4 @@
-// The two clocks, in seconds, and a sleep.
+// Wall clock and steady clock in seconds, and a sleep for coroutines.
 #pragma once
 #include <boost/asio.hpp>
 #include <chrono>
@@ -10,19 +10,20 @@
         std::chrono::duration<double>(seconds));
 }
 
-// The time of day, since 1970. It may be set back.
+// Seconds since 1970 by the system clock. This time may jump backwards.
 inline double wall_now() {
     return std::chrono::duration<double>(std::chrono::system_clock::now().time_since_epoch())
         .count();
 }
 
-// The clock of this host that never goes back, since some fixed time.
+// Seconds since an arbitrary fixed point. This clock never goes back and is valid on this host
+// only.
 inline double steady_now() {
     return std::chrono::duration<double>(std::chrono::steady_clock::now().time_since_epoch())
         .count();
 }
 
-// Suspends the calling coroutine.
+// Suspends the calling coroutine for this many seconds.
 inline boost::asio::awaitable<void> sleep_s(double seconds) {
     boost::asio::steady_timer timer(co_await boost::asio::this_coro::executor,
                                     steady_duration(seconds));
--- a/src/transport/http_client.cpp
+++ b/src/transport/http_client.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 constexpr auto kErrorAsValue = asio::as_tuple(asio::use_awaitable);
-constexpr size_t kMaxIdle = 4;  // connections
+constexpr size_t kMaxIdleConnections = 4;
 constexpr unsigned kHttp11 = 11;
 
 using Request = http::request<http::string_body>;
@@ -34,7 +34,7 @@
     return request;
 }
 
-// 0: there is none, or it is no number of seconds.
+// Returns 0 if the header is missing or not a number of seconds.
 double retry_after_s(const Response& response) {
     auto text = response[http::field::retry_after];
     const char* end = text.data() + text.size();
@@ -45,54 +45,55 @@
 
 }  // namespace
 
-HttpClient::HttpClient(asio::io_context& io, Endpoint to, size_t body_limit)
-    : io_(io), to_(std::move(to)), body_limit_(body_limit) {}
+HttpClient::HttpClient(asio::io_context& io, Endpoint endpoint, size_t max_body_bytes)
+    : io_(io), endpoint_(std::move(endpoint)), max_body_bytes_(max_body_bytes) {}
 
-asio::awaitable<HttpClient::Stream> HttpClient::open_stream(
+asio::awaitable<HttpClient::Stream> HttpClient::acquire_stream(
     std::chrono::steady_clock::duration timeout) {
-    if (!idle_.empty()) {
-        auto idle = std::move(idle_.back());
-        idle_.pop_back();
+    if (!idle_streams_.empty()) {
+        auto idle = std::move(idle_streams_.back());
+        idle_streams_.pop_back();
         idle->expires_after(timeout);
         co_return idle;
     }
     auto stream = std::make_unique<beast::tcp_stream>(io_);
     stream->expires_after(timeout);
-    auto [ec] = co_await stream->async_connect(resolve(to_), kErrorAsValue);
+    auto [ec] = co_await stream->async_connect(to_tcp_endpoint(endpoint_), kErrorAsValue);
     if (ec) co_return nullptr;
     boost::system::error_code ignored;
     stream->socket().set_option(tcp::no_delay(true), ignored);
     co_return stream;
 }
 
-void HttpClient::keep(Stream stream) {
-    if (idle_.size() >= kMaxIdle) return;
+void HttpClient::release_stream(Stream stream) {
+    if (idle_streams_.size() >= kMaxIdleConnections) return;
     stream->expires_never();
-    idle_.push_back(std::move(stream));
+    idle_streams_.push_back(std::move(stream));
 }
 
-asio::awaitable<std::optional<HttpAnswer>> HttpClient::request(const char* method,
-                                                               std::string target, std::string body,
-                                                               double timeout_s) {
-    // One deadline for all of it: it stays set on the stream.
-    auto stream = co_await open_stream(steady_duration(timeout_s));
+asio::awaitable<std::optional<HttpResponse>> HttpClient::request(const char* method,
+                                                                 std::string target,
+                                                                 std::string body,
+                                                                 double timeout_s) {
+    // The deadline set here on the stream covers connecting, writing and reading.
+    auto stream = co_await acquire_stream(steady_duration(timeout_s));
     if (!stream) co_return std::nullopt;
-    auto request = make_request(method, target, to_.text(), std::move(body));
-    [[maybe_unused]] auto [write_ec, written] =
+    auto request = make_request(method, target, endpoint_.text(), std::move(body));
+    [[maybe_unused]] auto [write_ec, bytes_written] =
         co_await http::async_write(*stream, request, kErrorAsValue);
     if (write_ec) co_return std::nullopt;
     beast::flat_buffer buffer;
     http::response_parser<http::string_body> parser;
-    parser.body_limit(body_limit_);
-    [[maybe_unused]] auto [read_ec, got] =
+    parser.body_limit(max_body_bytes_);
+    [[maybe_unused]] auto [read_ec, bytes_read] =
         co_await http::async_read(*stream, buffer, parser, kErrorAsValue);
     if (read_ec) co_return std::nullopt;
     auto response = parser.release();
     const bool keep_alive = response.keep_alive();
-    HttpAnswer answer{static_cast<int>(response.result_int()), std::move(response.body()),
-                      retry_after_s(response)};
-    if (keep_alive) keep(std::move(stream));
-    co_return answer;
+    HttpResponse result{static_cast<int>(response.result_int()), std::move(response.body()),
+                        retry_after_s(response)};
+    if (keep_alive) release_stream(std::move(stream));
+    co_return result;
 }
 
 }  // namespace weirmill
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 client to one endpoint: reused connections, a deadline and a size limit on each request.
+// HTTP/1.1 client for one endpoint. It reuses connections; each request has a deadline, and each
+// response a size limit.
 #pragma once
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -13,33 +14,35 @@
 
 namespace weirmill {
 
-struct HttpAnswer {
+struct HttpResponse {
     int status = 0;
     std::string body;
-    double retry_after_s = 0;  // 0: no such header, or one that is no number of seconds
+    double retry_after_s = 0;  // 0: no Retry-After header, or one that is not a number of seconds
 };
 
-// Of one thread. Requests run beside each other, each on a connection of its own.
+// Not thread-safe. Concurrent requests use separate connections.
 class HttpClient {
   public:
-    // `body_limit`: bytes of an answer.
-    HttpClient(boost::asio::io_context& io, Endpoint to, size_t body_limit);
+    // `max_body_bytes` limits the body of a response.
+    HttpClient(boost::asio::io_context& io, Endpoint endpoint, size_t max_body_bytes);
 
-    // Nothing: no answer came in time, and whether the request was executed is unknown.
-    boost::asio::awaitable<std::optional<HttpAnswer>> request(const char* method,
-                                                              std::string target, std::string body,
-                                                              double timeout_s);
+    // Returns nullopt if no response arrived in time; the server may or may not have executed the
+    // request.
+    boost::asio::awaitable<std::optional<HttpResponse>> request(const char* method,
+                                                                std::string target,
+                                                                std::string body, double timeout_s);
 
   private:
     using Stream = std::unique_ptr<boost::beast::tcp_stream>;
-    // An idle connection or a new one; null: it could not be opened in time.
-    boost::asio::awaitable<Stream> open_stream(std::chrono::steady_clock::duration timeout);
-    void keep(Stream stream);
+    // Returns an idle connection or opens a new one; null if that failed or timed out.
+    boost::asio::awaitable<Stream> acquire_stream(std::chrono::steady_clock::duration timeout);
+    // Keeps a connection for later requests, unless enough are idle already.
+    void release_stream(Stream stream);
 
     boost::asio::io_context& io_;
-    Endpoint to_;
-    size_t body_limit_;
-    std::vector<Stream> idle_;
+    Endpoint endpoint_;
+    size_t max_body_bytes_;
+    std::vector<Stream> idle_streams_;
 };
 
 }  // namespace weirmill
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -1,4 +1,5 @@
-// HTTP/1.1 server: deadlines and size limits on every connection, no policy.
+// HTTP/1.1 server with deadlines and size limits on every connection. Request handling is left to
+// the handler.
 #pragma once
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -17,64 +18,66 @@
 
 struct HttpRequest {
     std::string method, target, body;
-    std::string from;  // the client's ADDRESS:PORT; "?": not known
+    std::string client_address;  // ADDRESS:PORT; "?" if unknown
 };
 
+// The reply of a request handler.
 struct HttpReply {
     int status = 500;
     std::string body;
-    int retry_after_s = 0;  // 0: no header
+    int retry_after_s = 0;  // 0: no Retry-After header
     const char* content_type = "application/json";
-    // Asked by one of many that each ask rarely: closed first when sockets run short.
-    bool from_machine = false;
+    // The client is a worker. Workers are many and send requests rarely, so the server closes their
+    // connections first when it runs short of sockets.
+    bool from_worker = false;
 };
 
-// Serves one request. An exception becomes a 500.
+// Handles one request. The server replies with status 500 if the handler throws.
 using HttpHandler = std::function<boost::asio::awaitable<HttpReply>(HttpRequest)>;
 
-// Of a request, in bytes; a larger one gets a 413.
-inline constexpr size_t kMaxBody = 64 * 1024;
+// Size limit of a request body; the server rejects a larger one with status 413.
+inline constexpr size_t kMaxRequestBodyBytes = 64 * 1024;
 
-// Connections are kept between requests while there are few. Near the limit they are kept for a
-// shorter time, and those of machines are closed with their answers. At the limit the one that has
-// been silent the longest makes room, machines' first; where each is being answered, further ones
-// wait in the listen backlog.
+// The server keeps connections alive between requests while there are few. Near the connection
+// limit it closes idle connections sooner, and connections of workers after each response. At the
+// limit it closes the connection that has been idle for the longest time, those of workers first.
+// If none is idle, new connections wait in the listen backlog.
 class HttpServer {
   public:
-    HttpServer(boost::asio::io_context& io, const Endpoint& at, int max_connections,
+    HttpServer(boost::asio::io_context& io, const Endpoint& listen_at, int max_connections,
                HttpHandler handler);
     [[nodiscard]] uint16_t port() const { return acceptor_.local_endpoint().port(); }
 
   private:
     class Session;
-    struct SilentConnection {
+    struct IdleConnection {
         boost::beast::tcp_stream* stream;
         std::chrono::steady_clock::time_point since;
     };
-    using SilentConnections = std::list<SilentConnection>;  // the longest silent first
-    // Outlives the server where connections do.
-    struct Connections {
-        explicit Connections(boost::asio::io_context& io) : room(io) {}
+    using IdleConnections = std::list<IdleConnection>;  // ordered by `since`, oldest first
+    // Shared with the connections, which may outlive the server.
+    struct ConnectionCount {
+        explicit ConnectionCount(boost::asio::io_context& io) : closed_signal(io) {}
         int count = 0;
-        boost::asio::steady_timer room;  // cancelled when a connection ends
+        boost::asio::steady_timer closed_signal;  // cancelled when a connection ends
     };
 
     boost::asio::awaitable<void> accept_loop();
     boost::asio::awaitable<void> serve(boost::asio::ip::tcp::socket socket);
-    // Waits until a further connection may be served.
-    boost::asio::awaitable<void> wait_for_room();
-    void close_longest_silent();
+    // Waits until the number of connections is below the limit.
+    boost::asio::awaitable<void> wait_for_free_slot();
+    void close_longest_idle();
     [[nodiscard]] std::chrono::steady_clock::duration idle_timeout() const;
     [[nodiscard]] bool near_limit() const;
 
     boost::asio::ip::tcp::acceptor acceptor_;
     int max_connections_;
-    std::shared_ptr<Connections> connections_;
-    SilentConnections silent_machines_, silent_users_;
+    std::shared_ptr<ConnectionCount> connections_;
+    IdleConnections idle_workers_, idle_users_;
     HttpHandler handler_;
 };
 
-// Throws SettingsError where the host is no IP address.
-boost::asio::ip::tcp::endpoint resolve(const Endpoint& e);
+// Throws SettingsError if the host is not an IP address.
+boost::asio::ip::tcp::endpoint to_tcp_endpoint(const Endpoint& endpoint);
 
 }  // namespace weirmill
--- a/src/transport/library_sources.cpp
+++ b/src/transport/library_sources.cpp
@@ -1,4 +1,4 @@
-// Asio, Beast and JSON are compiled once, here, instead of in every translation unit.
+// Compiles Boost.Asio, Boost.Beast and Boost.JSON once, instead of in every translation unit.
 #include <boost/asio/impl/src.hpp>
 #include <boost/beast/src.hpp>
 #include <boost/json/src.hpp>
--- a/src/transport/one_shot.h
+++ b/src/transport/one_shot.h
@@ -1,4 +1,4 @@
-// A future for coroutines of one thread.
+// A future for coroutines that run on one thread.
 #pragma once
 #include <boost/asio.hpp>
 #include <memory>
@@ -9,22 +9,22 @@
 
 namespace weirmill {
 
-// One value, awaited once with a deadline. Copies share it. Setting it never runs the waiter inside
-// the setter.
+// Holds one value, which one coroutine awaits once with a timeout. Copies share the value. Setting
+// it never resumes the waiting coroutine inside set().
 template <class T>
 class OneShot {
   public:
     explicit OneShot(const boost::asio::any_io_executor& ex)
         : state_(std::make_shared<State>(ex)) {}
 
-    // The first value counts.
+    // Sets the value; later calls have no effect.
     void set(T value) const {
         if (state_->value) return;
         state_->value = std::move(value);
         state_->timer.cancel();
     }
 
-    // Nothing: none was set in time.
+    // Returns the value; nullopt if none was set in time.
     boost::asio::awaitable<std::optional<T>> wait(double seconds) const {
         auto state = state_;
         if (!state->value) {
--- a/src/transport/peer_codec.cpp
+++ b/src/transport/peer_codec.cpp
@@ -9,22 +9,25 @@
 
 namespace {
 
-std::string frame_of(capnp::MessageBuilder& message) {
+constexpr int kHeaderBytes = 4;
+
+// Prepends the length of the message, as four bytes in little-endian order.
+std::string to_frame(capnp::MessageBuilder& message) {
     auto words = capnp::messageToFlatArray(message);
     const auto bytes = words.asBytes();
-    const auto n = static_cast<uint32_t>(bytes.size());
-    std::string out(4 + n, '\0');
-    for (int i = 0; i < 4; ++i) out[i] = static_cast<char>(n >> (8 * i));
-    std::copy(bytes.begin(), bytes.end(), reinterpret_cast<kj::byte*>(out.data() + 4));
+    const auto size = static_cast<uint32_t>(bytes.size());
+    std::string out(kHeaderBytes + size, '\0');
+    for (int i = 0; i < kHeaderBytes; ++i) out[i] = static_cast<char>(size >> (8 * i));
+    std::copy(bytes.begin(), bytes.end(), reinterpret_cast<kj::byte*>(out.data() + kHeaderBytes));
     return out;
 }
 
-std::string text_of(capnp::Data::Reader d) {
-    return {reinterpret_cast<const char*>(d.begin()), d.size()};
+std::string to_string(capnp::Data::Reader data) {
+    return {reinterpret_cast<const char*>(data.begin()), data.size()};
 }
 
-capnp::Data::Reader data_of(const std::string& s) {
-    return {reinterpret_cast<const kj::byte*>(s.data()), s.size()};
+capnp::Data::Reader to_data(const std::string& text) {
+    return {reinterpret_cast<const kj::byte*>(text.data()), text.size()};
 }
 
 void write_links(peer::Links::Builder out, const LinkStatus& links) {
@@ -37,18 +40,18 @@
         hears.set(i, links.reachable_peers[i]);
 }
 
-// A version that knows nothing of links leaves them out.
+// Controllers of a version without link reports leave out the field.
 template <class Message>
 LinkStatus read_links(Message in) {
     LinkStatus links;
     if (!in.hasLinks()) return links;
-    auto l = in.getLinks();
+    auto reader = in.getLinks();
     links.reports_links = true;
-    links.reaches_kv = l.getState();
-    links.direct_workers = l.getDirect();
-    links.reachable_workers = l.getReach();
-    links.known_workers = l.getKnown();
-    for (auto name : l.getHears()) links.reachable_peers.emplace_back(name.cStr());
+    links.reaches_kv = reader.getState();
+    links.direct_workers = reader.getDirect();
+    links.reachable_workers = reader.getReach();
+    links.known_workers = reader.getKnown();
+    for (auto name : reader.getHears()) links.reachable_peers.emplace_back(name.cStr());
     return links;
 }
 
@@ -61,11 +64,11 @@
     auto out = frame.initCall();
     out.setOp(static_cast<peer::Op>(call.op));
     out.setSubject(call.subject);
-    out.setBody(data_of(call.body));
+    out.setBody(to_data(call.body));
     out.setVia(call.relay);
     if (!call.sender.empty()) out.setSender(call.sender);
     if (call.links.reports_links) write_links(out.initLinks(), call.links);
-    return frame_of(message);
+    return to_frame(message);
 }
 
 std::string encode_reply(uint64_t seq, const PeerReply& reply) {
@@ -74,26 +77,26 @@
     frame.setSeq(seq);
     auto out = frame.initReply();
     out.setStatus(static_cast<uint16_t>(reply.status));
-    out.setBody(data_of(reply.body));
+    out.setBody(to_data(reply.body));
     out.setRetryAfterS(static_cast<uint16_t>(reply.retry_after_s));
     out.setToken(reply.fencing_token);
-    out.setUndecided(reply.undecided);
+    out.setUndecided(reply.leadership_unconfirmed);
     if (reply.links.reports_links) write_links(out.initLinks(), reply.links);
-    return frame_of(message);
+    return to_frame(message);
 }
 
 PeerCall decode_call(peer::Call::Reader in) {
     return {static_cast<PeerOp>(in.getOp()),
             std::string(in.getSubject().cStr()),
-            text_of(in.getBody()),
+            to_string(in.getBody()),
             in.getVia(),
             std::string(in.getSender().cStr()),
             read_links(in)};
 }
 
 PeerReply decode_reply(peer::Reply::Reader in) {
-    return {in.getStatus(), text_of(in.getBody()), in.getRetryAfterS(),
-            in.getToken(),  in.getUndecided(),     read_links(in)};
+    return {in.getStatus(), to_string(in.getBody()), in.getRetryAfterS(),
+            in.getToken(),  in.getUndecided(),       read_links(in)};
 }
 
 }  // namespace weirmill
--- a/src/transport/peer_codec.h
+++ b/src/transport/peer_codec.h
@@ -1,4 +1,4 @@
-// Calls and replies between controllers as frames, and back (peer.capnp).
+// Encodes calls and replies between controllers as frames and decodes them (protocol/peer.capnp).
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,11 +8,12 @@
 
 namespace weirmill {
 
-// A frame as PeerConnection sends it, its length included. `seq` matches a reply with its call.
+// Return a frame as PeerConnection sends it, with its length prefix. A reply has the `seq` of its
+// call.
 std::string encode_call(uint64_t seq, const PeerCall& call);
 std::string encode_reply(uint64_t seq, const PeerReply& reply);
 
-// These may throw kj::Exception.
+// Throw kj::Exception for malformed messages.
 PeerCall decode_call(peer::Call::Reader in);
 PeerReply decode_reply(peer::Reply::Reader in);
 
--- a/src/transport/peer_connection.h
+++ b/src/transport/peer_connection.h
@@ -1,6 +1,7 @@
-// One connection between controllers, either side: a reader hands frames on, a writer drains the
-// queue. A frame is its length in bytes, as four bytes from the lowest, and a Cap'n Proto message
-// (peer.capnp's Frame). All runs on the socket's executor.
+// One connection between two controllers, used on both sides. A read loop passes received frames to
+// a handler, and a write loop sends queued frames. A frame is a length in bytes, as four bytes in
+// little-endian order, followed by a Cap'n Proto message (Frame in protocol/peer.capnp). Everything
+// runs on the socket's executor.
 #pragma once
 #include <boost/asio.hpp>
 #include <deque>
@@ -16,15 +17,16 @@
   public:
     using FrameHandler = std::function<void(peer::Frame::Reader)>;
 
-    // `max_queue_bytes`: of frames that wait to be written. Beyond it the connection is closed.
+    // `max_queue_bytes` limits the frames that wait to be written. The connection is closed if they
+    // exceed it.
     PeerConnection(boost::asio::ip::tcp::socket socket, size_t max_queue_bytes);
 
     [[nodiscard]] bool closed() const { return closed_; }
     [[nodiscard]] boost::asio::any_io_executor executor() { return socket_.get_executor(); }
     void close();
-    // Queues a frame; none is sent once the connection is closed.
+    // Queues a frame for writing. Drops it if the connection is closed.
     void send(std::string frame);
-    // Until the connection ends: it is closed then, and on a frame that is malformed.
+    // Reads frames until the connection ends or a frame is malformed, then closes the connection.
     static boost::asio::awaitable<void> read_loop(std::shared_ptr<PeerConnection> self,
                                                   FrameHandler on_frame);
 
--- a/src/transport/peer_link.cpp
+++ b/src/transport/peer_link.cpp
@@ -17,9 +17,9 @@
 
 constexpr auto kErrorAsValue = asio::as_tuple(asio::use_awaitable);
 constexpr double kConnectTimeout_s = 1.0;
-// After a connection could not be accepted, as for want of descriptors.
-constexpr double kAcceptPause_s = 0.1;
-// What a call waits for its answer at the least, however long the link took to open.
+// Delay after a failed accept, for example when the process is out of file descriptors.
+constexpr double kAcceptRetryDelay_s = 0.1;
+// Minimum time a call waits for its reply, even if opening the connection took up its timeout.
 constexpr double kMinReplyTimeout_s = 0.01;
 
 void set_no_delay(tcp::socket& socket) {
@@ -36,9 +36,9 @@
 
 }  // namespace
 
-PeerServer::PeerServer(asio::io_context& io, const Endpoint& at, PeerHandler handler,
+PeerServer::PeerServer(asio::io_context& io, const Endpoint& listen_at, PeerHandler handler,
                        size_t max_queue_bytes)
-    : acceptor_(io, resolve(at), true),
+    : acceptor_(io, to_tcp_endpoint(listen_at), true),
       handler_(std::make_shared<const PeerHandler>(std::move(handler))),
       max_queue_bytes_(max_queue_bytes) {
     asio::co_spawn(io, accept_loop(), asio::detached);
@@ -49,7 +49,7 @@
         auto [ec, socket] = co_await acceptor_.async_accept(kErrorAsValue);
         if (ec == asio::error::operation_aborted) co_return;
         if (ec) {
-            co_await sleep_s(kAcceptPause_s);
+            co_await sleep_s(kAcceptRetryDelay_s);
             continue;
         }
         serve(std::move(socket));
@@ -72,45 +72,45 @@
 
 struct PeerClient::Link {
     std::shared_ptr<PeerConnection> connection;
-    std::map<uint64_t, OneShot<PeerReply>> waiting;  // calls, by sequence number
-    double last_reply_at = 0;                        // steady clock
+    std::map<uint64_t, OneShot<PeerReply>> pending_calls;  // by sequence number
+    double last_reply_at = 0;                              // steady clock
 };
 
-PeerClient::PeerClient(asio::io_context& io, Endpoint to, size_t max_queue_bytes)
-    : io_(io), to_(std::move(to)), max_queue_bytes_(max_queue_bytes) {}
+PeerClient::PeerClient(asio::io_context& io, Endpoint endpoint, size_t max_queue_bytes)
+    : io_(io), endpoint_(std::move(endpoint)), max_queue_bytes_(max_queue_bytes) {}
 
 bool PeerClient::connected() const { return link_ && !link_->connection->closed(); }
 
-// A socket for each call that found no link, in a burst of them, once took all the sockets there
-// are.
+// Concurrent calls share one connection attempt. With one attempt per call, a burst of calls to a
+// disconnected peer exhausted the process's sockets.
 asio::awaitable<bool> PeerClient::connect(double timeout_s) {
     if (connected()) co_return true;
     if (connecting_) {
         OneShot<bool> opened(io_.get_executor());
-        waiting_for_link_.push_back(opened);
+        connect_waiters_.push_back(opened);
         auto result = co_await opened.wait(timeout_s);
         co_return result.value_or(false);
     }
     connecting_ = true;
     const bool opened = co_await open_link(std::min(timeout_s, kConnectTimeout_s));
     connecting_ = false;
-    for (auto& waiter : std::exchange(waiting_for_link_, {})) waiter.set(opened);
+    for (auto& waiter : std::exchange(connect_waiters_, {})) waiter.set(opened);
     co_return opened;
 }
 
 asio::awaitable<bool> PeerClient::open_link(double timeout_s) {
     tcp::socket socket(io_);
     auto finished = std::make_shared<bool>(false);
-    asio::steady_timer limit(io_);
-    limit.expires_after(std::chrono::milliseconds(static_cast<int>(timeout_s * 1000)));
-    limit.async_wait([&socket, finished](boost::system::error_code ec) {
+    asio::steady_timer timeout(io_);
+    timeout.expires_after(std::chrono::milliseconds(static_cast<int>(timeout_s * 1000)));
+    timeout.async_wait([&socket, finished](boost::system::error_code ec) {
         if (ec || *finished) return;
         boost::system::error_code ignored;
         socket.close(ignored);
     });
-    auto [ec] = co_await socket.async_connect(resolve(to_), kErrorAsValue);
+    auto [ec] = co_await socket.async_connect(to_tcp_endpoint(endpoint_), kErrorAsValue);
     *finished = true;
-    limit.cancel();
+    timeout.cancel();
     if (ec || !socket.is_open()) co_return false;
     set_no_delay(socket);
     auto link = std::make_shared<Link>();
@@ -119,8 +119,8 @@
         auto link = weak.lock();
         if (!link || !frame.isReply()) return;
         link->last_reply_at = steady_now();
-        auto it = link->waiting.find(frame.getSeq());
-        if (it == link->waiting.end()) return;
+        auto it = link->pending_calls.find(frame.getSeq());
+        if (it == link->pending_calls.end()) return;
         it->second.set(decode_reply(frame.getReply()));
     };
     asio::co_spawn(io_, PeerConnection::read_loop(link->connection, std::move(on_frame)),
@@ -135,16 +135,16 @@
     if (!opened || !connected()) co_return std::nullopt;
     auto link = link_;
     const uint64_t seq = next_seq_++;
-    const OneShot<PeerReply> answer(io_.get_executor());
+    const OneShot<PeerReply> pending(io_.get_executor());
     auto frame = encode_call(seq, call);
-    link->waiting.emplace(seq, answer);
+    link->pending_calls.emplace(seq, pending);
     const double sent_at = steady_now();
     link->connection->send(std::move(frame));
-    auto reply = co_await answer.wait(std::max(kMinReplyTimeout_s, deadline - steady_now()));
-    link->waiting.erase(seq);
-    // A link on which nothing was answered since may be held by a network partition: the next call
-    // opens a fresh one. Where others were answered, the peer is busy, and all that is on its way
-    // would be lost with the link.
+    auto reply = co_await pending.wait(std::max(kMinReplyTimeout_s, deadline - steady_now()));
+    link->pending_calls.erase(seq);
+    // If no reply at all arrived since the call was sent, a network partition may be blocking the
+    // connection, so it is closed and the next call opens a new one. If other calls were answered,
+    // the peer is only busy, and closing the connection would lose the calls in transit.
     if (!reply && link_ == link && link->last_reply_at < sent_at) {
         link->connection->close();
         link_.reset();
--- a/src/transport/peer_messages.h
+++ b/src/transport/peer_messages.h
@@ -1,4 +1,4 @@
-// What controllers ask each other, as peer.capnp carries it.
+// Calls and replies between controllers, as protocol/peer.capnp carries them.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -7,27 +7,27 @@
 
 namespace weirmill {
 
-// With the numbers of peer.capnp's Op.
+// The values equal the ordinals of Op in protocol/peer.capnp.
 enum class PeerOp : uint8_t { Submit, Status, Cancel, Heartbeat, Ping, Command };
 
 struct PeerCall {
     PeerOp op = PeerOp::Ping;
-    std::string subject, body;  // see peer.capnp's Op
-    // The caller can't reach the leader: the callee is to relay the call, and nobody after it.
+    std::string subject, body;  // their meaning depends on `op`, see protocol/peer.capnp
+    // The caller can't reach the leader: the callee relays the call, and nobody relays it again.
     bool relay = false;
-    std::string sender{};  // the controller that calls; empty: this one
-    LinkStatus links{};    // with a ping
+    std::string sender{};  // name of the calling controller; empty: this controller
+    LinkStatus links{};    // set in a ping: the caller's links
 };
 
 struct PeerReply {
-    int status = 503;  // as HTTP has it
+    int status = 503;  // HTTP status code
     std::string body;
-    int retry_after_s = 0;  // 0: no such time
+    int retry_after_s = 0;  // 0: not set
     uint64_t fencing_token = 0;
-    // The callee does not lead, or not yet, or can't tell whether its lease is valid: another
-    // controller may serve the call.
-    bool undecided = false;
-    LinkStatus links{};  // to a ping
+    // The callee does not lead, does not lead yet, or can't confirm its lease: a standby controller
+    // may serve the call.
+    bool leadership_unconfirmed = false;
+    LinkStatus links{};  // set in the reply to a ping: the callee's links
 };
 
 }  // namespace weirmill
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -126,8 +126,8 @@
         v["orders"].as_array()[1],
         (json::value{{"order", "stop"}, {"lot", "req-2/1"}, {"try", 1}, {"wind_down_s", 10.0}}));
     EXPECT_EQ(v["orders"].as_array()[2].as_object()["order"], "clear");
-    EXPECT_EQ(redirect_answer("millstone-2"), R"({"clerk":"millstone-2"})");
-    EXPECT_EQ(redirect_answer(""), "{}");
+    EXPECT_EQ(redirect_response("millstone-2"), R"({"clerk":"millstone-2"})");
+    EXPECT_EQ(redirect_response(""), "{}");
 }
 
 TEST(CloudCodec, ReadsTypesAndPages) {
@@ -136,13 +136,13 @@
         "fetch_gb_per_s":1.0,"hourly":12.0,"spot_price":4.5,"startup_s":45,"yards":["a","b"]}]})");
     ASSERT_EQ(types.size(), 1u);
     EXPECT_EQ(types[0].size, (Resources{96000, 8000, 768000}));
-    EXPECT_TRUE(says_no_capacity(R"({"error":"no capacity"})"));
+    EXPECT_TRUE(is_no_capacity_error(R"({"error":"no capacity"})"));
     for (const char* other : {"", "{}", R"({"error":"trouble"})"})
-        EXPECT_FALSE(says_no_capacity(other)) << other;
+        EXPECT_FALSE(is_no_capacity_error(other)) << other;
     auto page = parse_machine_page(
         R"({"millstones":[{"name_id":"vm-1","addr":"h:1","rig":"g8","yard":"a","loaners":true,
         "status":"failed","age_s":61.5}],"has_next":true})");
-    EXPECT_TRUE(page.more);
+    EXPECT_TRUE(page.has_more);
     EXPECT_EQ(page.machines[0].status, MachineStatus::Failed);
     for (const char* bad : {"{}", "[]", R"({"rigs":[]})", R"({"rigs":[{"label":"x"}]})",
                             R"({"millstones":[{"name_id":"vm-1"}]})"}) {
@@ -155,7 +155,8 @@
     CasTransaction txn{{{"a/b", 0}}, {{"a/b", "{\"x\":1}", 7}, {"c/d", "", 0}}};
     EXPECT_EQ(json::parse(txn_json(txn)), json::parse(R"({"when":[{"path":"a/b","stamp":0}],
         "then":[{"write":"a/b","value":{"x":1},"permit":7},{"drop":"c/d"}]})"));
-    EXPECT_EQ(parse_failed(R"({"failed":["a/b"],"ledger":431})"), std::vector<std::string>{"a/b"});
+    EXPECT_EQ(parse_failed_conditions(R"({"failed":["a/b"],"ledger":431})"),
+              std::vector<std::string>{"a/b"});
     EXPECT_EQ(parse_revision(R"({"ledger":432})"), 432u);
     EXPECT_EQ(parse_kv_item(R"({"path":"a/b","value":{},"stamp":412,"permit":7})").lease, 7u);
     for (const char* bad : {"", "{}", R"({"ledger":-1})", R"({"ledger":"1"})"})
--- a/tests/fakes/fakes.cpp
+++ b/tests/fakes/fakes.cpp
@@ -338,14 +338,14 @@
             auto to = cloud_.nodes[(node + static_cast<size_t>(i)) % cloud_.nodes.size()];
             asio::co_spawn(io_, send_copy(self, std::move(old), to), asio::detached);
         }
-        auto reply =
-            co_await client.request("POST", "/v1/report", body, cloud_.settings.worker_patience_s);
+        auto reply = co_await client.request("POST", "/v1/report", body,
+                                             cloud_.settings.worker_response_timeout_s);
         if (hung || mute) reply.reset();  // given up by the time that it goes on
         while (hung && !dead_) co_await sleep_s(0.01);
         if (dead_ || silent) continue;
         if (downlink_lost) {
             ++node;
-            co_await sleep_s(cloud_.settings.worker_next_s);
+            co_await sleep_s(cloud_.settings.worker_failover_delay_s);
             continue;
         }
         if (reply && reply->status == 200) {
--- a/tests/fakes/faulty_link.cpp
+++ b/tests/fakes/faulty_link.cpp
@@ -40,7 +40,7 @@
         if (ec) co_return;
         if (is_ == Is::Refused) continue;  // closed with its socket
         tcp::socket far(io_);
-        auto [failed] = co_await far.async_connect(resolve(to_), kQuiet);
+        auto [failed] = co_await far.async_connect(to_tcp_endpoint(to_), kQuiet);
         if (failed) continue;
         auto line = std::make_shared<Line>(std::move(near), std::move(far));
         lines_.insert(line);
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -56,7 +56,7 @@
         s.id = id;
         s.kind = kind;
         s.tasks = tasks;
-        s.demand = {milli_up(cpus), milli_up(gpus), 1000};
+        s.demand = {to_milli_ceil(cpus), to_milli_ceil(gpus), 1000};
         s.priority = priority;
         s.team = cluster.names.teams.find(team);
         s.job_class = cluster.names.classes.intern("class");
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -18,7 +18,7 @@
 
 constexpr int kMachines = 4000;
 constexpr size_t kReportBytes = 1000;
-constexpr double kPatienceOfWorker_s = 4;  // Settings::worker_patience_s
+constexpr double kPatienceOfWorker_s = 4;  // Settings::worker_response_timeout_s
 
 bool turn_until(asio::io_context& io, const std::function<bool()>& condition, double patience_s) {
     for (double end = steady_now() + patience_s; steady_now() < end;) {
@@ -62,7 +62,7 @@
 asio::awaitable<void> send_report(asio::io_context& io, Endpoint to, std::string body,
                                   Burst& burst) {
     HttpClient client(io, to, 1024 * 1024);
-    auto answer = co_await client.request("POST", std::string(paths::kReport), std::move(body),
+    auto answer = co_await client.request("POST", std::string(paths::kHeartbeats), std::move(body),
                                           kPatienceOfWorker_s);
     burst.count(answer ? answer->status : 0);
 }
@@ -130,7 +130,7 @@
     HttpServer server(server_io, {"127.0.0.1", 0}, kConnections,
                       [](HttpRequest) -> asio::awaitable<HttpReply> {
                           HttpReply reply{200, "{}"};
-                          reply.from_machine = true;
+                          reply.from_worker = true;
                           co_return reply;
                       });
     Endpoint at{"127.0.0.1", server.port()};
@@ -210,13 +210,13 @@
     ASSERT_TRUE(ready(s));
     size_t follower = s.leader() == "node-0" ? 1 : 0;
     auto first =
-        s.ask_node(1 - follower, "POST", std::string(paths::kReport), report_of(kMachines, 0));
+        s.ask_node(1 - follower, "POST", std::string(paths::kHeartbeats), report_of(kMachines, 0));
     ASSERT_TRUE(first && first->status == 200);
     auto fencing_token = json::parse(first->body).at("gavel").to_number<uint64_t>();
     bool relays = false;  // once it has learnt who leads
     double end = steady_now() + 5;
     for (int i = 1; !relays && steady_now() < end; ++i) {
-        auto reply = s.ask_node(follower, "POST", std::string(paths::kReport),
+        auto reply = s.ask_node(follower, "POST", std::string(paths::kHeartbeats),
                                 report_of(kMachines + i, fencing_token));
         relays = reply && reply->status == 200;
         for (int k = 0; k < 50; ++k) s.turn();
@@ -282,7 +282,7 @@
         context.now = now;
         sender.repeat_stops();
         turn(0.2);
-        auto text = metrics.text({});
+        auto text = metrics.to_prometheus_text({});
         auto at = text.rfind("stops_repeated_total ");
         return at == std::string::npos ? 0 : std::stoull(text.substr(at + 21));
     }
--- a/tests/links_service_test.cpp
+++ b/tests/links_service_test.cpp
@@ -147,7 +147,7 @@
     ASSERT_TRUE(s.until([&] { return figure(s, a, "second_hops_total") > 0; }));
     // Users of the one at the far end are served over both, too.
     s.cloud->jobs["req-2"] = {0.2, false, 1, false, {}};
-    std::optional<HttpAnswer> reply;
+    std::optional<HttpResponse> reply;
     EXPECT_TRUE(s.until([&] {
         reply = s.ask_node(static_cast<size_t>(a), "POST", "/v2/runs",
                            Service::submission("req-2", "array", 1));
--- a/tests/more_fault_scenarios_service_test.cpp
+++ b/tests/more_fault_scenarios_service_test.cpp
@@ -194,7 +194,7 @@
         with.links = true;   // for a lease of the workers that outlasts the change
         with.lease_s = 0.8;  // over before what lags is carried out
         FaultScenario s(3, with);
-        s.base.worker_patience_s = 1;                      // longer than a report is held
+        s.base.worker_response_timeout_s = 1;              // longer than a report is held
         submit_as(s, "req-2", "array", 24, 4, 2, "blue");  // more than is there has room for
         s.state->delay_txns = lag;
         // For longer than a report is held for records, and not for as long as the first of them
--- a/tests/old_peer.capnp
+++ b/tests/old_peer.capnp
@@ -1,17 +1,18 @@
 @0xd1b6a4c7e53f9a22;
 
-# What passed between controllers in the version before pipelines: the tests read frames of today with it.
+# The messages between controllers as the last version without job dependencies defined them. Tests
+# use this schema to read frames that the current version writes.
 
 using Cxx = import "/capnp/c++.capnp";
 $Cxx.namespace("weirmill::oldpeer");
 
-# What passes between controllers: one call, one reply, matched by `seq`.
+# Messages between controllers: each call gets one reply with the same `seq`.
 enum Op {
-  submit @0;   # body: the submission as the user sent it
+  submit @0;   # body: the submission as received from the user
   status @1;   # subject: job id
   cancel @2;   # subject: job id
-  report @3;   # body: the worker's report as it was sent
-  ping @4;     # is the callee the leader, and with which token
+  report @3;   # body: the heartbeat as received from the worker
+  ping @4;     # asks whether the callee is the leader, and with which fencing token
 }
 
 struct Frame {
--- a/tests/placement_reference.h
+++ b/tests/placement_reference.h
@@ -83,7 +83,7 @@
             for (auto i : open) {
                 auto& m = *cluster.machines[i];
                 if (cluster.machine_allowed(job.spec, m) && image_near(cluster, m, job.spec.image))
-                    near[m.zone] += job.spec.demand.times_in(m.room());
+                    near[m.zone] += job.spec.demand.max_copies_in(m.room());
             }
             for (auto& [z, n] : near)
                 n = job.spec.image_gb > 0 ? std::min<int64_t>(n, job.pending) : 0;
@@ -119,7 +119,7 @@
         std::set<std::pair<int64_t, Index>> some;
         for (auto i : open) {
             auto& m = *cluster.machines[i];
-            if (!demand.fits_in(m.room()) && demand.times_in(m.size) >= 2 &&
+            if (!demand.fits_in(m.room()) && demand.max_copies_in(m.size) >= 2 &&
                 (!held.count(i) || held.at(i) < job.priority) &&
                 cluster.machine_allowed(job.spec, m) && !cluster.reserves_gpus(job.spec, m.type))
                 some.emplace(demand.cpu - m.room().cpu, i);
--- a/tests/play_test.cpp
+++ b/tests/play_test.cpp
@@ -16,26 +16,26 @@
 
 TEST(Play, AnswersToASubmission) {
     struct Row {
-        std::optional<HttpAnswer> answer;
+        std::optional<HttpResponse> answer;
         double now;
         Played is;
         double again_s;
     };
     const Row rows[] = {
-        {HttpAnswer{201, "", 0}, 10, Played::Accepted, 0},
-        {HttpAnswer{200, "", 0}, 10, Played::Accepted, 0},
-        {HttpAnswer{400, "", 0}, 10, Played::Refused, 0},
-        {HttpAnswer{422, "", 0}, 10, Played::Refused, 0},
+        {HttpResponse{201, "", 0}, 10, Played::Accepted, 0},
+        {HttpResponse{200, "", 0}, 10, Played::Accepted, 0},
+        {HttpResponse{400, "", 0}, 10, Played::Refused, 0},
+        {HttpResponse{422, "", 0}, 10, Played::Refused, 0},
         {std::nullopt, 10, Played::Sent, 1},
-        {HttpAnswer{503, "", 0}, 10, Played::Sent, 1},
-        {HttpAnswer{503, "", 7}, 10, Played::Sent, 7},
-        {HttpAnswer{429, "", 90}, 10, Played::Sent, 30},
-        {HttpAnswer{302, "", 0}, 10, Played::Sent, 1},
+        {HttpResponse{503, "", 0}, 10, Played::Sent, 1},
+        {HttpResponse{503, "", 7}, 10, Played::Sent, 7},
+        {HttpResponse{429, "", 90}, 10, Played::Sent, 30},
+        {HttpResponse{302, "", 0}, 10, Played::Sent, 1},
         // 60 s in all: a try that would come later is not made.
-        {HttpAnswer{503, "", 7}, 62, Played::Sent, 7},
-        {HttpAnswer{503, "", 7}, 64, Played::GivenUp, 0},
+        {HttpResponse{503, "", 7}, 62, Played::Sent, 7},
+        {HttpResponse{503, "", 7}, 64, Played::GivenUp, 0},
         {std::nullopt, 70, Played::GivenUp, 0},
-        {HttpAnswer{201, "", 0}, 70, Played::Accepted, 0},
+        {HttpResponse{201, "", 0}, 70, Played::Accepted, 0},
     };
     for (auto& r : rows) {
         auto got = judge_submission(r.answer, 10, r.now, 60);
@@ -78,7 +78,7 @@
             auto body = "{\"name_id\":\"req-1\",\"status\":\"" + s + "\"}";
             judge_status(t,
                          s == "?" ? std::nullopt
-                                  : std::optional(HttpAnswer{s == "404" ? 404 : 200, body, 0}),
+                                  : std::optional(HttpResponse{s == "404" ? 404 : 200, body, 0}),
                          now += 25, 60);
         }
         EXPECT_EQ(t.is, r.is) << r.states.back();
--- a/tests/service.h
+++ b/tests/service.h
@@ -65,13 +65,13 @@
         state = std::make_unique<fakes::State>(io);
         cloud = std::make_unique<fakes::Cloud>(io, base);
         base.cloud = cloud->at();
-        base.worker_patience_s = with.patience_s;
+        base.worker_response_timeout_s = with.patience_s;
         if (with.links) {
             base.lease_s = 6;
             base.cancel_s = 14;
-            base.worker_patience_s = 0.4;
-            base.worker_next_s = 0.1;
-            base.ping_s = 0.1;
+            base.worker_response_timeout_s = 0.4;
+            base.worker_failover_delay_s = 0.1;
+            base.ping_interval_s = 0.1;
         }
         for (int i = 0; i < count; ++i) add_node(i, with);
         for (int i = 0; i < count; ++i)
@@ -151,7 +151,7 @@
         }
         return false;
     }
-    HttpAnswer ask(const char* method, const std::string& target, const std::string& body = "") {
+    HttpResponse ask(const char* method, const std::string& target, const std::string& body = "") {
         for (double end = steady_now() + kPatience_s; steady_now() < end;) {
             for (size_t i = 0; i < nodes.size(); ++i) {
                 if (!alive[i]) continue;
@@ -165,7 +165,7 @@
     // A request on its way; `over` once it is answered, or given up.
     struct Asked {
         bool over = false;
-        std::optional<HttpAnswer> answer;
+        std::optional<HttpResponse> answer;
         std::string state() const {
             if (!answer || answer->status / 100 != 2) return "";
             return std::string(json::parse(answer->body).at("status").as_string());
@@ -196,8 +196,8 @@
             asio::detached);
         return out;
     }
-    std::optional<HttpAnswer> ask_node(size_t i, const char* method, const std::string& target,
-                                       const std::string& body) {
+    std::optional<HttpResponse> ask_node(size_t i, const char* method, const std::string& target,
+                                         const std::string& body) {
         auto asked = begin(i, method, target, body);
         until([&] { return asked->over; });
         return asked->answer;
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -145,7 +145,7 @@
     int refused = old.back() - '0';
     s.state->refused.insert(refused);
     ASSERT_TRUE(s.until([&] { return !s.leader().empty() && s.leader() != old; }));
-    std::optional<HttpAnswer> reply;
+    std::optional<HttpResponse> reply;
     ASSERT_TRUE(s.until([&] {
         reply = s.ask_node(refused, "POST", "/v2/runs", Service::submission("req-2", "array", 1));
         return reply && reply->status != 503;
--- a/tests/standby_service_test.cpp
+++ b/tests/standby_service_test.cpp
@@ -38,9 +38,9 @@
     int submit_at(int node, const std::string& body) {
         return at(node, "POST", "/v2/runs", body).status;
     }
-    HttpAnswer at(int node, const char* method, const std::string& target,
-                  const std::string& body = "") {
-        HttpAnswer out{-1, ""};
+    HttpResponse at(int node, const char* method, const std::string& target,
+                    const std::string& body = "") {
+        HttpResponse out{-1, ""};
         until([&] {
             auto reply = ask_node(static_cast<size_t>(node), method, target, body);
             if (reply && reply->status != 503) out = *reply;
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -23,7 +23,7 @@
     for (auto& [key, value] : store.keys) {
         if (!key.starts_with(kSegmentPrefix) || key <= after) continue;
         if (page.items.size() == most) {
-            page.more = true;
+            page.has_more = true;
             break;
         }
         page.items.push_back({key, json::parse(value.first), value.second, 0});
@@ -39,7 +39,7 @@
         for (bool more = true; more && in_order; first_page = false) {
             auto page = page_of(store, after, 3);
             in_order = view.apply_page(page, first_page);
-            more = page.more;
+            more = page.has_more;
             if (more) after = page.items.back().key;
         }
         if (in_order) return;
