--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -146,12 +146,12 @@
     return objectives;
 }
 
-void read_workers(const Section& workers, Settings& s) {
-    s.heartbeat_interval_s = workers.number("report_s", kMinPositive);
-    s.lease_s = workers.number("lease_s", kMinPositive);
-    s.gang_wait_s = workers.number("gang_wait_s", kMinPositive);
-    s.gang_peer_s = workers.number("gang_peer_s", kMinPositive);
-    s.cancel_s = workers.number("cancel_s", kMinPositive);
+void read_workers(const Section& workers, Settings& settings) {
+    settings.heartbeat_interval_s = workers.number("report_s", kMinPositive);
+    settings.lease_s = workers.number("lease_s", kMinPositive);
+    settings.gang_wait_s = workers.number("gang_wait_s", kMinPositive);
+    settings.gang_peer_s = workers.number("gang_peer_s", kMinPositive);
+    settings.cancel_s = workers.number("cancel_s", kMinPositive);
 }
 
 // Lowers a limit to its announced value if that is lower.
@@ -161,40 +161,41 @@
     value = std::min(value, static_cast<T>(next.number(key, min)));
 }
 
-void read_state_service(const Section& state, Settings& s) {
-    s.state_rps = state.number("rps", 1);
-    s.state_write_rps = state.number("write_rps", 1);
-    s.value_kb = state.number("value_kb", 1);
-    s.txn_ops = static_cast<int>(state.number("txn_ops", kMinTransactionOps));
+void read_state_service(const Section& state, Settings& settings) {
+    settings.state_rps = state.number("rps", 1);
+    settings.state_write_rps = state.number("write_rps", 1);
+    settings.value_kb = state.number("value_kb", 1);
+    settings.txn_ops = static_cast<int>(state.number("txn_ops", kMinTransactionOps));
     const Section next{state.node["next"], state.field("next")};
     if (!next.node) return;
     if (!next.node.is_table()) throw SettingsError("settings: " + next.name + " must be a table");
-    apply_announced_limit(next, "rps", 1, s.state_rps);
-    apply_announced_limit(next, "write_rps", 1, s.state_write_rps);
-    apply_announced_limit(next, "value_kb", 1, s.value_kb);
-    apply_announced_limit(next, "txn_ops", kMinTransactionOps, s.txn_ops);
+    apply_announced_limit(next, "rps", 1, settings.state_rps);
+    apply_announced_limit(next, "write_rps", 1, settings.state_write_rps);
+    apply_announced_limit(next, "value_kb", 1, settings.value_kb);
+    apply_announced_limit(next, "txn_ops", kMinTransactionOps, settings.txn_ops);
 }
 
-void read_cloud(const Section& cloud, Settings& s) {
-    s.cloud_rps = cloud.number("rps", kMinPositive);
-    s.list_lag_s = cloud.number("list_lag_s", 0);
+void read_cloud(const Section& cloud, Settings& settings) {
+    settings.cloud_rps = cloud.number("rps", kMinPositive);
+    settings.list_lag_s = cloud.number("list_lag_s", 0);
 }
 
-void read_resources(const Section& resources, Settings& s) {
-    s.cpu_share = resources.number("cpu", kMinPositive);
-    s.mem_mb = resources.number("mem_mb", kMinMemory_mb);
-    s.max_sockets = static_cast<int>(resources.number("max_sockets", kMinSockets));
+void read_resources(const Section& resources, Settings& settings) {
+    settings.cpu_share = resources.number("cpu", kMinPositive);
+    settings.mem_mb = resources.number("mem_mb", kMinMemory_mb);
+    settings.max_sockets = static_cast<int>(resources.number("max_sockets", kMinSockets));
 }
 
-void read_deployment(Node d, Settings& s) {
-    s.zones = read_zones(d["zones"]);
-    s.clock_off_ms = required_number(d["clock_off_ms"], "deployment.clock_off_ms", 0);
-    s.teams = read_teams(d["teams"]);
-    s.objectives = read_objectives(d["objectives"]);
-    read_workers({d["workers"], "deployment.workers"}, s);
-    read_state_service({d["state"], "deployment.state"}, s);
-    read_cloud({d["cloud"], "deployment.cloud"}, s);
-    read_resources({d["resources"], "deployment.resources"}, s);
+void read_deployment(Node deployment, Settings& settings) {
+    settings.zones = read_zones(deployment["zones"]);
+    settings.clock_off_ms =
+        required_number(deployment["clock_off_ms"], "deployment.clock_off_ms", 0);
+    settings.teams = read_teams(deployment["teams"]);
+    settings.objectives = read_objectives(deployment["objectives"]);
+    read_workers({deployment["workers"], "deployment.workers"}, settings);
+    read_state_service({deployment["state"], "deployment.state"}, settings);
+    read_cloud({deployment["cloud"], "deployment.cloud"}, settings);
+    read_resources({deployment["resources"], "deployment.resources"}, settings);
 }
 
 toml::table parse_file(const std::string& path) {
@@ -210,16 +211,16 @@
 Settings load_settings(const std::string& path) {
     auto root = parse_file(path);
     const Node top(root);
-    Settings s;
-    s.name = required_string(top["host_name"], "host_name");
-    s.zone = required_string(top["site"], "site");
-    s.api = required_endpoint(top["api_addr"], "api_addr");
-    s.peer = required_endpoint(top["peer_bind"], "peer_bind");
-    s.peers = read_peers(top["seeds"], s.name);
-    s.cloud = required_endpoint(top["external"]["cloud"], "external.cloud");
-    s.state = required_endpoint(top["external"]["state"], "external.state");
-    read_deployment(top["deployment"], s);
-    return s;
+    Settings settings;
+    settings.name = required_string(top["host_name"], "host_name");
+    settings.zone = required_string(top["site"], "site");
+    settings.api = required_endpoint(top["api_addr"], "api_addr");
+    settings.peer = required_endpoint(top["peer_bind"], "peer_bind");
+    settings.peers = read_peers(top["seeds"], settings.name);
+    settings.cloud = required_endpoint(top["external"]["cloud"], "external.cloud");
+    settings.state = required_endpoint(top["external"]["state"], "external.state");
+    read_deployment(top["deployment"], settings);
+    return settings;
 }
 
 }  // namespace weirmill
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -14,6 +14,7 @@
     using std::runtime_error::runtime_error;
 };
 
+// A TCP address.
 struct Endpoint {
     std::string host;  // an IP address
     uint16_t port = 0;
--- a/src/protocol/kv_codec.h
+++ b/src/protocol/kv_codec.h
@@ -12,6 +12,7 @@
 
 namespace weirmill {
 
+// A key with its value.
 struct KvItem {
     std::string key;
     boost::json::value value;
@@ -30,6 +31,7 @@
     uint64_t version = 0;
     bool operator==(const KvCondition&) const = default;
 };
+// Writes or deletes one key.
 struct KvChange {
     std::string key;
     std::string value;  // serialized JSON; empty: delete
--- a/src/protocol/types.h
+++ b/src/protocol/types.h
@@ -19,7 +19,10 @@
 
 enum class JobKind : uint8_t { Array, Gang, Service };
 enum class Priority : uint8_t { Low, Normal, High, Production };
+// What a worker reports of a placed task. NotReported: it has not reported the task yet.
 enum class TaskPhase : uint8_t { NotReported, Fetching, Waiting, Running, Saving, Exited };
+// Why a task exited. GangPeerLost: another task of its gang ended or was lost; GangWaitTimeout: the
+// other tasks of its gang did not all start in time.
 enum class ExitCause : uint8_t {
     None,
     Done,
--- a/src/protocol/user_codec.cpp
+++ b/src/protocol/user_codec.cpp
@@ -128,101 +128,103 @@
     return parse_submission(read::parse(body), names);
 }
 
-JobSpec parse_submission(const json::value& v, Names& names) {
-    auto& o = read::object(v);
-    JobSpec s;
-    s.id = read::text(o, wire::kJobId);
-    if (!valid_job_id(s.id)) read::throw_invalid(wire::kJobId);
-    auto job_class = read::text(o, wire::kJobClass);
-    auto team = read::text(o, wire::kTeam);
-    s.kind = wire::read_value(kKinds, o, wire::kJobKind);
-    s.priority = wire::read_value(kPriorities, o, wire::kPriority);
-    auto tasks = read::count(o, wire::kTasks);
+JobSpec parse_submission(const json::value& value, Names& names) {
+    auto& object = read::object(value);
+    JobSpec spec;
+    spec.id = read::text(object, wire::kJobId);
+    if (!valid_job_id(spec.id)) read::throw_invalid(wire::kJobId);
+    auto job_class = read::text(object, wire::kJobClass);
+    auto team = read::text(object, wire::kTeam);
+    spec.kind = wire::read_value(kKinds, object, wire::kJobKind);
+    spec.priority = wire::read_value(kPriorities, object, wire::kPriority);
+    auto tasks = read::count(object, wire::kTasks);
     if (tasks < 1 || tasks > kMaxTasksPerJob) read::throw_invalid(wire::kTasks);
-    s.tasks = static_cast<uint32_t>(tasks);
-    s.demand.cpu = to_milli_ceil(read::number(o, wire::kCpus));
-    s.demand.gpu = to_milli_ceil(read::number(o, wire::kGpus));
-    s.demand.mem = to_milli_ceil(read::number(o, wire::kMemory_gb));
-    const auto types = read_types(o);
-    std::string zone = read::field(o, wire::kZone) ? read::text(o, wire::kZone) : "";
-    s.one_zone = read::flag(o, wire::kOneZone);
-    s.spread = read::flag(o, wire::kSpread);
-    s.spot = read::flag(o, wire::kSpot);
-    auto image = read::text(o, wire::kImage);
-    s.image_gb = read::number(o, wire::kImageSize_gb);
-    s.estimate_s = read::number(o, wire::kEstimate_s);
-    s.checkpoint_interval_s = read::number(o, wire::kCheckpointInterval_s);
-    s.checkpoint_duration_s = read::number(o, wire::kCheckpointDuration_s);
-    s.deadline_s = read::field(o, wire::kDeadline_s) ? read::number(o, wire::kDeadline_s) : -1;
-    s.dependencies = read_dependencies(o);
+    spec.tasks = static_cast<uint32_t>(tasks);
+    spec.demand.cpu = to_milli_ceil(read::number(object, wire::kCpus));
+    spec.demand.gpu = to_milli_ceil(read::number(object, wire::kGpus));
+    spec.demand.mem = to_milli_ceil(read::number(object, wire::kMemory_gb));
+    const auto types = read_types(object);
+    std::string zone = read::field(object, wire::kZone) ? read::text(object, wire::kZone) : "";
+    spec.one_zone = read::flag(object, wire::kOneZone);
+    spec.spread = read::flag(object, wire::kSpread);
+    spec.spot = read::flag(object, wire::kSpot);
+    auto image = read::text(object, wire::kImage);
+    spec.image_gb = read::number(object, wire::kImageSize_gb);
+    spec.estimate_s = read::number(object, wire::kEstimate_s);
+    spec.checkpoint_interval_s = read::number(object, wire::kCheckpointInterval_s);
+    spec.checkpoint_duration_s = read::number(object, wire::kCheckpointDuration_s);
+    spec.deadline_s =
+        read::field(object, wire::kDeadline_s) ? read::number(object, wire::kDeadline_s) : -1;
+    spec.dependencies = read_dependencies(object);
     // Names are interned only after the whole message has been validated.
-    s.job_class = names.classes.intern(job_class);
-    s.team = names.teams.find(team);
-    for (auto& t : types) s.types.push_back(names.types.intern(t));
-    if (!zone.empty()) s.zone = names.zones.intern(zone);
-    s.image = names.images.intern(image);
-    return s;
+    spec.job_class = names.classes.intern(job_class);
+    spec.team = names.teams.find(team);
+    for (auto& t : types) spec.types.push_back(names.types.intern(t));
+    if (!zone.empty()) spec.zone = names.zones.intern(zone);
+    spec.image = names.images.intern(image);
+    return spec;
 }
 
-json::object submission_json(const JobSpec& s, const Names& names) {
-    json::object o;
-    o[wire::kJobId] = s.id;
-    o[wire::kJobClass] = names.classes.name(s.job_class);
-    o[wire::kTeam] = names.teams.name(s.team);
-    o[wire::kJobKind] = wire::name_of(kKinds, s.kind);
-    o[wire::kPriority] = wire::name_of(kPriorities, s.priority);
-    o[wire::kTasks] = s.tasks;
-    o[wire::kCpus] = from_milli(s.demand.cpu);
-    o[wire::kGpus] = from_milli(s.demand.gpu);
-    o[wire::kMemory_gb] = from_milli(s.demand.mem);
-    if (!s.types.empty()) {
+json::object submission_json(const JobSpec& spec, const Names& names) {
+    json::object object;
+    object[wire::kJobId] = spec.id;
+    object[wire::kJobClass] = names.classes.name(spec.job_class);
+    object[wire::kTeam] = names.teams.name(spec.team);
+    object[wire::kJobKind] = wire::name_of(kKinds, spec.kind);
+    object[wire::kPriority] = wire::name_of(kPriorities, spec.priority);
+    object[wire::kTasks] = spec.tasks;
+    object[wire::kCpus] = from_milli(spec.demand.cpu);
+    object[wire::kGpus] = from_milli(spec.demand.gpu);
+    object[wire::kMemory_gb] = from_milli(spec.demand.mem);
+    if (!spec.types.empty()) {
         json::array types;
-        for (auto t : s.types) types.emplace_back(names.types.name(t));
-        o[wire::kMachineTypes] = std::move(types);
+        for (auto t : spec.types) types.emplace_back(names.types.name(t));
+        object[wire::kMachineTypes] = std::move(types);
     }
-    if (s.zone != kNone) o[wire::kZone] = names.zones.name(s.zone);
-    o[wire::kOneZone] = s.one_zone;
-    o[wire::kSpread] = s.spread;
-    o[wire::kSpot] = s.spot;
-    o[wire::kImage] = names.images.name(s.image);
-    o[wire::kImageSize_gb] = s.image_gb;
-    o[wire::kEstimate_s] = s.estimate_s;
-    o[wire::kCheckpointInterval_s] = s.checkpoint_interval_s;
-    o[wire::kCheckpointDuration_s] = s.checkpoint_duration_s;
-    if (s.deadline_s >= 0) o[wire::kDeadline_s] = s.deadline_s;
+    if (spec.zone != kNone) object[wire::kZone] = names.zones.name(spec.zone);
+    object[wire::kOneZone] = spec.one_zone;
+    object[wire::kSpread] = spec.spread;
+    object[wire::kSpot] = spec.spot;
+    object[wire::kImage] = names.images.name(spec.image);
+    object[wire::kImageSize_gb] = spec.image_gb;
+    object[wire::kEstimate_s] = spec.estimate_s;
+    object[wire::kCheckpointInterval_s] = spec.checkpoint_interval_s;
+    object[wire::kCheckpointDuration_s] = spec.checkpoint_duration_s;
+    if (spec.deadline_s >= 0) object[wire::kDeadline_s] = spec.deadline_s;
     // An empty list is left out, so that the record of a job without dependencies is identical to
     // that of versions without job dependencies.
-    if (!s.dependencies.empty())
-        o[wire::kDependencies] = json::array(s.dependencies.begin(), s.dependencies.end());
-    return o;
+    if (!spec.dependencies.empty())
+        object[wire::kDependencies] =
+            json::array(spec.dependencies.begin(), spec.dependencies.end());
+    return object;
 }
 
-void append_submission(std::string& out, const JobSpec& s, const Names& names) {
-    FieldWriter w(out);
-    w.text(wire::kJobId, s.id);
-    w.text(wire::kJobClass, names.classes.name(s.job_class));
-    w.text(wire::kTeam, names.teams.name(s.team));
-    w.text(wire::kJobKind, wire::name_of(kKinds, s.kind));
-    w.text(wire::kPriority, wire::name_of(kPriorities, s.priority));
-    w.number(wire::kTasks, s.tasks);
-    w.number(wire::kCpus, from_milli(s.demand.cpu));
-    w.number(wire::kGpus, from_milli(s.demand.gpu));
-    w.number(wire::kMemory_gb, from_milli(s.demand.mem));
-    w.list(wire::kMachineTypes, s.types,
-           [&](Index t) -> std::string_view { return names.types.name(t); });
-    if (s.zone != kNone) w.text(wire::kZone, names.zones.name(s.zone));
-    w.flag(wire::kOneZone, s.one_zone);
-    w.flag(wire::kSpread, s.spread);
-    w.flag(wire::kSpot, s.spot);
-    w.text(wire::kImage, names.images.name(s.image));
-    w.number(wire::kImageSize_gb, s.image_gb);
-    w.number(wire::kEstimate_s, s.estimate_s);
-    w.number(wire::kCheckpointInterval_s, s.checkpoint_interval_s);
-    w.number(wire::kCheckpointDuration_s, s.checkpoint_duration_s);
-    if (s.deadline_s >= 0) w.number(wire::kDeadline_s, s.deadline_s);
-    w.list(wire::kDependencies, s.dependencies,
-           [](const std::string& id) -> std::string_view { return id; });
-    w.end();
+void append_submission(std::string& out, const JobSpec& spec, const Names& names) {
+    FieldWriter writer(out);
+    writer.text(wire::kJobId, spec.id);
+    writer.text(wire::kJobClass, names.classes.name(spec.job_class));
+    writer.text(wire::kTeam, names.teams.name(spec.team));
+    writer.text(wire::kJobKind, wire::name_of(kKinds, spec.kind));
+    writer.text(wire::kPriority, wire::name_of(kPriorities, spec.priority));
+    writer.number(wire::kTasks, spec.tasks);
+    writer.number(wire::kCpus, from_milli(spec.demand.cpu));
+    writer.number(wire::kGpus, from_milli(spec.demand.gpu));
+    writer.number(wire::kMemory_gb, from_milli(spec.demand.mem));
+    writer.list(wire::kMachineTypes, spec.types,
+                [&](Index t) -> std::string_view { return names.types.name(t); });
+    if (spec.zone != kNone) writer.text(wire::kZone, names.zones.name(spec.zone));
+    writer.flag(wire::kOneZone, spec.one_zone);
+    writer.flag(wire::kSpread, spec.spread);
+    writer.flag(wire::kSpot, spec.spot);
+    writer.text(wire::kImage, names.images.name(spec.image));
+    writer.number(wire::kImageSize_gb, spec.image_gb);
+    writer.number(wire::kEstimate_s, spec.estimate_s);
+    writer.number(wire::kCheckpointInterval_s, spec.checkpoint_interval_s);
+    writer.number(wire::kCheckpointDuration_s, spec.checkpoint_duration_s);
+    if (spec.deadline_s >= 0) writer.number(wire::kDeadline_s, spec.deadline_s);
+    writer.list(wire::kDependencies, spec.dependencies,
+                [](const std::string& id) -> std::string_view { return id; });
+    writer.end();
 }
 
 std::string job_state_json(std::string_view id, JobState state) {
@@ -233,10 +235,10 @@
 std::optional<JobState> parse_job_state(std::string_view body) {
     boost::system::error_code ec;
     auto v = json::parse(json::string_view(body.data(), body.size()), ec);
-    auto* o = ec ? nullptr : v.if_object();
-    auto* s = o ? o->if_contains(wire::kStatus) : nullptr;
-    if (!s || !s->is_string()) return std::nullopt;
-    const auto* state = wire::find_value(kStates, s->get_string());
+    auto* object = ec ? nullptr : v.if_object();
+    auto* status = object ? object->if_contains(wire::kStatus) : nullptr;
+    if (!status || !status->is_string()) return std::nullopt;
+    const auto* state = wire::find_value(kStates, status->get_string());
     return state ? std::optional(*state) : std::nullopt;
 }
 
--- a/src/protocol/user_codec.h
+++ b/src/protocol/user_codec.h
@@ -16,7 +16,7 @@
 // Parses a submission; throws BadMessage. Interns its names in `names`, except for the team: an
 // unknown team is read as kNone.
 JobSpec parse_submission(std::string_view body, Names& names);
-JobSpec parse_submission(const boost::json::value& v, Names& names);
+JobSpec parse_submission(const boost::json::value& value, Names& names);
 // Returns the job id in a submission, even if the rest of the submission is malformed. Returns an
 // empty string if there is no valid job id, so that no such job can have been accepted.
 std::string parse_submission_id(std::string_view body);
@@ -26,6 +26,7 @@
 // submissions, for which building a document is too slow.
 void append_submission(std::string& out, const JobSpec& spec, const Names& names);
 
+// The state of a job as users see it.
 enum class JobState : uint8_t { Queued, Running, Done, Cancelled };
 // Response body with the id and the state of a job.
 std::string job_state_json(std::string_view id, JobState state);
--- a/src/transport/http_client.h
+++ b/src/transport/http_client.h
@@ -14,6 +14,7 @@
 
 namespace weirmill {
 
+// A response as the client received it.
 struct HttpResponse {
     int status = 0;
     std::string body;
--- a/src/transport/http_server.h
+++ b/src/transport/http_server.h
@@ -16,6 +16,7 @@
 
 namespace weirmill {
 
+// A request as the server received it.
 struct HttpRequest {
     std::string method, target, body;
     std::string client_address;  // ADDRESS:PORT; "?" if unknown
--- a/src/transport/peer_messages.h
+++ b/src/transport/peer_messages.h
@@ -10,6 +10,7 @@
 // The values equal the ordinals of Op in protocol/peer.capnp.
 enum class PeerOp : uint8_t { Submit, Status, Cancel, Heartbeat, Ping, Command };
 
+// A call to another controller.
 struct PeerCall {
     PeerOp op = PeerOp::Ping;
     std::string subject, body;  // their meaning depends on `op`, see protocol/peer.capnp
@@ -19,6 +20,7 @@
     LinkStatus links{};    // set in a ping: the caller's links
 };
 
+// The reply to a call.
 struct PeerReply {
     int status = 503;  // HTTP status code
     std::string body;
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -11,7 +11,7 @@
 
 namespace json = boost::json;
 
-json::object sound_submission() {
+json::object valid_submission() {
     return json::parse(
                R"({"name_id":"req-000412","lot_class":"train","consignor":"red","sale_kind":"ensemble",
         "urgency":"high","lots":16,"cores":8.0,"accelerators":1.0,"mem_gb":64.0,"bundle":"img-07","size_gb":6.2,
@@ -20,29 +20,30 @@
         .as_object();
 }
 
-TEST(UserCodec, ReadsAndWritesTheSameJob) {
-    test::World w;
-    auto first = parse_submission(json::serialize(sound_submission()), w.cluster.names);
+TEST(UserCodec, RoundTripsSubmission) {
+    test::World world;
+    auto first = parse_submission(json::serialize(valid_submission()), world.cluster.names);
     EXPECT_EQ(first.id, "req-000412");
     EXPECT_EQ(first.kind, JobKind::Gang);
     EXPECT_EQ(first.priority, Priority::High);
     EXPECT_EQ(first.demand, (Resources{8000, 1000, 64000}));
     EXPECT_TRUE(first.one_zone && first.spot && !first.spread);
     EXPECT_EQ(first.zone, kNone);
-    EXPECT_EQ(w.cluster.names.teams.name(first.team), "red");
-    auto again =
-        parse_submission(json::serialize(submission_json(first, w.cluster.names)), w.cluster.names);
-    EXPECT_EQ(json::serialize(submission_json(again, w.cluster.names)),
-              json::serialize(submission_json(first, w.cluster.names)));
+    EXPECT_EQ(world.cluster.names.teams.name(first.team), "red");
+    auto again = parse_submission(json::serialize(submission_json(first, world.cluster.names)),
+                                  world.cluster.names);
+    EXPECT_EQ(json::serialize(submission_json(again, world.cluster.names)),
+              json::serialize(submission_json(first, world.cluster.names)));
 }
 
-struct BadSubmission {
+// A valid submission in which one field is replaced.
+struct InvalidSubmission {
     const char* field;
-    json::value value;  // null: the field is left out
+    json::value value;  // null: the field is removed
 };
 
-TEST(UserCodec, RefusesWhatIsMalformed) {
-    const BadSubmission rows[] = {
+TEST(UserCodec, RejectsMalformedSubmissions) {
+    const InvalidSubmission cases[] = {
         {"name_id", nullptr},    {"name_id", "job-1"},
         {"name_id", "req-"},     {"name_id", "req-12x"},
         {"name_id", 7},          {"lots", 0},
@@ -56,61 +57,64 @@
         {"bundle", ""},          {"due_s", -5.0},
         {"expected_s", nullptr}, {"consignor", nullptr},
     };
-    for (auto& row : rows) {
-        test::World w;
-        auto o = sound_submission();
-        row.value.is_null() ? (void)o.erase(row.field) : (void)(o[row.field] = row.value);
-        EXPECT_THROW(parse_submission(json::serialize(o), w.cluster.names), BadMessage)
-            << row.field << " " << row.value;
+    for (auto& test_case : cases) {
+        test::World world;
+        auto submission = valid_submission();
+        test_case.value.is_null() ? (void)submission.erase(test_case.field)
+                                  : (void)(submission[test_case.field] = test_case.value);
+        EXPECT_THROW(parse_submission(json::serialize(submission), world.cluster.names), BadMessage)
+            << test_case.field << " " << test_case.value;
     }
-    test::World w;
+    test::World world;
     for (const char* text : {"", "{", "[]", "7", "null", "{\"name_id\":1e999}"})
-        EXPECT_THROW(parse_submission(std::string_view(text), w.cluster.names), BadMessage) << text;
+        EXPECT_THROW(parse_submission(std::string_view(text), world.cluster.names), BadMessage)
+            << text;
     std::string deep(5000, '[');
-    EXPECT_THROW(parse_submission(std::string_view(deep), w.cluster.names), BadMessage);
+    EXPECT_THROW(parse_submission(std::string_view(deep), world.cluster.names), BadMessage);
 }
 
-TEST(UserCodec, ReadsWhatAJobWaitsForOnce) {
-    struct Row {
+TEST(UserCodec, ReadsDependenciesWithoutDuplicates) {
+    struct Case {
         json::value awaits;
-        std::vector<std::string> read;
+        std::vector<std::string> dependencies;
     };
-    const Row rows[] = {{nullptr, {}},
-                        {json::array{}, {}},
-                        {json::array{"req-2", "req-1", "req-2"}, {"req-1", "req-2"}}};
-    for (auto& row : rows) {
-        test::World w;
-        auto o = sound_submission();
-        o["awaits"] = row.awaits;
-        auto spec = parse_submission(json::serialize(o), w.cluster.names);
-        EXPECT_EQ(spec.dependencies, row.read) << row.awaits;
-        EXPECT_EQ(submission_json(spec, w.cluster.names).contains("awaits"), !row.read.empty());
+    const Case cases[] = {{nullptr, {}},
+                          {json::array{}, {}},
+                          {json::array{"req-2", "req-1", "req-2"}, {"req-1", "req-2"}}};
+    for (auto& test_case : cases) {
+        test::World world;
+        auto submission = valid_submission();
+        submission["awaits"] = test_case.awaits;
+        auto spec = parse_submission(json::serialize(submission), world.cluster.names);
+        EXPECT_EQ(spec.dependencies, test_case.dependencies) << test_case.awaits;
+        EXPECT_EQ(submission_json(spec, world.cluster.names).contains("awaits"),
+                  !test_case.dependencies.empty());
     }
 }
 
-TEST(WorkerCodec, ReadsReportsAndRefusesBadOnes) {
-    auto good =
+TEST(WorkerCodec, ParsesHeartbeatsAndRejectsMalformedOnes) {
+    auto valid =
         R"({"millstone":"vm-1","addr":"10.1.0.2:9000","rig":"g8","yard":"a","loaners":true,"shift":1,"tick":88,
         "gavel":41,"recall_s":null,"lots":[{"lot":"req-000412/3","try":2,"status":"running"},
         {"lot":"req-000398/0","try":1,"status":"exited","cause":"stopped","kept":true}]})";
-    auto r = parse_heartbeat(good);
-    EXPECT_EQ(r.machine, "vm-1");
-    EXPECT_EQ(r.seq, 88u);
-    EXPECT_LT(r.interruption_notice_s, 0);
-    ASSERT_EQ(r.tasks.size(), 2u);
-    EXPECT_EQ(r.tasks[0].job, "req-000412");
-    EXPECT_EQ(r.tasks[0].task, 3u);
-    EXPECT_EQ(r.tasks[1].cause, ExitCause::Stopped);
-    EXPECT_TRUE(r.tasks[1].saved);
-    const std::pair<const char*, const char*> swaps[] = {
-        {"\"shift\":1", "\"shift\":-1"}, {"\"tick\":88", "\"tick\":\"x\""},
-        {"req-000412/3", "req-000412"},  {"req-000412/3", "req-000412/x"},
-        {"\"running\"", "\"dreaming\""}, {"\"stopped\"", "\"bored\""},
+    auto heartbeat = parse_heartbeat(valid);
+    EXPECT_EQ(heartbeat.machine, "vm-1");
+    EXPECT_EQ(heartbeat.seq, 88u);
+    EXPECT_LT(heartbeat.interruption_notice_s, 0);
+    ASSERT_EQ(heartbeat.tasks.size(), 2u);
+    EXPECT_EQ(heartbeat.tasks[0].job, "req-000412");
+    EXPECT_EQ(heartbeat.tasks[0].task, 3u);
+    EXPECT_EQ(heartbeat.tasks[1].cause, ExitCause::Stopped);
+    EXPECT_TRUE(heartbeat.tasks[1].saved);
+    const std::pair<const char*, const char*> replacements[] = {
+        {"\"shift\":1", "\"shift\":-1"},      {"\"tick\":88", "\"tick\":\"x\""},
+        {"req-000412/3", "req-000412"},       {"req-000412/3", "req-000412/x"},
+        {"\"running\"", "\"no_such_phase\""}, {"\"stopped\"", "\"no_such_cause\""},
         {"\"lots\":[", "\"lot_s\":["}};
-    for (auto& [from, to] : swaps) {
-        std::string bad = good;
-        bad.replace(bad.find(from), std::string(from).size(), to);
-        EXPECT_THROW(parse_heartbeat(bad), BadMessage) << to;
+    for (auto& [from, to] : replacements) {
+        std::string malformed = valid;
+        malformed.replace(malformed.find(from), std::string(from).size(), to);
+        EXPECT_THROW(parse_heartbeat(malformed), BadMessage) << to;
     }
 }
 
@@ -130,28 +134,28 @@
     EXPECT_EQ(redirect_response(""), "{}");
 }
 
-TEST(CloudCodec, ReadsTypesAndPages) {
+TEST(CloudCodec, ParsesMachineTypesAndPages) {
     auto types = parse_machine_types(
         R"({"rigs":[{"label":"g8","cores":96,"accelerators":8,"mem_gb":768,"local_gb":200,
         "fetch_gb_per_s":1.0,"hourly":12.0,"spot_price":4.5,"startup_s":45,"yards":["a","b"]}]})");
     ASSERT_EQ(types.size(), 1u);
     EXPECT_EQ(types[0].size, (Resources{96000, 8000, 768000}));
     EXPECT_TRUE(is_no_capacity_error(R"({"error":"no capacity"})"));
-    for (const char* other : {"", "{}", R"({"error":"trouble"})"})
+    for (const char* other : {"", "{}", R"({"error":"some other error"})"})
         EXPECT_FALSE(is_no_capacity_error(other)) << other;
     auto page = parse_machine_page(
         R"({"millstones":[{"name_id":"vm-1","addr":"h:1","rig":"g8","yard":"a","loaners":true,
         "status":"failed","age_s":61.5}],"has_next":true})");
     EXPECT_TRUE(page.has_more);
     EXPECT_EQ(page.machines[0].status, MachineStatus::Failed);
-    for (const char* bad : {"{}", "[]", R"({"rigs":[]})", R"({"rigs":[{"label":"x"}]})",
-                            R"({"millstones":[{"name_id":"vm-1"}]})"}) {
-        EXPECT_THROW(parse_machine_types(bad), BadMessage) << bad;
-        EXPECT_THROW(parse_machine_page(bad), BadMessage) << bad;
+    for (const char* malformed : {"{}", "[]", R"({"rigs":[]})", R"({"rigs":[{"label":"x"}]})",
+                                  R"({"millstones":[{"name_id":"vm-1"}]})"}) {
+        EXPECT_THROW(parse_machine_types(malformed), BadMessage) << malformed;
+        EXPECT_THROW(parse_machine_page(malformed), BadMessage) << malformed;
     }
 }
 
-TEST(KvCodec, WritesTransactionsAndReadsAnswers) {
+TEST(KvCodec, WritesTransactionsAndParsesResponses) {
     CasTransaction txn{{{"a/b", 0}}, {{"a/b", "{\"x\":1}", 7}, {"c/d", "", 0}}};
     EXPECT_EQ(json::parse(txn_json(txn)), json::parse(R"({"when":[{"path":"a/b","stamp":0}],
         "then":[{"write":"a/b","value":{"x":1},"permit":7},{"drop":"c/d"}]})"));
@@ -159,8 +163,8 @@
               std::vector<std::string>{"a/b"});
     EXPECT_EQ(parse_revision(R"({"ledger":432})"), 432u);
     EXPECT_EQ(parse_kv_item(R"({"path":"a/b","value":{},"stamp":412,"permit":7})").lease, 7u);
-    for (const char* bad : {"", "{}", R"({"ledger":-1})", R"({"ledger":"1"})"})
-        EXPECT_THROW(parse_revision(bad), BadMessage) << bad;
+    for (const char* malformed : {"", "{}", R"({"ledger":-1})", R"({"ledger":"1"})"})
+        EXPECT_THROW(parse_revision(malformed), BadMessage) << malformed;
 }
 
 }  // namespace
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -10,7 +10,7 @@
 namespace weirmill {
 namespace {
 
-const char* kSound = R"(
+const char* kValidSettings = R"(
 host_name = "millstone-0"
 site = "a"
 api_addr = "10.0.0.1:8080"
@@ -52,43 +52,45 @@
 max_sockets = 1500
 )";
 
-struct File {
+// A file with this text, deleted with the object.
+struct TemporaryFile {
     std::string path;
-    explicit File(const std::string& text) {
+    explicit TemporaryFile(const std::string& text) {
         char name[] = "/tmp/weirmill-test-XXXXXX";
         int fd = mkstemp(name);
         path = name;
         std::ofstream(path) << text;
         close(fd);
     }
-    ~File() { std::remove(path.c_str()); }
+    ~TemporaryFile() { std::remove(path.c_str()); }
 };
 
-std::string error_of(const std::string& text) {
+// Returns the error message of load_settings; empty: it succeeds.
+std::string load_error(const std::string& text) {
     try {
-        load_settings(File(text).path);
+        load_settings(TemporaryFile(text).path);
         return "";
     } catch (const SettingsError& e) {
         return e.what();
     }
 }
 
-TEST(Settings, ReadsThePlatformsFile) {
-    auto s = load_settings(File(kSound).path);
-    EXPECT_EQ(s.name, "millstone-0");
-    EXPECT_EQ(s.peers.at(0).addr.port, 8081);
-    EXPECT_EQ(s.teams.at(0).cpus_max, 136);
-    EXPECT_EQ(s.txn_ops, 24);
+TEST(Settings, ParsesValidFile) {
+    auto settings = load_settings(TemporaryFile(kValidSettings).path);
+    EXPECT_EQ(settings.name, "millstone-0");
+    EXPECT_EQ(settings.peers.at(0).addr.port, 8081);
+    EXPECT_EQ(settings.teams.at(0).cpus_max, 136);
+    EXPECT_EQ(settings.txn_ops, 24);
 }
 
-TEST(Settings, KeepTheTighterOfWhatHoldsAndWhatIsAnnounced) {
-    struct Row {
+TEST(Settings, AppliesStricterOfCurrentAndAnnouncedLimits) {
+    struct Case {
         const char* next;
         double rps, write_rps, value_kb;
         int txn_ops;
-        const char* error;  // named field
+        const char* error;  // text that the message must contain; null: no error
     };
-    const Row rows[] = {
+    const Case cases[] = {
         {"", 120, 40, 32, 24, nullptr},
         {"[deployment.state.next]\n", 120, 40, 32, 24, nullptr},
         {"[deployment.state.next]\nwrite_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 8\n", 120, 28, 2, 8,
@@ -103,56 +105,56 @@
          "deployment.state.next.write_rps"},
         {"[deployment.state]\nnext = 3\n", 0, 0, 0, 0, "deployment.state.next must be a table"},
     };
-    for (auto& row : rows) {
-        std::string text = kSound, next = row.next;
+    for (auto& test_case : cases) {
+        std::string text = kValidSettings, next = test_case.next;
         if (next.starts_with("[deployment.state]\n"))
             text.insert(text.find("[deployment.cloud]"), next.substr(next.find('\n') + 1));
         else
             text += next;
-        if (row.error) {
-            EXPECT_NE(error_of(text).find(row.error), std::string::npos)
-                << row.next << error_of(text);
+        if (test_case.error) {
+            EXPECT_NE(load_error(text).find(test_case.error), std::string::npos)
+                << test_case.next << load_error(text);
             continue;
         }
-        auto s = load_settings(File(text).path);
-        EXPECT_EQ(s.state_rps, row.rps) << row.next;
-        EXPECT_EQ(s.state_write_rps, row.write_rps) << row.next;
-        EXPECT_EQ(s.value_kb, row.value_kb) << row.next;
-        EXPECT_EQ(s.txn_ops, row.txn_ops) << row.next;
+        auto settings = load_settings(TemporaryFile(text).path);
+        EXPECT_EQ(settings.state_rps, test_case.rps) << test_case.next;
+        EXPECT_EQ(settings.state_write_rps, test_case.write_rps) << test_case.next;
+        EXPECT_EQ(settings.value_kb, test_case.value_kb) << test_case.next;
+        EXPECT_EQ(settings.txn_ops, test_case.txn_ops) << test_case.next;
     }
 }
 
-TEST(Settings, WhatIsServedAlthoughItLooksOdd) {
-    struct Row {
+TEST(Settings, AcceptsUnusualValues) {
+    struct Case {
         const char *from, *to;
         double cpus, gpus, gpus_max;
     };
-    const Row rows[] = {
-        {"cpus = 64.0\ncpus_max = 136.0\n", "", 0, 4, 12},  // a figure that is missing is none
+    const Case cases[] = {
+        {"cpus = 64.0\ncpus_max = 136.0\n", "", 0, 4, 12},  // missing values count as 0
         {"gpus = 4.0\ngpus_max = 12.0\n", "", 64, 0, 0},
         {"gpus_max = 12.0", "gpus_max = 2.0", 64, 4,
-         2},  // a limit below its guarantee: the tables cut that
+         2},  // a limit below the guarantee; the cluster state cuts the guarantee
         {"clock_off_ms = 100.0", "clock_off_ms = 100.0\ninitial_size = 7", 64, 4, 12},
-        {"zones = [\"a\", \"b\"]", "zones = [\"a\", \"b\", \"nobody-here\"]", 64, 4, 12},
+        {"zones = [\"a\", \"b\"]", "zones = [\"a\", \"b\", \"unused-zone\"]", 64, 4, 12},
     };
-    for (auto& row : rows) {
-        std::string text = kSound;
-        auto at = text.find(row.from);
-        ASSERT_NE(at, std::string::npos) << row.from;
-        text.replace(at, std::string(row.from).size(), row.to);
-        ASSERT_EQ(error_of(text), "") << row.to;
-        auto s = load_settings(File(text).path);
-        EXPECT_EQ(s.teams.at(0).cpus, row.cpus) << row.to;
-        EXPECT_EQ(s.teams.at(0).gpus, row.gpus) << row.to;
-        EXPECT_EQ(s.teams.at(0).gpus_max, row.gpus_max) << row.to;
+    for (auto& test_case : cases) {
+        std::string text = kValidSettings;
+        auto at = text.find(test_case.from);
+        ASSERT_NE(at, std::string::npos) << test_case.from;
+        text.replace(at, std::string(test_case.from).size(), test_case.to);
+        ASSERT_EQ(load_error(text), "") << test_case.to;
+        auto settings = load_settings(TemporaryFile(text).path);
+        EXPECT_EQ(settings.teams.at(0).cpus, test_case.cpus) << test_case.to;
+        EXPECT_EQ(settings.teams.at(0).gpus, test_case.gpus) << test_case.to;
+        EXPECT_EQ(settings.teams.at(0).gpus_max, test_case.gpus_max) << test_case.to;
     }
 }
 
-TEST(Settings, NamesWhatIsWrong) {
-    struct Row {
-        const char *from, *to, *named;
+TEST(Settings, ErrorNamesInvalidField) {
+    struct Case {
+        const char *from, *to, *named_field;
     };
-    const Row rows[] = {
+    const Case cases[] = {
         {"host_name = \"millstone-0\"", "", "host_name"},
         {"10.0.0.1:8080", "10.0.0.1", "api_addr"},
         {"10.2.0.1:2379", "10.2.0.1:99999", "external.state"},
@@ -169,46 +171,48 @@
         {"mem_mb = 56.0", "", "deployment.resources.mem_mb"},
         {"[external]", "[external", ""},
     };
-    for (auto& row : rows) {
-        std::string text = kSound;
-        text.replace(text.find(row.from), std::string(row.from).size(), row.to);
-        auto error = error_of(text);
-        EXPECT_NE(error, "") << row.to;
-        EXPECT_NE(error.find(row.named), std::string::npos) << error;
+    for (auto& test_case : cases) {
+        std::string text = kValidSettings;
+        text.replace(text.find(test_case.from), std::string(test_case.from).size(), test_case.to);
+        auto error = load_error(text);
+        EXPECT_NE(error, "") << test_case.to;
+        EXPECT_NE(error.find(test_case.named_field), std::string::npos) << error;
     }
     EXPECT_THROW(load_settings("/nonexistent.toml"), SettingsError);
 }
 
-TEST(Settings, WhereNoGraceIsPossibleThereIsNoneAndOneLineSaysSo) {
-    // Refused at start before: a site whose workers' lease outlasts its time for cancellations was
-    // not served at all.
-    struct Row {
+TEST(Settings, WarnsIfCancelTimeLeavesNoAnsweringGrace) {
+    // Such settings were once rejected at startup, so that a deployment whose worker lease is
+    // longer than its cancellation deadline had no service at all.
+    struct Case {
         const char* cancel_s;
         bool grace;
     };
-    for (auto& row : {Row{"38.0", true}, Row{"22.9", true}, Row{"22.0", false}, Row{"18.0", false},
-                      Row{"10.0", false}}) {
-        std::string text = kSound;
-        text.replace(text.find("cancel_s = 38.0"), 15, std::string("cancel_s = ") + row.cancel_s);
-        ASSERT_EQ(error_of(text), "") << row.cancel_s;
-        auto s = load_settings(File(text).path);
-        EXPECT_EQ(answering_grace(s) > 0, row.grace) << row.cancel_s;
-        auto warning = grace_warning(s);
-        EXPECT_EQ(warning.empty(), row.grace) << warning;
+    for (auto& test_case : {Case{"38.0", true}, Case{"22.9", true}, Case{"22.0", false},
+                            Case{"18.0", false}, Case{"10.0", false}}) {
+        std::string text = kValidSettings;
+        text.replace(text.find("cancel_s = 38.0"), 15,
+                     std::string("cancel_s = ") + test_case.cancel_s);
+        ASSERT_EQ(load_error(text), "") << test_case.cancel_s;
+        auto settings = load_settings(TemporaryFile(text).path);
+        EXPECT_EQ(answering_grace(settings) > 0, test_case.grace) << test_case.cancel_s;
+        auto warning = grace_warning(settings);
+        EXPECT_EQ(warning.empty(), test_case.grace) << warning;
         for (const char* field : {"workers.cancel_s", "workers.lease_s", "workers.report_s"})
-            EXPECT_EQ(warning.find(field) == std::string::npos, row.grace) << warning;
+            EXPECT_EQ(warning.find(field) == std::string::npos, test_case.grace) << warning;
         EXPECT_EQ(warning.find('\n'), std::string::npos);
     }
 }
 
-TEST(Properties, HaveDefaultsAndRanges) {
-    EXPECT_EQ(load_properties(File("# nothing set\n").path).preemption_round_s, 10.0);
-    EXPECT_FALSE(load_properties(File("# nothing set\n").path).standby_enabled);
-    EXPECT_TRUE(load_properties(File("doors.enabled = true\n").path).standby_enabled);
-    EXPECT_EQ(load_properties(File("preemption.round_s = 4.5\n").path).preemption_round_s, 4.5);
-    for (const char* bad : {"preemption.round_s = 0\n", "preemption.round_s = often\n",
-                            "election.lease_s: 1000\n", "doors.enabled = perhaps\n"})
-        EXPECT_THROW(load_properties(File(bad).path), SettingsError) << bad;
+TEST(Properties, HasDefaultsAndRejectsInvalidValues) {
+    EXPECT_EQ(load_properties(TemporaryFile("# nothing set\n").path).preemption_round_s, 10.0);
+    EXPECT_FALSE(load_properties(TemporaryFile("# nothing set\n").path).standby_enabled);
+    EXPECT_TRUE(load_properties(TemporaryFile("doors.enabled = true\n").path).standby_enabled);
+    EXPECT_EQ(load_properties(TemporaryFile("preemption.round_s = 4.5\n").path).preemption_round_s,
+              4.5);
+    for (const char* invalid : {"preemption.round_s = 0\n", "preemption.round_s = often\n",
+                                "election.lease_s: 1000\n", "doors.enabled = perhaps\n"})
+        EXPECT_THROW(load_properties(TemporaryFile(invalid).path), SettingsError) << invalid;
     EXPECT_THROW(load_properties("/nonexistent.properties"), SettingsError);
 }
 
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,5 +1,6 @@
-// Two versions on each other's data: the one before pipelines, as its own records and frames stand
-// in old_records.h, and this one. And limits of the state service that become lower.
+// Compatibility with the last version without job dependencies (pipelines), called the old version
+// here: old_records.h has records and frames that it wrote. Also tests what happens when the state
+// service lowers its limits.
 #include <capnp/message.h>
 #include <capnp/serialize.h>
 #include <gtest/gtest.h>
@@ -32,61 +33,63 @@
     return store;
 }
 
-// The history of kOldShort, played by this version.
-void play_short(World& w, StateLog& l, Store& s) {
+// Repeats with this version the changes that the old version recorded in kOldShort.
+void record_short_history(World& world, StateLog& state_log, Store& store) {
     constexpr StateLogLimits limits{12, 4};
-    auto flush = [&] { test::flush(l, w.cluster, s, limits, w.now); };
-    auto a = w.cluster.add_job(w.spec("req-000001", JobKind::Array, 5, 1), 1000.25, w.now);
-    auto spec = w.spec("req-000002", JobKind::Gang, 2, 2, 1, Priority::High, "red");
-    spec.types = {w.cluster.names.types.find("gpu")};
-    spec.zone = w.cluster.names.zones.find("b");
+    auto flush = [&] { test::flush(state_log, world.cluster, store, limits, world.now); };
+    auto a =
+        world.cluster.add_job(world.spec("req-000001", JobKind::Array, 5, 1), 1000.25, world.now);
+    auto spec = world.spec("req-000002", JobKind::Gang, 2, 2, 1, Priority::High, "red");
+    spec.types = {world.cluster.names.types.find("gpu")};
+    spec.zone = world.cluster.names.zones.find("b");
     spec.one_zone = true;
     spec.deadline_s = 900;
     spec.estimate_s = 240.5;
     spec.checkpoint_interval_s = 30;
     spec.checkpoint_duration_s = 4;
     spec.image_gb = 6.2;
-    auto b = w.cluster.add_job(spec, 1001.5, w.now);
-    auto c = w.cluster.add_job(w.spec("req-000003", JobKind::Service, 1, 1), 1002, w.now);
-    auto d = w.cluster.add_job(w.spec("req-000004", JobKind::Array, 1, 1), 1003, w.now);
-    for (auto j : {a, b, c, d}) l.new_job(j);
+    auto b = world.cluster.add_job(spec, 1001.5, world.now);
+    auto c =
+        world.cluster.add_job(world.spec("req-000003", JobKind::Service, 1, 1), 1002, world.now);
+    auto d = world.cluster.add_job(world.spec("req-000004", JobKind::Array, 1, 1), 1003, world.now);
+    for (auto j : {a, b, c, d}) state_log.new_job(j);
     flush();
-    auto m0 = w.machine("vm-000001"), m1 = w.machine("vm-000002", "gpu", "b");
-    for (uint32_t t = 0; t < 4; ++t) w.cluster.place(a, t, m0, 1, w.now);
-    for (uint32_t t = 0; t < 2; ++t) w.cluster.place(b, t, m1, 1, w.now);
-    w.cluster.place(c, 0, m0, 1, w.now);
-    w.cluster.place(d, 0, m0, 1, w.now);
+    auto m0 = world.machine("vm-000001"), m1 = world.machine("vm-000002", "gpu", "b");
+    for (uint32_t t = 0; t < 4; ++t) world.cluster.place(a, t, m0, 1, world.now);
+    for (uint32_t t = 0; t < 2; ++t) world.cluster.place(b, t, m1, 1, world.now);
+    world.cluster.place(c, 0, m0, 1, world.now);
+    world.cluster.place(d, 0, m0, 1, world.now);
     flush();
-    w.cluster.finish(a, 0, w.now);
-    w.cluster.finish(a, 1, w.now);
-    w.cluster.unassign(a, 3, w.now);
-    w.cluster.finish(d, 0, w.now);
-    w.cluster.jobs[d]->ending = true;
-    l.finish(d);
-    w.cluster.jobs[c]->cancelled = true;
-    l.cancel(c);
-    l.note(kRoundKey, R"({"number":3,"clearings":[],"stops":0})");
+    world.cluster.finish(a, 0, world.now);
+    world.cluster.finish(a, 1, world.now);
+    world.cluster.unassign(a, 3, world.now);
+    world.cluster.finish(d, 0, world.now);
+    world.cluster.jobs[d]->ending = true;
+    state_log.finish(d);
+    world.cluster.jobs[c]->cancelled = true;
+    state_log.cancel(c);
+    state_log.note(kRoundKey, R"({"number":3,"clearings":[],"stops":0})");
     flush();
 }
 
-TEST(Upgrade, WithoutPipelinesRecordsAreByteForByteThoseOfTheVersionBefore) {
-    World w;
-    Store s;
-    StateLog l(w.cluster, 41, {12, 4});
-    play_short(w, l, s);
-    s.keys.erase(kLeaderKey);
-    ASSERT_EQ(s.keys.size(), std::size(test::kOldShort));
+TEST(StateLogCompatibility, WritesSameRecordsAsOldVersion) {
+    World world;
+    Store store;
+    StateLog state_log(world.cluster, 41, {12, 4});
+    record_short_history(world, state_log, store);
+    store.keys.erase(kLeaderKey);
+    ASSERT_EQ(store.keys.size(), std::size(test::kOldShort));
     for (auto& r : test::kOldShort) {
-        EXPECT_EQ(s.keys[r.key].first, r.value) << r.key;
-        EXPECT_EQ(s.keys[r.key].second, r.version) << r.key;
+        EXPECT_EQ(store.keys[r.key].first, r.value) << r.key;
+        EXPECT_EQ(store.keys[r.key].second, r.version) << r.key;
     }
 }
 
-// What the version before refuses: entry tags that it does not know. What it would not notice:
-// fields.
-void expect_readable_by_the_version_before(const Store& s) {
+// The old version rejects entry tags that it doesn't know. It ignores unknown fields and would so
+// lose their content. Neither may occur.
+void expect_readable_by_old_version(const Store& store) {
     const std::set<std::string> fields{"job", "at", "cancelled"};
-    for (auto& [key, value] : s.keys) {
+    for (auto& [key, value] : store.keys) {
         if (!key.starts_with(kSegmentPrefix)) continue;
         auto segment = json::parse(value.first);
         for (auto& entry : segment.as_array()) {
@@ -103,33 +106,33 @@
     }
 }
 
-TEST(Upgrade, EachVersionsRecordsAreLoadedAndToldAnewByTheOther) {
-    auto s = store_of(test::kOldRetold);
-    World w;
-    StateLog l(w.cluster, 41, {4, 1});
-    s.load(l, w.now);
-    auto before = test::picture(w.cluster);
-    EXPECT_EQ(w.cluster.find_job("req-000001")->done, 10u);
-    EXPECT_EQ(w.cluster.find_job("req-000001")->placed, 20u);
-    EXPECT_TRUE(w.cluster.find_job("req-000002")->cancel_recorded);
-    EXPECT_EQ(w.cluster.find_job("req-000002")->tasks[0].attempt, 4u);
-    // Work goes on until all that the old version wrote is dropped.
-    auto j = w.cluster.job_index.at("req-000001");
-    auto m = w.cluster.find_machine("vm-000007");
+TEST(StateLogCompatibility, LoadsAndRewritesRecordsOfOldVersion) {
+    auto store = store_of(test::kOldRetold);
+    World world;
+    StateLog state_log(world.cluster, 41, {4, 1});
+    store.load(state_log, world.now);
+    auto before = test::picture(world.cluster);
+    EXPECT_EQ(world.cluster.find_job("req-000001")->done, 10u);
+    EXPECT_EQ(world.cluster.find_job("req-000001")->placed, 20u);
+    EXPECT_TRUE(world.cluster.find_job("req-000002")->cancel_recorded);
+    EXPECT_EQ(world.cluster.find_job("req-000002")->tasks[0].attempt, 4u);
+    // Tasks are placed again until compaction has deleted all segments of the old version.
+    auto j = world.cluster.job_index.at("req-000001");
+    auto m = world.cluster.find_machine("vm-000007");
     auto oldest = test::kOldRetold[std::size(test::kOldRetold) - 1].key;
-    for (uint32_t i = 0; s.keys.count(oldest) && i < 400; ++i) {
+    for (uint32_t i = 0; store.keys.count(oldest) && i < 400; ++i) {
         for (uint32_t t = 20; t < 30; ++t) {
-            w.cluster.unassign(j, t, w.now);
-            w.cluster.place(j, t, m, 100 + i, w.now);
+            world.cluster.unassign(j, t, world.now);
+            world.cluster.place(j, t, m, 100 + i, world.now);
         }
-        test::flush(l, w.cluster, s, {4, 1}, w.now);
+        test::flush(state_log, world.cluster, store, {4, 1}, world.now);
     }
-    EXPECT_FALSE(s.keys.count(oldest));
-    expect_readable_by_the_version_before(s);
+    EXPECT_FALSE(store.keys.count(oldest));
+    expect_readable_by_old_version(store);
     World fresh;
     StateLog next(fresh.cluster, 42, {4, 1});
-    s.load(next, fresh.now);
-    EXPECT_EQ(test::picture(fresh.cluster), test::picture(w.cluster));
+    store.load(next, fresh.now);
+    EXPECT_EQ(test::picture(fresh.cluster), test::picture(world.cluster));
 }
 
 std::string from_hex(const std::string& hex) {
@@ -139,7 +142,7 @@
     return out;
 }
 
-// Whole frames that have come, their lengths taken off.
+// Returns the first frame without its length prefix; nullopt if it is incomplete.
 std::optional<std::string> first_frame(const std::string& bytes) {
     if (bytes.size() < 4) return std::nullopt;
     auto byte = [&](int i) { return static_cast<uint32_t>(static_cast<unsigned char>(bytes[i])); };
@@ -148,9 +151,9 @@
     return bytes.substr(4, size);
 }
 
-// Reads a frame of today as the version before pipelines does, and hands it to `check`.
+// Parses a frame of this version as the old version does, and passes it to `check`.
 template <class Check>
-void as_read_before(const std::string& frame, Check check) {
+void check_with_old_schema(const std::string& frame, Check check) {
     ASSERT_EQ(frame.size() % sizeof(capnp::word), 0u);
     std::vector<capnp::word> words(frame.size() / sizeof(capnp::word));
     std::memcpy(words.data(), frame.data(), frame.size());
@@ -158,152 +161,154 @@
     check(reader.getRoot<oldpeer::Frame>());
 }
 
-std::string text_of(capnp::Data::Reader d) {
-    return {reinterpret_cast<const char*>(d.begin()), d.size()};
+std::string to_string(capnp::Data::Reader data) {
+    return {reinterpret_cast<const char*>(data.begin()), data.size()};
 }
 
-TEST(Upgrade, EitherVersionReadsTheOthersFramesBetweenControllers) {
+TEST(PeerLinkCompatibility, ExchangesFramesWithOldVersion) {
     const auto call = from_hex(test::kOldCall), reply = from_hex(test::kOldReply);
     LinkStatus links;
     links.reports_links = links.reaches_kv = true;
     links.direct_workers = 7;
     links.reachable_peers = {"node-1", "node-2"};
     asio::io_context io;
-    PeerCall heard;
+    PeerCall received;
     PeerServer server(io, {"127.0.0.1", 0}, [&](PeerCall c) -> asio::awaitable<PeerReply> {
-        heard = c;
+        received = c;
         PeerReply r{200,  "{\"op\":" + std::to_string(static_cast<int>(c.op)) + "}", 3, 41, false,
                     links};
         co_return r;
     });
-    auto turn_until = [&](auto condition) {
+    auto run_until = [&](auto condition) {
         for (double end = steady_now() + 60; !condition() && steady_now() < end;)
             io.run_one_for(std::chrono::milliseconds(10));
     };
-    auto frame_from = [&](tcp::socket& socket) {
+    auto read_frame = [&](tcp::socket& socket) {
         std::string bytes;
-        turn_until([&] {
+        run_until([&] {
             boost::system::error_code ec;
             if (auto n = socket.available(ec); n > 0) {
-                std::string more(n, '\0');
-                asio::read(socket, asio::buffer(more));
-                bytes += more;
+                std::string chunk(n, '\0');
+                asio::read(socket, asio::buffer(chunk));
+                bytes += chunk;
             }
             return first_frame(bytes).has_value();
         });
         return first_frame(bytes).value_or("");
     };
-    // An old caller's frame, and the answer as it reads it.
+    // This version parses a call of the old version, which parses the reply.
     tcp::socket socket(io);
     socket.connect(tcp::endpoint(asio::ip::make_address("127.0.0.1"), server.port()));
     asio::write(socket, asio::buffer(call));
-    as_read_before(frame_from(socket), [&](oldpeer::Frame::Reader f) {
-        as_read_before(reply.substr(4),
-                       [&](oldpeer::Frame::Reader old) { EXPECT_EQ(f.getSeq(), old.getSeq()); });
+    check_with_old_schema(read_frame(socket), [&](oldpeer::Frame::Reader f) {
+        check_with_old_schema(reply.substr(4), [&](oldpeer::Frame::Reader old) {
+            EXPECT_EQ(f.getSeq(), old.getSeq());
+        });
         ASSERT_TRUE(f.isReply());
         EXPECT_EQ(f.getReply().getStatus(), 200);
-        EXPECT_EQ(text_of(f.getReply().getBody()), "{\"op\":1}");
+        EXPECT_EQ(to_string(f.getReply().getBody()), "{\"op\":1}");
         EXPECT_EQ(f.getReply().getRetryAfterS(), 3);
         EXPECT_EQ(f.getReply().getToken(), 41u);
     });
-    EXPECT_EQ(heard.op, PeerOp::Status);
-    EXPECT_EQ(heard.subject, "req-000412");
-    EXPECT_EQ(heard.body, "x");
-    EXPECT_FALSE(heard.links.reports_links);
-    // A call of ours, as an old callee reads it, and that one's answer.
+    EXPECT_EQ(received.op, PeerOp::Status);
+    EXPECT_EQ(received.subject, "req-000412");
+    EXPECT_EQ(received.body, "x");
+    EXPECT_FALSE(received.links.reports_links);
+    // The old version parses a call of this version, which parses the reply.
     tcp::acceptor acceptor(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0));
     PeerClient client(io, {"127.0.0.1", acceptor.local_endpoint().port()});
-    std::optional<PeerReply> got;
+    std::optional<PeerReply> client_reply;
     asio::co_spawn(
         io,
         [&]() -> asio::awaitable<void> {
-            PeerCall placed_this_term{PeerOp::Status, "req-000412", "x", true, "node-0", links};
-            got = co_await client.call(std::move(placed_this_term), 30);
+            PeerCall status_call{PeerOp::Status, "req-000412", "x", true, "node-0", links};
+            client_reply = co_await client.call(std::move(status_call), 30);
         },
         asio::detached);
     tcp::socket callee(io);
     bool accepted = false;
     acceptor.async_accept(callee, [&](auto ec) { accepted = !ec; });
-    turn_until([&] { return accepted; });
-    as_read_before(frame_from(callee), [&](oldpeer::Frame::Reader f) {
+    run_until([&] { return accepted; });
+    check_with_old_schema(read_frame(callee), [&](oldpeer::Frame::Reader f) {
         ASSERT_TRUE(f.isCall());
         EXPECT_EQ(f.getCall().getOp(), oldpeer::Op::STATUS);
         EXPECT_EQ(f.getCall().getSubject(), "req-000412");
-        EXPECT_EQ(text_of(f.getCall().getBody()), "x");
+        EXPECT_EQ(to_string(f.getCall().getBody()), "x");
     });
     asio::write(callee, asio::buffer(reply));
-    turn_until([&] { return got.has_value(); });
-    ASSERT_TRUE(got);
-    EXPECT_EQ(got->status, 200);
-    EXPECT_EQ(got->fencing_token, 41u);
-    EXPECT_EQ(got->retry_after_s, 3);
-    EXPECT_FALSE(got->links.reports_links);
-    // What is said of links arrives as it was said.
-    PeerClient placed_this_term(io, {"127.0.0.1", server.port()});
-    got.reset();
+    run_until([&] { return client_reply.has_value(); });
+    ASSERT_TRUE(client_reply);
+    EXPECT_EQ(client_reply->status, 200);
+    EXPECT_EQ(client_reply->fencing_token, 41u);
+    EXPECT_EQ(client_reply->retry_after_s, 3);
+    EXPECT_FALSE(client_reply->links.reports_links);
+    // Between two controllers of this version, links arrive unchanged.
+    PeerClient ping_client(io, {"127.0.0.1", server.port()});
+    client_reply.reset();
     asio::co_spawn(
         io,
         [&]() -> asio::awaitable<void> {
             PeerCall ping{PeerOp::Ping, "", "", false, "node-0", links};
-            got = co_await placed_this_term.call(std::move(ping), 30);
+            client_reply = co_await ping_client.call(std::move(ping), 30);
         },
         asio::detached);
-    turn_until([&] { return got.has_value(); });
-    ASSERT_TRUE(got);
-    EXPECT_EQ(got->links, links);
-    EXPECT_EQ(heard.links, links);
-    EXPECT_EQ(heard.sender, "node-0");
+    run_until([&] { return client_reply.has_value(); });
+    ASSERT_TRUE(client_reply);
+    EXPECT_EQ(client_reply->links, links);
+    EXPECT_EQ(received.links, links);
+    EXPECT_EQ(received.sender, "node-0");
 }
 
-// A job whose description an older version could record, and which no longer fits one value.
-std::string long_job(const std::string& id) {
-    World w;
-    auto spec = w.spec(id, JobKind::Array, 3, 1);
+// Returns the record of a job that an older version could store, but that exceeds the lowered
+// limit on the size of a value.
+std::string oversized_job_record(const std::string& id) {
+    World world;
+    auto spec = world.spec(id, JobKind::Array, 3, 1);
     for (int i = 0; i < 60; ++i)
         spec.types.push_back(
-            w.cluster.names.types.intern("type-" + std::string(40, 'x') + std::to_string(i)));
-    spec.image = w.cluster.names.images.intern(std::string(60, '"') + "\u00e9\u00e9");
-    auto j = w.job(spec);
-    return job_record(*w.cluster.jobs[j], j, w.cluster);
+            world.cluster.names.types.intern("type-" + std::string(40, 'x') + std::to_string(i)));
+    spec.image = world.cluster.names.images.intern(std::string(60, '"') + "\u00e9\u00e9");
+    auto j = world.job(spec);
+    return job_record(*world.cluster.jobs[j], j, world.cluster);
 }
 
-TEST(LowerLimits, LongerValuesOfAnOlderVersionAreReadAndNeverWrittenAgain) {
-    constexpr StateLogLimits tight{4, 2};
-    for (bool pipelines : {false, true}) {
-        Store s;
-        auto entry = long_job("req-7");
+TEST(StateLogLimits, ReadsOversizedValueAndNeverRewritesIt) {
+    constexpr StateLogLimits lowered_limits{4, 2};
+    for (bool dependencies : {false, true}) {
+        Store store;
+        auto entry = oversized_job_record("req-7");
         ASSERT_GT(entry.size(), 2048u);
-        s.keys[segment_key(1)] = {"[" + entry + R"(,["t","req-7",[0,0,"d"]]])", 12};
-        World w;
-        StateLog l(w.cluster, 41, tight);
-        s.load(l, w.now);
-        auto m = w.machine("vm-000001");
-        // Others come, change and end; the log is told anew again and again.
+        store.keys[segment_key(1)] = {"[" + entry + R"(,["t","req-7",[0,0,"d"]]])", 12};
+        World world;
+        StateLog state_log(world.cluster, 41, lowered_limits);
+        store.load(state_log, world.now);
+        auto m = world.machine("vm-000001");
+        // Other jobs are submitted, run and end, while compaction rewrites the log repeatedly.
         for (int i = 1; i <= 300; ++i) {
-            auto spec = w.spec("req-1" + std::to_string(i), JobKind::Array, 20, 0.01);
-            if (pipelines && i % 3 == 0) spec.dependencies = {"req-7"};
-            auto j = w.cluster.add_job(std::move(spec), 1000, w.now);
-            if (w.cluster.jobs[j]->waits)
-                w.cluster.set_dependencies(j, {w.cluster.job_index.at("req-7")}, w.now);
-            l.new_job(j);
-            test::flush(l, w.cluster, s, tight, w.now);
-            EXPECT_NE(w.cluster.jobs[j]->version, 0u);
-            if (w.cluster.jobs[j]->waits) continue;
-            for (uint32_t t = 0; t < 20; ++t) w.cluster.place(j, t, m, 1, w.now);
-            test::flush(l, w.cluster, s, tight, w.now);
-            for (uint32_t t = 0; t < 20; ++t) w.cluster.finish(j, t, w.now);
-            w.cluster.jobs[j]->ending = true;
-            l.finish(j);
-            test::flush(l, w.cluster, s, tight, w.now);
+            auto spec = world.spec("req-1" + std::to_string(i), JobKind::Array, 20, 0.01);
+            if (dependencies && i % 3 == 0) spec.dependencies = {"req-7"};
+            auto j = world.cluster.add_job(std::move(spec), 1000, world.now);
+            if (world.cluster.jobs[j]->waits)
+                world.cluster.set_dependencies(j, {world.cluster.job_index.at("req-7")}, world.now);
+            state_log.new_job(j);
+            test::flush(state_log, world.cluster, store, lowered_limits, world.now);
+            EXPECT_NE(world.cluster.jobs[j]->version, 0u);
+            if (world.cluster.jobs[j]->waits) continue;
+            for (uint32_t t = 0; t < 20; ++t) world.cluster.place(j, t, m, 1, world.now);
+            test::flush(state_log, world.cluster, store, lowered_limits, world.now);
+            for (uint32_t t = 0; t < 20; ++t) world.cluster.finish(j, t, world.now);
+            world.cluster.jobs[j]->ending = true;
+            state_log.finish(j);
+            test::flush(state_log, world.cluster, store, lowered_limits, world.now);
         }
-        // In pieces it would not be readable by the version before, which may still lead: its
-        // segment stays until pipelines are used.
-        EXPECT_EQ(s.keys.count(segment_key(1)), pipelines ? 0u : 1u);
-        if (!pipelines) expect_readable_by_the_version_before(s);
+        // The old version can't read a multi-part record and may still lead, so the segment stays
+        // until a job has dependencies.
+        EXPECT_EQ(store.keys.count(segment_key(1)), dependencies ? 0u : 1u);
+        if (!dependencies) expect_readable_by_old_version(store);
         World fresh;
-        StateLog next(fresh.cluster, 42, tight);
-        s.load(next, fresh.now);
-        EXPECT_EQ(test::picture(fresh.cluster), test::picture(w.cluster));
+        StateLog next(fresh.cluster, 42, lowered_limits);
+        store.load(next, fresh.now);
+        EXPECT_EQ(test::picture(fresh.cluster), test::picture(world.cluster));
         auto* job = fresh.cluster.find_job("req-7");
         ASSERT_TRUE(job);
         EXPECT_EQ(job->done, 1u);
@@ -312,94 +317,96 @@
             true);
         EXPECT_EQ(job->spec.types.size(), 60u);
         EXPECT_EQ(fresh.cluster.names.images.name(job->spec.image),
-                  w.cluster.names.images.name(w.cluster.find_job("req-7")->spec.image));
+                  world.cluster.names.images.name(world.cluster.find_job("req-7")->spec.image));
     }
 }
 
-TEST(LowerLimits, WhatIsRefusedAsTooLargeIsToldInSmallerTransactions) {
-    // Nothing was announced. The same text was once sent again for ever, and all else waited behind
-    // it.
-    World w;
-    Store s;
-    StateLog l(w.cluster, 41, {24, 32});
-    auto m = w.machine("vm-000001");
+TEST(StateLogLimits, SplitsTransactionRejectedAsTooLarge) {
+    // The state service lowers its limits without an announcement. The log once repeated the
+    // rejected transaction forever, and all later changes waited behind it.
+    World world;
+    Store store;
+    StateLog state_log(world.cluster, 41, {24, 32});
+    auto m = world.machine("vm-000001");
     for (int i = 1; i <= 40; ++i) {
-        auto j = w.cluster.add_job(w.spec("req-" + std::to_string(i), JobKind::Array, 30, 0.001),
-                                   1000, w.now);
-        l.new_job(j);
+        auto j = world.cluster.add_job(
+            world.spec("req-" + std::to_string(i), JobKind::Array, 30, 0.001), 1000, world.now);
+        state_log.new_job(j);
     }
-    constexpr StateLogLimits held{6, 2};
-    auto taken = [&](const StateLogBatch& b) {
-        return b.txn.changes.size() <= static_cast<size_t>(held.txn_ops) &&
+    constexpr StateLogLimits actual_limits{6, 2};
+    auto is_accepted = [&](const StateLogBatch& b) {
+        return b.txn.changes.size() <= static_cast<size_t>(actual_limits.txn_ops) &&
                std::all_of(b.txn.changes.begin(), b.txn.changes.end(),
                            [](auto& c) { return c.value.size() <= 2048; });
     };
-    int refused = 0;
+    int rejected_count = 0;
     bool placed = false;
-    for (int i = 0; i < 500 && (l.waiting() || !placed); ++i) {
-        if (!l.waiting()) {
+    for (int i = 0; i < 500 && (state_log.waiting() || !placed); ++i) {
+        if (!state_log.waiting()) {
             placed = true;
-            for (Index j = 0; j < w.cluster.jobs.size(); ++j)
-                for (uint32_t t = 0; t < 30; ++t) w.cluster.place(j, t, m, 1, w.now);
+            for (Index j = 0; j < world.cluster.jobs.size(); ++j)
+                for (uint32_t t = 0; t < 30; ++t) world.cluster.place(j, t, m, 1, world.now);
         }
-        auto b = l.next(24);
+        auto b = state_log.next(24);
         if (b.empty()) break;
-        if (!taken(b)) {
-            ++refused;
-            ASSERT_TRUE(l.shrink());
-            l.rejected(b);
+        if (!is_accepted(b)) {
+            ++rejected_count;
+            ASSERT_TRUE(state_log.shrink());
+            state_log.rejected(b);
             for (auto& e : b.entries)
-                if (e.kind == EntryKind::NewJob) l.new_job(e.job);
+                if (e.kind == EntryKind::NewJob) state_log.new_job(e.job);
             continue;
         }
-        l.committed(b, s.apply(b.txn));
+        state_log.committed(b, store.apply(b.txn));
     }
-    EXPECT_GT(refused, 0);
-    EXPECT_LT(refused, 8);
-    EXPECT_FALSE(l.waiting());
+    EXPECT_GT(rejected_count, 0);
+    EXPECT_LT(rejected_count, 8);
+    EXPECT_FALSE(state_log.waiting());
     World fresh;
-    StateLog next(fresh.cluster, 42, held);
-    s.load(next, fresh.now);
+    StateLog next(fresh.cluster, 42, actual_limits);
+    store.load(next, fresh.now);
     EXPECT_EQ(fresh.cluster.job_index.size(), 40u);
-    EXPECT_EQ(test::picture(fresh.cluster), test::picture(w.cluster));
-    while (l.shrink()) ++refused;
-    EXPECT_LT(refused, 12);
+    EXPECT_EQ(test::picture(fresh.cluster), test::picture(world.cluster));
+    while (state_log.shrink()) ++rejected_count;
+    EXPECT_LT(rejected_count, 12);
 }
 
-TEST(LowerLimits, ANoteThatNeverFitsHoldsBackNothing) {
-    World w;
-    StateLog l(w.cluster, 41, {4, 2});
-    l.note(kTypesKey, "\"" + std::string(3000, 'x') + "\"");
-    l.note(kRoundKey, R"({"number":1})");
-    auto b = l.next(4);
+TEST(StateLogLimits, OversizedRecordDoesNotBlockOthers) {
+    World world;
+    StateLog state_log(world.cluster, 41, {4, 2});
+    state_log.note(kTypesKey, "\"" + std::string(3000, 'x') + "\"");
+    state_log.note(kRoundKey, R"({"number":1})");
+    auto b = state_log.next(4);
     ASSERT_EQ(b.txn.changes.size(), 1u);
     EXPECT_EQ(b.txn.changes[0].key, kRoundKey);
-    l.committed(b, 50);
-    EXPECT_FALSE(l.waiting());
+    state_log.committed(b, 50);
+    EXPECT_FALSE(state_log.waiting());
 }
 
-TEST(LowerLimits, ATransactionOfAnySizeKeepsToItsConditions) {
-    // Four changes, sixteen conditions: new jobs, ends, a note and drops at once.
+TEST(StateLogLimits, AnyTransactionSizeRecordsAllChanges) {
+    // The smallest transaction has four changes and sixteen conditions. New jobs, ended jobs, a
+    // single record and deletions are queued at the same time.
     for (int ops : {4, 5, 8, 24}) {
-        World w;
-        Store s;
+        World world;
+        Store store;
         StateLogLimits limits{ops, 2};
-        StateLog l(w.cluster, 41, limits);
+        StateLog state_log(world.cluster, 41, limits);
         for (int i = 1; i <= 200; ++i)
-            l.new_job(w.cluster.add_job(w.spec("req-" + std::to_string(i), JobKind::Array, 1, 0.01),
-                                        1, w.now));
-        test::flush(l, w.cluster, s, limits, w.now);
+            state_log.new_job(world.cluster.add_job(
+                world.spec("req-" + std::to_string(i), JobKind::Array, 1, 0.01), 1, world.now));
+        test::flush(state_log, world.cluster, store, limits, world.now);
         for (Index j = 0; j < 200; ++j) {
-            w.cluster.finish(j, 0, w.now);
-            w.cluster.jobs[j]->ending = true;
-            l.finish(j);
-            l.note(kRoundKey, R"({"number":1})");
-            l.new_job(w.cluster.add_job(
-                w.spec("req-" + std::to_string(1000 + j), JobKind::Array, 1, 0.01), 1, w.now));
+            world.cluster.finish(j, 0, world.now);
+            world.cluster.jobs[j]->ending = true;
+            state_log.finish(j);
+            state_log.note(kRoundKey, R"({"number":1})");
+            state_log.new_job(world.cluster.add_job(
+                world.spec("req-" + std::to_string(1000 + j), JobKind::Array, 1, 0.01), 1,
+                world.now));
         }
-        test::flush(l, w.cluster, s, limits, w.now);
-        EXPECT_EQ(w.cluster.job_index.size(), 200u) << ops;
-        EXPECT_FALSE(l.waiting()) << ops;
+        test::flush(state_log, world.cluster, store, limits, world.now);
+        EXPECT_EQ(world.cluster.job_index.size(), 200u) << ops;
+        EXPECT_FALSE(state_log.waiting()) << ops;
     }
 }
 
