--- a/src/protocol/peer.capnp
+++ b/src/protocol/peer.capnp
@@ -44,8 +44,8 @@
   body @1 :Data;
   retryAfterS @2 :UInt16;  # seconds; 0: not set
   token @3 :UInt64;    # fencing token
+  undecided @4 :Bool;
   # The callee does not lead, does not lead yet, or can't confirm its lease: a standby controller may
   # serve the call.
-  undecided @4 :Bool;
   links @5 :Links;     # set in the reply to a ping: the callee's links
 }
