--- a/src/autoscaler/headroom.cpp
+++ b/src/autoscaler/headroom.cpp
@@ -55,7 +55,7 @@
     int64_t tasks = 0;
     for (const auto& machine : cluster.machines) {
         if (!machine || !machine->up || !machine_eligible(cluster, spec, *machine)) continue;
-        tasks += spec.demand.times_in(machine->size);
+        tasks += spec.demand.max_copies_in(machine->size);
     }
     return tasks;
 }
--- a/src/autoscaler/job_planner.cpp
+++ b/src/autoscaler/job_planner.cpp
@@ -25,7 +25,7 @@
     int64_t most = 0;
     for (Index type = 0; type < cluster.types.size(); ++type) {
         if (!cluster.type_fits(spec, type)) continue;
-        most = std::max(most, spec.demand.times_in(cluster.types[type].type.size));
+        most = std::max(most, spec.demand.max_copies_in(cluster.types[type].type.size));
     }
     return most;
 }
@@ -185,7 +185,7 @@
     if (offer_)
         filled_share =
             std::min(1.0, static_cast<double>(remaining) /
-                              static_cast<double>(spec_.demand.times_in(offer_->available)));
+                              static_cast<double>(spec_.demand.max_copies_in(offer_->available)));
     return (kMaxWaitShare + kEmptyMachineWaitShare * (1 - filled_share)) * request_.slack_s;
 }
 
--- a/src/autoscaler/offers.cpp
+++ b/src/autoscaler/offers.cpp
@@ -48,7 +48,7 @@
         if (!type_suits(cluster, spec, type_index)) continue;
         const auto& type = cluster.types[type_index].type;
         const auto tasks_per_machine =
-            std::min<int64_t>(spec.demand.times_in(type.size), static_cast<int64_t>(tasks));
+            std::min<int64_t>(spec.demand.max_copies_in(type.size), static_cast<int64_t>(tasks));
         for (const auto& zone_name : type.zones) {
             const auto zone = cluster.names.zones.find(zone_name);
             if (zone_allowed(zone))
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -49,7 +49,7 @@
                        std::vector<Headroom>& headroom) {
     for (auto& entry : headroom) {
         if (entry.tasks <= 0 || !machine_eligible(cluster, *entry.spec, machine)) continue;
-        entry.tasks -= entry.spec->demand.times_in(machine.free_resources());
+        entry.tasks -= entry.spec->demand.max_copies_in(machine.free_resources());
         return true;
     }
     return false;
--- a/src/autoscaler/scale_out.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -128,7 +128,7 @@
     int64_t tasks = 0;
     for (const auto& capacity : forecast_.machines())
         if (capacity_suits(cluster_, spec, capacity))
-            tasks += spec.demand.times_in(capacity.available);
+            tasks += spec.demand.max_copies_in(capacity.available);
     return tasks;
 }
 
@@ -144,7 +144,7 @@
                                           context_.silent_zones, context_.now);
         if (!offer) return;
         ++requests_[offer_of(*offer)];
-        covered_tasks += std::max<int64_t>(1, spec.demand.times_in(offer->available));
+        covered_tasks += std::max<int64_t>(1, spec.demand.max_copies_in(offer->available));
     }
 }
 
--- a/src/autoscaler/shape_index.cpp
+++ b/src/autoscaler/shape_index.cpp
@@ -27,7 +27,7 @@
     if (capacity.zone >= zone_tasks_.size()) zone_tasks_.resize(capacity.zone + 1, 0);
     auto& tasks = machine_tasks_[machine];
     zone_tasks_[capacity.zone] -= tasks;
-    tasks = suits(capacity) ? shape_.demand.times_in(capacity.available) : 0;
+    tasks = suits(capacity) ? shape_.demand.max_copies_in(capacity.available) : 0;
     zone_tasks_[capacity.zone] += tasks;
 }
 
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -24,16 +24,16 @@
 
 using Node = toml::node_view<toml::node>;
 
-// The least rate or duration that makes sense, so that none is 0.
+// Lower bound of rates and durations that must be positive.
 constexpr double kMinPositive = 1e-3;
-// The largest transaction that this service needs if it splits what it can.
+// Number of operations of the largest transaction that the service can't split.
 constexpr double kMinTransactionOps = 4;
 constexpr double kMinMemory_mb = 16;
 constexpr double kMinSockets = 32;
 
 std::string required_string(Node node, const std::string& field) {
     auto v = node.value<std::string>();
-    if (!v || v->empty()) throw SettingsError("settings: " + field + " is missing or not a text");
+    if (!v || v->empty()) throw SettingsError("settings: " + field + " is missing or not a string");
     return *v;
 }
 
@@ -50,7 +50,7 @@
     return Endpoint::parse(required_string(node, field), field);
 }
 
-// A table and its name in the file, for error texts.
+// A table and its name in the file, for error messages.
 struct Section {
     Node node;
     std::string name;
@@ -70,16 +70,17 @@
     }
 };
 
-// Calls `read` with each table of a list, in order; never if it is missing.
+// Calls `read` with each table of a list, in order. A missing list counts as empty.
 template <class F>
 void for_each_table(Node node, const std::string& name, const F& read) {
     if (!node) return;
     auto* list = node.as_array();
     if (!list) throw SettingsError("settings: " + name + " must be a list of tables");
     for (size_t i = 0; i < list->size(); ++i) {
-        auto at = name + "[" + std::to_string(i) + "]";
-        if (!(*list)[i].is_table()) throw SettingsError("settings: " + at + " must be a table");
-        read(Section{Node((*list)[i]), std::move(at)});
+        auto item_name = name + "[" + std::to_string(i) + "]";
+        if (!(*list)[i].is_table())
+            throw SettingsError("settings: " + item_name + " must be a table");
+        read(Section{Node((*list)[i]), std::move(item_name)});
     }
 }
 
@@ -106,7 +107,7 @@
     std::vector<std::string> zones;
     for (auto& z : *list) {
         auto v = z.value<std::string>();
-        if (!v) throw SettingsError("settings: deployment.zones must be a list of texts");
+        if (!v) throw SettingsError("settings: deployment.zones must be a list of strings");
         zones.push_back(*v);
     }
     return zones;
@@ -130,7 +131,7 @@
     return teams;
 }
 
-// What is missing or of another type counts as not given.
+// An optional field that is missing or has the wrong type counts as not set.
 std::vector<Objective> read_objectives(Node node) {
     std::vector<Objective> objectives;
     for_each_table(node, "deployment.objectives", [&](const Section& objective) {
@@ -145,55 +146,56 @@
     return objectives;
 }
 
-void read_workers(const Section& workers, Settings& s) {
-    s.heartbeat_interval_s = workers.number("report_s", kMinPositive);
-    s.lease_s = workers.number("lease_s", kMinPositive);
-    s.gang_wait_s = workers.number("gang_wait_s", kMinPositive);
-    s.gang_peer_s = workers.number("gang_peer_s", kMinPositive);
-    s.cancel_s = workers.number("cancel_s", kMinPositive);
+void read_workers(const Section& workers, Settings& settings) {
+    settings.heartbeat_interval_s = workers.number("report_s", kMinPositive);
+    settings.lease_s = workers.number("lease_s", kMinPositive);
+    settings.gang_wait_s = workers.number("gang_wait_s", kMinPositive);
+    settings.gang_peer_s = workers.number("gang_peer_s", kMinPositive);
+    settings.cancel_s = workers.number("cancel_s", kMinPositive);
 }
 
-// Takes over the figure that is announced for later where it is the tighter one.
+// Lowers a limit to its announced value if that is lower.
 template <class T>
-void tighten(const Section& next, const char* key, double min, T& value) {
+void apply_announced_limit(const Section& next, const char* key, double min, T& value) {
     if (!next.node[key]) return;
     value = std::min(value, static_cast<T>(next.number(key, min)));
 }
 
-void read_state_service(const Section& state, Settings& s) {
-    s.state_rps = state.number("rps", 1);
-    s.state_write_rps = state.number("write_rps", 1);
-    s.value_kb = state.number("value_kb", 1);
-    s.txn_ops = static_cast<int>(state.number("txn_ops", kMinTransactionOps));
+void read_state_service(const Section& state, Settings& settings) {
+    settings.state_rps = state.number("rps", 1);
+    settings.state_write_rps = state.number("write_rps", 1);
+    settings.value_kb = state.number("value_kb", 1);
+    settings.txn_ops = static_cast<int>(state.number("txn_ops", kMinTransactionOps));
     const Section next{state.node["next"], state.field("next")};
     if (!next.node) return;
     if (!next.node.is_table()) throw SettingsError("settings: " + next.name + " must be a table");
-    tighten(next, "rps", 1, s.state_rps);
-    tighten(next, "write_rps", 1, s.state_write_rps);
-    tighten(next, "value_kb", 1, s.value_kb);
-    tighten(next, "txn_ops", kMinTransactionOps, s.txn_ops);
+    apply_announced_limit(next, "rps", 1, settings.state_rps);
+    apply_announced_limit(next, "write_rps", 1, settings.state_write_rps);
+    apply_announced_limit(next, "value_kb", 1, settings.value_kb);
+    apply_announced_limit(next, "txn_ops", kMinTransactionOps, settings.txn_ops);
 }
 
-void read_cloud(const Section& cloud, Settings& s) {
-    s.cloud_rps = cloud.number("rps", kMinPositive);
-    s.list_lag_s = cloud.number("list_lag_s", 0);
+void read_cloud(const Section& cloud, Settings& settings) {
+    settings.cloud_rps = cloud.number("rps", kMinPositive);
+    settings.list_lag_s = cloud.number("list_lag_s", 0);
 }
 
-void read_resources(const Section& resources, Settings& s) {
-    s.cpu_share = resources.number("cpu", kMinPositive);
-    s.mem_mb = resources.number("mem_mb", kMinMemory_mb);
-    s.max_sockets = static_cast<int>(resources.number("max_sockets", kMinSockets));
+void read_resources(const Section& resources, Settings& settings) {
+    settings.cpu_share = resources.number("cpu", kMinPositive);
+    settings.mem_mb = resources.number("mem_mb", kMinMemory_mb);
+    settings.max_sockets = static_cast<int>(resources.number("max_sockets", kMinSockets));
 }
 
-void read_deployment(Node d, Settings& s) {
-    s.zones = read_zones(d["zones"]);
-    s.clock_off_ms = required_number(d["clock_off_ms"], "deployment.clock_off_ms", 0);
-    s.teams = read_teams(d["teams"]);
-    s.objectives = read_objectives(d["objectives"]);
-    read_workers({d["workers"], "deployment.workers"}, s);
-    read_state_service({d["state"], "deployment.state"}, s);
-    read_cloud({d["cloud"], "deployment.cloud"}, s);
-    read_resources({d["resources"], "deployment.resources"}, s);
+void read_deployment(Node deployment, Settings& settings) {
+    settings.zones = read_zones(deployment["zones"]);
+    settings.clock_off_ms =
+        required_number(deployment["clock_off_ms"], "deployment.clock_off_ms", 0);
+    settings.teams = read_teams(deployment["teams"]);
+    settings.objectives = read_objectives(deployment["objectives"]);
+    read_workers({deployment["workers"], "deployment.workers"}, settings);
+    read_state_service({deployment["state"], "deployment.state"}, settings);
+    read_cloud({deployment["cloud"], "deployment.cloud"}, settings);
+    read_resources({deployment["resources"], "deployment.resources"}, settings);
 }
 
 toml::table parse_file(const std::string& path) {
@@ -209,16 +211,16 @@
 Settings load_settings(const std::string& path) {
     auto root = parse_file(path);
     const Node top(root);
-    Settings s;
-    s.name = required_string(top["host_name"], "host_name");
-    s.zone = required_string(top["site"], "site");
-    s.api = required_endpoint(top["api_addr"], "api_addr");
-    s.peer = required_endpoint(top["peer_bind"], "peer_bind");
-    s.peers = read_peers(top["seeds"], s.name);
-    s.cloud = required_endpoint(top["external"]["cloud"], "external.cloud");
-    s.state = required_endpoint(top["external"]["state"], "external.state");
-    read_deployment(top["deployment"], s);
-    return s;
+    Settings settings;
+    settings.name = required_string(top["host_name"], "host_name");
+    settings.zone = required_string(top["site"], "site");
+    settings.api = required_endpoint(top["api_addr"], "api_addr");
+    settings.peer = required_endpoint(top["peer_bind"], "peer_bind");
+    settings.peers = read_peers(top["seeds"], settings.name);
+    settings.cloud = required_endpoint(top["external"]["cloud"], "external.cloud");
+    settings.state = required_endpoint(top["external"]["state"], "external.state");
+    read_deployment(top["deployment"], settings);
+    return settings;
 }
 
 }  // namespace weirmill
--- a/src/controller/cloud_client.cpp
+++ b/src/controller/cloud_client.cpp
@@ -18,9 +18,9 @@
 
 // Returns whether the cloud is overloaded or failing. A response that reports a lack of capacity is
 // a regular response and needs no back-off.
-bool needs_back_off(const std::optional<HttpAnswer>& response) {
+bool needs_back_off(const std::optional<HttpResponse>& response) {
     return !response || response->status == 429 ||
-           (response->status == 503 && !says_no_capacity(response->body));
+           (response->status == 503 && !is_no_capacity_error(response->body));
 }
 
 }  // namespace
@@ -30,8 +30,9 @@
       http_(context.io, context.settings.cloud, kMaxResponseBytes),
       rate_limiter_(context.settings.cloud_rps * kRateShare, kBurst_s) {}
 
-asio::awaitable<std::optional<HttpAnswer>> CloudClient::call(const char* method, std::string target,
-                                                             std::string body, double timeout_s) {
+asio::awaitable<std::optional<HttpResponse>> CloudClient::call(const char* method,
+                                                               std::string target, std::string body,
+                                                               double timeout_s) {
     while (!context_.stopped) {
         double now = steady_now();
         if (now >= back_off_until_ && rate_limiter_.available(now) >= 1) break;
--- a/src/controller/cloud_client.h
+++ b/src/controller/cloud_client.h
@@ -18,8 +18,8 @@
     // Waits until the rate limit permits a request, then sends it. Returns nothing if no response
     // arrived within `timeout_s` seconds; the cloud may or may not have executed the request then.
     // The caller must keep the leader alive until the call completes.
-    boost::asio::awaitable<std::optional<HttpAnswer>> call(const char* method, std::string target,
-                                                           std::string body, double timeout_s);
+    boost::asio::awaitable<std::optional<HttpResponse>> call(const char* method, std::string target,
+                                                             std::string body, double timeout_s);
 
   private:
     LeaderContext& context_;
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -54,7 +54,7 @@
     try {
         return parse_heartbeat(call.body);
     } catch (const BadMessage& e) {
-        context_.metrics.count("malformed_reports_total");
+        context_.metrics.increment("malformed_reports_total");
         if (may_log_warning())
             spdlog::error("worker: refused malformed heartbeat from {}: {}", call.subject,
                           e.what());
@@ -65,7 +65,7 @@
 
 bool HeartbeatHandler::is_from_later_term(const Heartbeat& heartbeat) {
     if (heartbeat.fencing_token <= context_.term->fencing_token) return false;
-    context_.metrics.count("reports_of_later_tokens_total");
+    context_.metrics.increment("reports_of_later_tokens_total");
     if (may_log_warning())
         spdlog::info("worker: {} has seen token={}, newer than ours", heartbeat.machine,
                      heartbeat.fencing_token);
@@ -79,7 +79,7 @@
     if (std::pair(heartbeat.agent_epoch, heartbeat.seq) >
         std::pair(machine.agent_epoch, machine.heartbeat_seq))
         return false;
-    context_.metrics.count("report_copies_total");
+    context_.metrics.increment("report_copies_total");
     return true;
 }
 
@@ -168,7 +168,7 @@
     for (auto& ref : machine.tasks) {
         auto& job = *context_.cluster.jobs[ref.job];
         auto& task = job.tasks[ref.task];
-        if (task.phase != TaskPhase::Unseen || task.start_seq == 0 ||
+        if (task.phase != TaskPhase::NotReported || task.start_seq == 0 ||
             task.start_seq >= heartbeat.seq)
             continue;
         if (reported.contains({job.spec.id, ref.task}))
@@ -177,7 +177,7 @@
             observation.launch_missing = true;
     }
     if (!observe_heartbeat(machine.downlink, observation, context_.settings, context_.now)) return;
-    context_.metrics.count("machines_deaf_total");
+    context_.metrics.increment("machines_deaf_total");
     spdlog::info("machine: {} does not receive responses, downlink lost", machine.name);
 }
 
@@ -249,7 +249,8 @@
         if (!proven_gone) continue;
         // A task that the worker did not start is started again, unless the machine's downlink is
         // lost, as the machine would not receive the new start command either.
-        if (task.phase != TaskPhase::Unseen || task.stopping || machine.downlink.downlink_lost())
+        if (task.phase != TaskPhase::NotReported || task.stopping ||
+            machine.downlink.downlink_lost())
             task_lifecycle_.mark_lost(ref.job, ref.task);
     }
 }
@@ -262,7 +263,7 @@
     for (auto& ref : machine.tasks) {
         auto& job = *context_.cluster.jobs[ref.job];
         auto& task = job.tasks[ref.task];
-        if (task.phase == TaskPhase::Unseen && !task.stopping &&
+        if (task.phase == TaskPhase::NotReported && !task.stopping &&
             !context_.cluster.task_recorded(job, ref.task))
             return true;
     }
@@ -308,7 +309,8 @@
 bool HeartbeatHandler::may_start(const Machine& machine, const TaskRef& ref) const {
     auto& job = *context_.cluster.jobs[ref.job];
     auto& task = job.tasks[ref.task];
-    if (task.phase != TaskPhase::Unseen || !context_.lease_valid() || !job.active()) return false;
+    if (task.phase != TaskPhase::NotReported || !context_.lease_valid() || !job.active())
+        return false;
     if (task.agent_epoch != machine.agent_epoch) return false;
     if (machine.interruption_at >= 0 || machine.terminating) return false;
     if (!context_.cluster.task_recorded(job, ref.task)) return false;
@@ -374,7 +376,7 @@
 
 void HeartbeatHandler::redirect_deferred() {
     for (auto& [machine_index, response] : deferred_)
-        response.reply.set({421, redirect_answer("")});
+        response.reply.set({421, redirect_response("")});
     deferred_.clear();
 }
 
--- a/src/controller/instance_manager.cpp
+++ b/src/controller/instance_manager.cpp
@@ -239,7 +239,7 @@
     auto& zone = context_.cluster.names.zones.name(request.zone);
     spdlog::info("cloud: provisioned {}/{} machines of type {} in zone {} spot={}",
                  message.names.size(), request.count, type, zone, request.spot);
-    context_.metrics.count("machines_rented_total", message.names.size());
+    context_.metrics.increment("machines_rented_total", message.names.size());
     for (auto& name : message.names) {
         if (is_terminated(name)) continue;
         auto& machine =
@@ -360,7 +360,7 @@
         if (!response || response->status != 200) co_return std::nullopt;
         try {
             auto page = parse_machine_page(response->body);
-            more = page.more && !page.machines.empty();
+            more = page.has_more && !page.machines.empty();
             if (!page.machines.empty()) after = page.machines.back().name;
             std::ranges::move(page.machines, std::back_inserter(all));
         } catch (const BadMessage& e) {
@@ -389,20 +389,20 @@
     // The id is globally unique: each leadership term has its own fencing token, and each request
     // of the term its own number.
     auto id = fmt::format("w{}-{}", context_.term->fencing_token, ++provision_requests_);
-    auto body =
-        rental_json(id, context_.cluster.names.types.name(request.type),
-                    context_.cluster.names.zones.name(request.zone), request.spot, request.count);
+    auto body = provision_request_json(id, context_.cluster.names.types.name(request.type),
+                                       context_.cluster.names.zones.name(request.zone),
+                                       request.spot, request.count);
     std::vector<std::string> none;
     while (!context_.stopped) {
         auto response = co_await cloud_.call("POST", paths::kMachines, body, kWriteTimeout_s);
         if (context_.stopped) break;
         if (response && response->status == 200) {
             try {
-                co_return parse_rented(response->body);
+                co_return parse_provisioned_machines(response->body);
             } catch (const BadMessage& e) {
                 spdlog::error("cloud: malformed response to a scale-out request: {}", e.what());
             }
-        } else if (response && response->status == 503 && says_no_capacity(response->body)) {
+        } else if (response && response->status == 503 && is_no_capacity_error(response->body)) {
             co_return none;
         } else if (response && response->status == 400) {
             spdlog::error("cloud: scale-out request rejected with status 400: {}", body);
@@ -417,8 +417,9 @@
 asio::awaitable<void> InstanceManager::terminate(std::shared_ptr<void> keep_alive,
                                                  std::vector<std::string> names) {
     (void)keep_alive;
-    auto body = return_json(names);
-    auto response = co_await cloud_.call("POST", paths::kReturn, std::move(body), kWriteTimeout_s);
+    auto body = termination_request_json(names);
+    auto response =
+        co_await cloud_.call("POST", paths::kTerminateMachines, std::move(body), kWriteTimeout_s);
     // Without a response, the machines may or may not be terminated. They stay out of use until a
     // later request terminates them.
     context_.post(MachinesTerminated{std::move(names), response && response->status == 200});
--- a/src/controller/request_router_forwarding.cpp
+++ b/src/controller/request_router_forwarding.cpp
@@ -59,10 +59,10 @@
     auto* client = leader_client();
     if (!client || leader_tracker_->has_timed_out()) {
         if (auto relay = find_relay(call)) {
-            metrics_.count("second_hops_total");
+            metrics_.increment("second_hops_total");
             call.relay = true;
             auto reply = co_await call_peer(*relay, std::move(call));
-            if (!reply.undecided) leader_tracker_->reset_silence_timer();
+            if (!reply.leadership_unconfirmed) leader_tracker_->reset_silence_timer();
             co_return reply;
         }
         // The ping loop keeps probing a silent leader; until it answers, no request waits for it.
@@ -120,7 +120,7 @@
     PeerCall standby_call = call;
     if (auto leader = leader_) {
         auto reply = co_await leader->request(std::move(call));
-        if (!reply.undecided) co_return reply;
+        if (!reply.leadership_unconfirmed) co_return reply;
         co_return co_await standby_->serve(std::move(standby_call));
     }
     if (!leader_client() || leader_tracker_->has_timed_out())
@@ -133,7 +133,7 @@
     asio::co_spawn(io_, forward_to_leader(std::move(call), forwarded), asio::detached);
     auto reply = co_await await_leader_reply(forwarded, started,
                                              is_submission ? kMaxSubmitWait_s : kMaxLeaderWait_s);
-    if (reply && !reply->undecided) co_return *reply;
+    if (reply && !reply->leadership_unconfirmed) co_return *reply;
     auto standby_reply = co_await standby_->serve(std::move(standby_call));
     if (reply || standby_reply.status != 503) co_return standby_reply;
     auto late_reply =
--- a/src/controller/request_router_heartbeats.cpp
+++ b/src/controller/request_router_heartbeats.cpp
@@ -20,7 +20,7 @@
 // The subject of a heartbeat call is the address that the heartbeat came from.
 asio::awaitable<HttpReply> RequestRouter::handle_heartbeat(HttpRequest request) {
     if (auto leader = leader_) {
-        PeerCall call{PeerOp::Heartbeat, std::move(request.from), std::move(request.body)};
+        PeerCall call{PeerOp::Heartbeat, std::move(request.client_address), std::move(request.body)};
         auto reply = co_await leader->request(std::move(call));
         co_return HttpReply{reply.status, std::move(reply.body)};
     }
@@ -28,25 +28,25 @@
     try {
         header = parse_heartbeat_header(request.body);
     } catch (const BadMessage& e) {
-        spdlog::error("worker: malformed heartbeat from {} rejected: {}", request.from, e.what());
+        spdlog::error("worker: malformed heartbeat from {} rejected: {}", request.client_address, e.what());
         co_return HttpReply{400, "{}"};
     }
     double now = steady_now();
     bool relay = roster_.should_relay(header.machine, header.fencing_token,
                                       leader_tracker_->fencing_token(), now);
-    if (!leader_client()) co_return HttpReply{421, redirect_answer("")};
+    if (!leader_client()) co_return HttpReply{421, redirect_response("")};
     relay = relay || leader_uplink_lost();
     if (relay) {
-        PeerCall call{PeerOp::Heartbeat, std::move(request.from), std::move(request.body)};
+        PeerCall call{PeerOp::Heartbeat, std::move(request.client_address), std::move(request.body)};
         auto reply = co_await call_leader(std::move(call));
         // A worker ignores the response of a leader that is older than the one it knows. If such
         // responses were relayed, the worker would stay here until its lease expires.
         if (reply.status == 200 && reply.fencing_token >= header.fencing_token)
             co_return HttpReply{200, std::move(reply.body)};
         roster_.end_relay(header.machine);
-        co_return HttpReply{421, redirect_answer("")};
+        co_return HttpReply{421, redirect_response("")};
     }
-    co_return HttpReply{421, redirect_answer(leader_tracker_->name())};
+    co_return HttpReply{421, redirect_response(leader_tracker_->name())};
 }
 
 }  // namespace weirmill
--- a/src/controller/request_router_peers.cpp
+++ b/src/controller/request_router_peers.cpp
@@ -45,7 +45,7 @@
 // Relays stop commands to a worker that the leader can't reach. Every stop command names the
 // fencing token, the agent epoch and the attempt, so late or duplicate copies have no effect.
 asio::awaitable<PeerReply> RequestRouter::relay_command(PeerCall call) {
-    metrics_.count("stops_passed_on_total");
+    metrics_.increment("stops_passed_on_total");
     std::string body = call.body;
     if (co_await send_commands(&io_, call.subject, std::move(body), kWorkerCommandTimeout_s))
         co_return PeerReply{200, "{}"};
@@ -86,7 +86,7 @@
 
 asio::awaitable<void> RequestRouter::ping_loop() {
     for (;;) {
-        co_await sleep_s(settings_.ping_s);
+        co_await sleep_s(settings_.ping_interval_s);
         if (term_ && leader_tracker_->reported_fencing_token() > term_->fencing_token) {
             // Another controller leads by now, and the state service refuses only this node.
             // Without this check the node would stay a leader without a valid lease and refuse its
--- a/src/controller/scheduling_loop.cpp
+++ b/src/controller/scheduling_loop.cpp
@@ -56,8 +56,8 @@
     auto round = plan_preemption(context_.cluster, usable_predicate(context_), context_.now);
     if (round.evictions.empty()) return;
     ++preemption_rounds_;
-    context_.metrics.count("preemption_rounds_total");
-    context_.metrics.count("preemption_stops_total", round.victims.size());
+    context_.metrics.increment("preemption_rounds_total");
+    context_.metrics.increment("preemption_stops_total", round.victims.size());
     context_.state_log.queue_single_record(
         kRoundKey, preemption_round_json(round, context_.cluster, preemption_rounds_));
     reserve_cleared(round);
--- a/src/controller/state_loader.cpp
+++ b/src/controller/state_loader.cpp
@@ -48,7 +48,7 @@
                 spdlog::info("leader: no answer from the state service while loading; retrying");
             co_return false;
         }
-        more = page.value.more && !page.value.items.empty();
+        more = page.value.has_more && !page.value.items.empty();
         for (auto& item : page.value.items) {
             after = item.key;
             try {
--- a/src/controller/state_log_writer.cpp
+++ b/src/controller/state_log_writer.cpp
@@ -205,7 +205,7 @@
     bool burst =
         context_.state_log.queued_new_jobs() >= static_cast<size_t>(context_.settings.txn_ops);
     flush_not_before_ = context_.now + (burst ? 0 : kMinFlushInterval_s);
-    context_.metrics.count("transactions_total");
+    context_.metrics.increment("transactions_total");
     context_.state_log.committed(transaction.batch, transaction.result.value);
     for (auto& entry : transaction.batch.entries) {
         switch (entry.kind) {
--- a/src/controller/task_lifecycle.cpp
+++ b/src/controller/task_lifecycle.cpp
@@ -63,11 +63,11 @@
                      status.attempt, machine.name, static_cast<int>(status.cause));
     context_.cluster.unassign(job_index, task_index, context_.now);
     if (status.cause == ExitCause::Error) handle_failure(job_index, machine_index);
-    bool not_accepted = status.cause == ExitCause::NoRoom || status.cause == ExitCause::Busy ||
+    bool not_accepted = status.cause == ExitCause::NoCapacity || status.cause == ExitCause::Busy ||
                         status.cause == ExitCause::Unknown;
     if (not_accepted) job.not_before = std::max(job.not_before, context_.now + kNotAcceptedDelay_s);
     if (job.spec.kind == JobKind::Gang)
-        end_gang_attempt(job_index, graceful, status.cause == ExitCause::Alone);
+        end_gang_attempt(job_index, graceful, status.cause == ExitCause::GangWaitTimeout);
 }
 
 // A machine on which different jobs fail is faulty and is quarantined. A job that fails on
@@ -103,7 +103,7 @@
 void TaskLifecycle::quarantine(Machine& machine, const Job& job) {
     if (machine.quarantined_until > context_.now) return;
     spdlog::info("machine: {} quarantined after job {} failed on it", machine.name, job.spec.id);
-    context_.metrics.count("machines_quarantined_total");
+    context_.metrics.increment("machines_quarantined_total");
     machine.quarantined_until = context_.now + context_.properties.quarantine_s;
 }
 
@@ -112,7 +112,7 @@
     spdlog::info("task: {}/{} attempt={} lost on {}", job.spec.id, task_index,
                  job.tasks[task_index].attempt,
                  context_.cluster.machines[job.tasks[task_index].machine]->name);
-    context_.metrics.count("tasks_lost_total");
+    context_.metrics.increment("tasks_lost_total");
     bool graceful = job.tasks[task_index].graceful;
     context_.cluster.unassign(job_index, task_index, context_.now);
     context_.scheduling_needed = true;
--- a/src/liveness/downlink.cpp
+++ b/src/liveness/downlink.cpp
@@ -25,8 +25,8 @@
 bool uses_only_this_controller(const DownlinkState& state, const DownlinkObservation& heartbeat,
                                const Settings& s, double now) {
     if (s.peers.empty() || !heartbeat.direct || state.last_direct_at <= 0) return false;
-    double full_cycle_s =
-        static_cast<double>(s.peers.size() + 1) * (s.worker_patience_s + s.worker_next_s);
+    double full_cycle_s = static_cast<double>(s.peers.size() + 1) *
+                      (s.worker_response_timeout_s + s.worker_failover_delay_s);
     return now - state.last_direct_at < full_cycle_s - kArrivalMargin_s;
 }
 
@@ -35,7 +35,7 @@
 // response, its lease would be valid until `valid_until` or later, and no new epoch could have
 // started before.
 DownlinkEvidence new_epoch_evidence(const DownlinkState& state, const Settings& s, double now) {
-    double sent_at = state.answered_at - s.worker_patience_s;
+    double sent_at = state.answered_at - s.worker_response_timeout_s;
     double valid_until = sent_at + s.lease_s * (1 - kLeaseMargin) - kArrivalMargin_s;
     return now < valid_until ? DownlinkEvidence::Lost : DownlinkEvidence::None;
 }
@@ -46,7 +46,7 @@
                           const Settings& s, double now) {
     if (heartbeat.order.agent_epoch != state.agent_epoch || state.epoch_started_at <= 0)
         return false;
-    double max_epoch_s = s.lease_s * (1 + kLeaseMargin) + s.worker_patience_s + kArrivalMargin_s;
+    double max_epoch_s = s.lease_s * (1 + kLeaseMargin) + s.worker_response_timeout_s + kArrivalMargin_s;
     return now - state.epoch_started_at > max_epoch_s;
 }
 
--- a/src/membership/worker_roster.cpp
+++ b/src/membership/worker_roster.cpp
@@ -22,7 +22,7 @@
 bool WorkerRoster::recently_redirected(const Worker& worker, uint64_t leader_token,
                                        double now) const {
     return worker.redirected_to_token == leader_token &&
-           now - worker.redirected_at < kRecentRedirectPatiences * settings_.worker_patience_s;
+           now - worker.redirected_at < kRecentRedirectPatiences * settings_.worker_response_timeout_s;
 }
 
 // Returns whether the worker came back because it can't use the leader. A worker that comes back
@@ -30,7 +30,7 @@
 // refused, for example by a leader that is not ready yet, and is redirected a few more times.
 bool WorkerRoster::came_back(const Worker& worker, uint64_t leader_token, double now) const {
     if (!recently_redirected(worker, leader_token, now)) return false;
-    return now - worker.redirected_at >= settings_.worker_patience_s ||
+    return now - worker.redirected_at >= settings_.worker_response_timeout_s ||
            worker.redirects >= kMaxRedirects;
 }
 
--- a/src/scheduler/capacity_breakdown.cpp
+++ b/src/scheduler/capacity_breakdown.cpp
@@ -16,7 +16,7 @@
             return CapacityUse::Fetching;
         case TaskPhase::Waiting:
             return CapacityUse::WaitingForGang;
-        case TaskPhase::Unseen:
+        case TaskPhase::NotReported:
             return CapacityUse::Starting;
         default:
             return CapacityUse::Running;
--- a/src/scheduler/fit_queues.cpp
+++ b/src/scheduler/fit_queues.cpp
@@ -101,7 +101,7 @@
     int64_t slots = 0;
     if (job.spec.demand.fits_in(m.free_resources()) && cluster_.machine_allowed(job.spec, m) &&
         (!queue.image_machines_only_ || has_or_fetches_image(cluster_, m, job.spec.image)))
-        slots = job.spec.demand.times_in(m.free_resources());
+        slots = job.spec.demand.max_copies_in(m.free_resources());
     if (slots == 0 && queue.slots_[machine] == 0) return;
     auto& zone = queue.zones_[m.zone];
     zone.free_slots += slots - queue.slots_[machine];
--- a/src/scheduler/placement_pass.cpp
+++ b/src/scheduler/placement_pass.cpp
@@ -41,7 +41,7 @@
         KeptHeadroom kept{h.spec, -h.tasks_on_empty_machines};
         for (auto i : open_machines_) {
             auto& m = *cluster_.machines[i];
-            if (is_headroom(kept, m)) kept.surplus += h.spec->demand.times_in(m.size);
+            if (is_headroom(kept, m)) kept.surplus += h.spec->demand.max_copies_in(m.size);
         }
         headroom_.push_back(kept);
     }
@@ -111,7 +111,8 @@
 // Returns whether two or more tasks fit on a machine of some type.
 bool PlacementPass::shares_machines(const JobSpec& spec) const {
     for (Index t = 0; t < cluster_.types.size(); ++t)
-        if (spec.demand.times_in(cluster_.types[t].type.size) >= 2 && cluster_.type_fits(spec, t))
+        if (spec.demand.max_copies_in(cluster_.types[t].type.size) >= 2 &&
+            cluster_.type_fits(spec, t))
             return true;
     return false;
 }
@@ -128,7 +129,7 @@
     std::vector<std::pair<int64_t, Index>> partly_free;  // CPUs that a task lacks there; machine
     for (auto i : open_machines_) {
         auto& m = *cluster_.machines[i];
-        if (demand.fits_in(m.free_resources()) || demand.times_in(m.size) < 2) continue;
+        if (demand.fits_in(m.free_resources()) || demand.max_copies_in(m.size) < 2) continue;
         if (held_for_others(i, job.effective_priority) || !machine_eligible(cluster_, job.spec, m))
             continue;
         partly_free.emplace_back(demand.cpu - m.free_resources().cpu, i);
@@ -160,7 +161,7 @@
     if (m.tasks.size() > 1 || m.reserved_for != kNone) return;
     for (auto& kept : headroom_)
         if (machine_eligible(cluster_, *kept.spec, m))
-            kept.surplus -= kept.spec->demand.times_in(m.size);
+            kept.surplus -= kept.spec->demand.max_copies_in(m.size);
 }
 
 Resources PlacementPass::capacity_for(const JobSpec& spec) {
@@ -170,7 +171,7 @@
     int64_t tasks = 0;
     for (auto& m : cluster_.machines)
         if (m && !m->abandoned && !m->terminating && machine_eligible(cluster_, spec, *m))
-            tasks += spec.demand.times_in(m->size);
+            tasks += spec.demand.max_copies_in(m->size);
     capacities_.emplace_back(spec, spec.demand * tasks);
     return capacities_.back().second;
 }
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -281,7 +281,8 @@
     auto& job = *cluster_.jobs[index];
     auto wanted = tasks_within_limit(job);
     if (auto it = reserved_.find(index); it != reserved_.end())
-        for (auto i : it->second) wanted -= job.spec.demand.times_in(cluster_.machines[i]->size);
+        for (auto i : it->second)
+            wanted -= job.spec.demand.max_copies_in(cluster_.machines[i]->size);
     return wanted;
 }
 
@@ -341,7 +342,7 @@
     for (Index i = 0; i < cluster_.machines.size(); ++i) {
         if (!may_plan_on(job, zones, zone, i)) continue;
         auto& m = *cluster_.machines[i];
-        auto free = job.spec.demand.times_in(m.free_resources() - claimed_[i]);
+        auto free = job.spec.demand.max_copies_in(m.free_resources() - claimed_[i]);
         if (free > 0) {
             plan.missing_tasks -= free;
             plan.free_slots.push_back({i, free});
@@ -349,7 +350,7 @@
         }
         if (!(claimed_[i] == Resources{}) || !may_evict(job, m)) continue;
         plan.candidates.push_back(gangs.candidate(i));
-        plan.tasks_when_empty.push_back(job.spec.demand.times_in(m.size));
+        plan.tasks_when_empty.push_back(job.spec.demand.max_copies_in(m.size));
     }
     return plan;
 }
@@ -366,7 +367,7 @@
         claimed_[f.machine] += job.spec.demand * n;
         // An empty machine with room for only one task is reserved together with the evicted ones.
         if (plan.free_capacity_suffices() || !m.tasks.empty() ||
-            job.spec.demand.times_in(m.size) > 1)
+            job.spec.demand.max_copies_in(m.size) > 1)
             continue;
         unavailable_[f.machine] = true;
         eviction.empty_machines.push_back(f.machine);
--- a/src/scheduler/start_deadline.cpp
+++ b/src/scheduler/start_deadline.cpp
@@ -23,7 +23,7 @@
                          Index gang, double now) {
     auto& spec = cluster.jobs[gang]->spec;
     if (!m.tasks.empty() || !usable(m) || !machine_eligible(cluster, spec, m)) return false;
-    if (spec.demand.times_in(m.size) != 1) return false;
+    if (spec.demand.max_copies_in(m.size) != 1) return false;
     return !m.reserved(now) || m.reserved_for == gang;
 }
 }  // namespace
--- a/src/scheduler/starvation.cpp
+++ b/src/scheduler/starvation.cpp
@@ -43,7 +43,7 @@
     for (auto i : machines_with_room) {
         auto& m = *cluster.machines[i];
         if (!spec.demand.fits_in(m.free_resources()) || !cluster.machine_allowed(spec, m)) continue;
-        auto free_slots = std::min<int64_t>(spec.demand.times_in(m.free_resources()), needed);
+        auto free_slots = std::min<int64_t>(spec.demand.max_copies_in(m.free_resources()), needed);
         out.push_back({i, m.zone, blocked_by(cluster, m, usable, index, now), free_slots});
     }
     std::ranges::sort(out, [](auto& a, auto& b) { return a.blocked_by < b.blocked_by; });
--- a/src/standby/standby_decisions.cpp
+++ b/src/standby/standby_decisions.cpp
@@ -47,9 +47,9 @@
     if (status.location == JobLocation::CancelRequestOnly) return retry_reply;
     if (status.location == JobLocation::NotFound) return {404, "{}"};
     if (op == PeerOp::Status)
-        return {200, job_status(id, status.state, status.done, status.running)};
+        return {200, job_status_json(id, status.state, status.done, status.running)};
     if (op == PeerOp::Cancel && status.queued_or_running()) return retry_reply;
-    return {200, job_answer(id, status.state)};
+    return {200, job_state_json(id, status.state)};
 }
 
 bool all_controllers_adopt(const Settings& settings, const KvPage& adopter_records) {
--- a/src/standby/state_log_follower.cpp
+++ b/src/standby/state_log_follower.cpp
@@ -95,7 +95,7 @@
             reset_view();
             co_return ReadResult::Failed;
         }
-        if (!page.value.more || page.value.items.empty()) co_return ReadResult::Complete;
+        if (!page.value.has_more || page.value.items.empty()) co_return ReadResult::Complete;
         after = page.value.items.back().key;
     }
 }
--- a/src/standby/state_log_view.cpp
+++ b/src/standby/state_log_view.cpp
@@ -37,8 +37,8 @@
         return false;
     for (auto& item : page.items) {
         uint64_t number = segment_number(item.key);
-        if (number == 0) read::bad("key");
-        if (!item.value.is_array()) read::bad("segment");
+        if (number == 0) read::throw_invalid("key");
+        if (!item.value.is_array()) read::throw_invalid("segment");
         auto& entries = item.value.get_array();
         if (!advance_to_segment(number, entries.size())) return false;
         for (; newest_segment_entries_ < entries.size(); ++newest_segment_entries_) {
@@ -98,7 +98,7 @@
     auto id = entry_job_id(entry);
     if (type == EntryType::JobPart) return record_decoder_.add_part(entry, newest_segment_);
     if (type == EntryType::End) return apply_end(id);
-    if (type == EntryType::Unknown) read::bad("entry");
+    if (type == EntryType::Unknown) read::throw_invalid("entry");
     auto it = jobs_.find(id);
     if (it == jobs_.end()) return;
     if (type == EntryType::Cancel)
@@ -111,7 +111,7 @@
     auto& submission = read::object(body);
     auto id = read::text(submission, "name_id");
     auto tasks = read::count(submission, "lots");
-    if (tasks < 1 || tasks > kMaxTasks) read::bad("lots");
+    if (tasks < 1 || tasks > kMaxTasksPerJob) read::throw_invalid("lots");
     auto& job = jobs_[id];
     job.cancelled = job.cancelled || read::flag(record, "cancelled", false);
     job.dependencies.clear();  // a job that is recorded again may have fewer left
--- a/src/state/job_requirements.cpp
+++ b/src/state/job_requirements.cpp
@@ -42,7 +42,7 @@
     for (Index t = 0; t < types.size(); ++t) {
         if (!type_fits(spec, t)) continue;
         fits_any_type = true;
-        if (spec.demand.times_in(types[t].type.size) > 1) return false;
+        if (spec.demand.max_copies_in(types[t].type.size) > 1) return false;
     }
     return fits_any_type;
 }
--- a/src/state/task.h
+++ b/src/state/task.h
@@ -30,7 +30,7 @@
     // sent, the time of that.
     float placed_at = 0, running_at = 0;
     TaskState state = TaskState::Pending;
-    TaskPhase phase = TaskPhase::Unseen;
+    TaskPhase phase = TaskPhase::NotReported;
     bool stopping = false;          // The task is to be stopped.
     bool graceful = false;          // If stopping: the task has time to save a checkpoint.
     bool placed_this_term = false;  // This leader placed it; no other leader started this attempt.
--- a/src/storage/kv_client.cpp
+++ b/src/storage/kv_client.cpp
@@ -52,7 +52,7 @@
     auto outcome = outcome_of(static_cast<unsigned>(response->status));
     try {
         if (outcome == KvOutcome::Ok) result.value = parse(std::string_view(response->body));
-        if (outcome == KvOutcome::Conflict) result.failed_keys = parse_failed(response->body);
+        if (outcome == KvOutcome::Conflict) result.failed_keys = parse_failed_conditions(response->body);
         result.rate_limited = response->status == 429;
         result.outcome = outcome;
     } catch (const BadMessage& e) {
@@ -82,7 +82,7 @@
 
 asio::awaitable<KvResult<uint64_t>> KvClient::txn(const CasTransaction& txn, double timeout_s) {
     return send(&request_client_,
-                {KvOperation::Transaction, "POST", paths::kTxn, txn_json(txn), timeout_s},
+                {KvOperation::Transaction, "POST", paths::kTransactions, txn_json(txn), timeout_s},
                 parse_revision);
 }
 
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -64,7 +64,7 @@
 asio::awaitable<void> send_heartbeat(asio::io_context& io, Endpoint to, std::string body,
                                      BurstReplies& burst) {
     HttpClient client(io, to, 1024 * 1024);
-    auto answer = co_await client.request("POST", std::string(paths::kReport), std::move(body),
+    auto answer = co_await client.request("POST", std::string(paths::kHeartbeats), std::move(body),
                                           kWorkerReplyTimeout_s);
     burst.count(answer ? answer->status : 0);
 }
@@ -132,7 +132,7 @@
     HttpServer server(server_io, {"127.0.0.1", 0}, kConnections,
                       [](HttpRequest) -> asio::awaitable<HttpReply> {
                           HttpReply reply{200, "{}"};
-                          reply.from_machine = true;
+                          reply.from_worker = true;
                           co_return reply;
                       });
     Endpoint at{"127.0.0.1", server.port()};
@@ -212,13 +212,13 @@
     ASSERT_TRUE(accepts_submission(s));
     size_t follower = s.leader() == "node-0" ? 1 : 0;
     auto first =
-        s.ask_node(1 - follower, "POST", std::string(paths::kReport), heartbeat_json(kMachines, 0));
+        s.ask_node(1 - follower, "POST", std::string(paths::kHeartbeats), heartbeat_json(kMachines, 0));
     ASSERT_TRUE(first && first->status == 200);
     auto fencing_token = json::parse(first->body).at("gavel").to_number<uint64_t>();
     bool relays = false;  // true once the follower knows the leader
     double end = steady_now() + 5;
     for (int i = 1; !relays && steady_now() < end; ++i) {
-        auto reply = s.ask_node(follower, "POST", std::string(paths::kReport),
+        auto reply = s.ask_node(follower, "POST", std::string(paths::kHeartbeats),
                                 heartbeat_json(kMachines + i, fencing_token));
         relays = reply && reply->status == 200;
         for (int k = 0; k < 50; ++k) s.turn();
@@ -286,7 +286,7 @@
         context.now = now;
         sender.repeat_stops();
         run_for(0.2);
-        auto text = metrics.text({});
+        auto text = metrics.to_prometheus_text({});
         auto at = text.rfind("stops_repeated_total ");
         return at == std::string::npos ? 0 : std::stoull(text.substr(at + 21));
     }
--- a/tests/placement_reference.h
+++ b/tests/placement_reference.h
@@ -94,7 +94,7 @@
                 if (cluster.machine_allowed(job.spec, machine) &&
                     has_or_fetches_image(cluster, machine, job.spec.image))
                     tasks_near_image[machine.zone] +=
-                        job.spec.demand.times_in(machine.free_resources());
+                        job.spec.demand.max_copies_in(machine.free_resources());
             }
             for (auto& [zone, tasks] : tasks_near_image)
                 tasks = job.spec.image_gb > 0 ? std::min<int64_t>(tasks, job.pending) : 0;
@@ -131,7 +131,7 @@
         std::set<std::pair<int64_t, Index>> partial_fits;  // missing CPUs and machine
         for (auto i : open_machines) {
             auto& machine = *cluster.machines[i];
-            if (!demand.fits_in(machine.free_resources()) && demand.times_in(machine.size) >= 2 &&
+            if (!demand.fits_in(machine.free_resources()) && demand.max_copies_in(machine.size) >= 2 &&
                 (!held_machines.count(i) || held_machines.at(i) < job.effective_priority) &&
                 cluster.machine_allowed(job.spec, machine) &&
                 !cluster.must_leave_room_for_gpus(job.spec, machine.type))
--- a/tests/standby_service_test.cpp
+++ b/tests/standby_service_test.cpp
@@ -42,9 +42,9 @@
         return ask_until_served(node, "POST", "/v2/runs", body).status;
     }
     // Sends a request to one node, with the same retries. Returns status -1 on timeout.
-    HttpAnswer ask_until_served(int node, const char* method, const std::string& target,
+    HttpResponse ask_until_served(int node, const char* method, const std::string& target,
                                 const std::string& body = "") {
-        HttpAnswer out{-1, ""};
+        HttpResponse out{-1, ""};
         until([&] {
             auto reply = ask_node(static_cast<size_t>(node), method, target, body);
             if (reply && reply->status != 503) out = *reply;
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -25,7 +25,7 @@
     for (auto& [key, value] : store.keys) {
         if (!key.starts_with(kSegmentPrefix) || key <= after) continue;
         if (page.items.size() == max_items) {
-            page.more = true;
+            page.has_more = true;
             break;
         }
         page.items.push_back({key, json::parse(value.first), value.second, 0});
@@ -41,7 +41,7 @@
         for (bool more = true; more && complete; first_page = false) {
             auto page = segment_page(store, after, 3);
             complete = view.apply_page(page, first_page);
-            more = page.more;
+            more = page.has_more;
             if (more) after = page.items.back().key;
         }
         if (complete) return;
