--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -86,8 +86,9 @@
     post(RequestReceived{std::move(call), reply, bytes});
     // The reply to a heartbeat may take as long as its worker waits for it. In a burst of
     // heartbeats, a controller with a small share of a CPU core answers some of them late.
-    double timeout_s = is_heartbeat ? std::max(kReplyTimeout_s, context_.settings.worker_response_timeout_s)
-                                    : kReplyTimeout_s;
+    double timeout_s = is_heartbeat
+                           ? std::max(kReplyTimeout_s, context_.settings.worker_response_timeout_s)
+                           : kReplyTimeout_s;
     auto result = co_await reply.wait(timeout_s);
     if (result) co_return *result;
     co_return is_heartbeat ? PeerReply{503, "{}"} : retry_later(context_);
--- a/src/controller/request_router_heartbeats.cpp
+++ b/src/controller/request_router_heartbeats.cpp
@@ -20,7 +20,8 @@
 // The subject of a heartbeat call is the address that the heartbeat came from.
 asio::awaitable<HttpReply> RequestRouter::handle_heartbeat(HttpRequest request) {
     if (auto leader = leader_) {
-        PeerCall call{PeerOp::Heartbeat, std::move(request.client_address), std::move(request.body)};
+        PeerCall call{PeerOp::Heartbeat, std::move(request.client_address),
+                      std::move(request.body)};
         auto reply = co_await leader->request(std::move(call));
         co_return HttpReply{reply.status, std::move(reply.body)};
     }
@@ -28,7 +29,8 @@
     try {
         header = parse_heartbeat_header(request.body);
     } catch (const BadMessage& e) {
-        spdlog::error("worker: malformed heartbeat from {} rejected: {}", request.client_address, e.what());
+        spdlog::error("worker: malformed heartbeat from {} rejected: {}", request.client_address,
+                      e.what());
         co_return HttpReply{400, "{}"};
     }
     double now = steady_now();
@@ -37,7 +39,8 @@
     if (!leader_client()) co_return HttpReply{421, redirect_response("")};
     relay = relay || leader_uplink_lost();
     if (relay) {
-        PeerCall call{PeerOp::Heartbeat, std::move(request.client_address), std::move(request.body)};
+        PeerCall call{PeerOp::Heartbeat, std::move(request.client_address),
+                      std::move(request.body)};
         auto reply = co_await call_leader(std::move(call));
         // A worker ignores the response of a leader that is older than the one it knows. If such
         // responses were relayed, the worker would stay here until its lease expires.
--- a/src/liveness/downlink.cpp
+++ b/src/liveness/downlink.cpp
@@ -26,7 +26,7 @@
                                const Settings& s, double now) {
     if (s.peers.empty() || !heartbeat.direct || state.last_direct_at <= 0) return false;
     double full_cycle_s = static_cast<double>(s.peers.size() + 1) *
-                      (s.worker_response_timeout_s + s.worker_failover_delay_s);
+                          (s.worker_response_timeout_s + s.worker_failover_delay_s);
     return now - state.last_direct_at < full_cycle_s - kArrivalMargin_s;
 }
 
@@ -46,7 +46,8 @@
                           const Settings& s, double now) {
     if (heartbeat.order.agent_epoch != state.agent_epoch || state.epoch_started_at <= 0)
         return false;
-    double max_epoch_s = s.lease_s * (1 + kLeaseMargin) + s.worker_response_timeout_s + kArrivalMargin_s;
+    double max_epoch_s =
+        s.lease_s * (1 + kLeaseMargin) + s.worker_response_timeout_s + kArrivalMargin_s;
     return now - state.epoch_started_at > max_epoch_s;
 }
 
--- a/src/membership/link_policy.cpp
+++ b/src/membership/link_policy.cpp
@@ -39,9 +39,10 @@
 LinkTimeouts LinkTimeouts::from_settings(const Settings& s) {
     const auto controllers = 1.0 + static_cast<double>(s.peers.size());
     LinkTimeouts t{};
-    t.direct_heartbeat_s = 1.2 * kMaxIntervalFactor * s.heartbeat_interval_s + s.worker_failover_delay_s;
-    t.controller_cycle_s = kMaxIntervalFactor * s.heartbeat_interval_s + s.worker_response_timeout_s +
-                           s.worker_failover_delay_s * controllers;
+    t.direct_heartbeat_s =
+        1.2 * kMaxIntervalFactor * s.heartbeat_interval_s + s.worker_failover_delay_s;
+    t.controller_cycle_s = kMaxIntervalFactor * s.heartbeat_interval_s +
+                           s.worker_response_timeout_s + s.worker_failover_delay_s * controllers;
     t.min_preference_s = 0.3 * s.heartbeat_interval_s;
     t.transfer_pause_s = 3 * s.heartbeat_interval_s;
     t.view_expiry_s = 3 * s.ping_interval_s;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -156,7 +156,8 @@
         if (renewed && !differs(links, published_)) co_return;
     }
     if (record_lease_ == 0) {
-        double lease_s = std::max(kMinRecordLease_s, kRecordLeasePingIntervals * settings_.ping_interval_s);
+        double lease_s =
+            std::max(kMinRecordLease_s, kRecordLeasePingIntervals * settings_.ping_interval_s);
         auto granted = co_await kv_.grant_lease(lease_s, kRequestTimeout_s);
         if (!granted) co_return;
         record_lease_ = granted.value;
--- a/src/membership/worker_roster.cpp
+++ b/src/membership/worker_roster.cpp
@@ -22,7 +22,8 @@
 bool WorkerRoster::recently_redirected(const Worker& worker, uint64_t leader_token,
                                        double now) const {
     return worker.redirected_to_token == leader_token &&
-           now - worker.redirected_at < kRecentRedirectPatiences * settings_.worker_response_timeout_s;
+           now - worker.redirected_at <
+               kRecentRedirectPatiences * settings_.worker_response_timeout_s;
 }
 
 // Returns whether the worker came back because it can't use the leader. A worker that comes back
--- a/src/storage/kv_client.cpp
+++ b/src/storage/kv_client.cpp
@@ -52,7 +52,8 @@
     auto outcome = outcome_of(static_cast<unsigned>(response->status));
     try {
         if (outcome == KvOutcome::Ok) result.value = parse(std::string_view(response->body));
-        if (outcome == KvOutcome::Conflict) result.failed_keys = parse_failed_conditions(response->body);
+        if (outcome == KvOutcome::Conflict)
+            result.failed_keys = parse_failed_conditions(response->body);
         result.rate_limited = response->status == 429;
         result.outcome = outcome;
     } catch (const BadMessage& e) {
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -211,8 +211,8 @@
     ASSERT_TRUE(s.until([&] { return !s.leader().empty(); }));
     ASSERT_TRUE(accepts_submission(s));
     size_t follower = s.leader() == "node-0" ? 1 : 0;
-    auto first =
-        s.ask_node(1 - follower, "POST", std::string(paths::kHeartbeats), heartbeat_json(kMachines, 0));
+    auto first = s.ask_node(1 - follower, "POST", std::string(paths::kHeartbeats),
+                            heartbeat_json(kMachines, 0));
     ASSERT_TRUE(first && first->status == 200);
     auto fencing_token = json::parse(first->body).at("gavel").to_number<uint64_t>();
     bool relays = false;  // true once the follower knows the leader
--- a/tests/placement_reference.h
+++ b/tests/placement_reference.h
@@ -131,7 +131,8 @@
         std::set<std::pair<int64_t, Index>> partial_fits;  // missing CPUs and machine
         for (auto i : open_machines) {
             auto& machine = *cluster.machines[i];
-            if (!demand.fits_in(machine.free_resources()) && demand.max_copies_in(machine.size) >= 2 &&
+            if (!demand.fits_in(machine.free_resources()) &&
+                demand.max_copies_in(machine.size) >= 2 &&
                 (!held_machines.count(i) || held_machines.at(i) < job.effective_priority) &&
                 cluster.machine_allowed(job.spec, machine) &&
                 !cluster.must_leave_room_for_gpus(job.spec, machine.type))
--- a/tests/standby_service_test.cpp
+++ b/tests/standby_service_test.cpp
@@ -43,7 +43,7 @@
     }
     // Sends a request to one node, with the same retries. Returns status -1 on timeout.
     HttpResponse ask_until_served(int node, const char* method, const std::string& target,
-                                const std::string& body = "") {
+                                  const std::string& body = "") {
         HttpResponse out{-1, ""};
         until([&] {
             auto reply = ask_node(static_cast<size_t>(node), method, target, body);
