--- a/bench/served_bound.py
+++ b/bench/served_bound.py
@@ -1,12 +1,12 @@
 #!/usr/bin/env python3
-"""An upper bound on the share of each class's jobs that any order could serve on a day.
+"""Prints an upper bound on the share of each class's jobs that any scheduling order can serve on a day.
 
     bench/served_bound.py SITE.toml REPORT.json
 
-SITE is a site file, REPORT what the bench wrote for a day of it (`run SITE DAY --report`). The bound gives a class every
-machine that its tasks fit, from the first second to the last, without boots, image fetches, failures or other classes,
-up to its teams' limits, and serves the smallest jobs first. Sizes and run times are drawn from the site file's
-distributions (a fixed seed), as many as the day had jobs. What a scheduler serves lies below it.
+SITE is a site file, REPORT the bench's report of a day on this site (`run SITE DAY --report`). For the bound, a class has
+every machine that its tasks fit on for the whole day, up to the limits of its teams, without boot times, image fetches,
+failures or jobs of other classes, and its smallest jobs run first. Sizes and run times are drawn with a fixed seed from the
+distributions in the site file, for as many jobs as the day had. No scheduler can serve more than the bound.
 """
 import argparse
 import json
@@ -15,58 +15,59 @@
 import tomllib
 
 
-def drawn(spec, rng):
+def sample(spec, rng):
+    """Returns a value drawn from a distribution of the site file: listed sizes, or log-normal from median and p95."""
     if "sizes" in spec:
         return rng.choices(spec["sizes"], spec.get("weights"))[0]
     sigma = math.log(spec["p95"] / spec["median"]) / 1.645
     return min(spec.get("max", math.inf), spec["median"] * math.exp(rng.gauss(0, sigma)))
 
 
-def slots(job, site):
-    """Tasks of the job that run at once when it has all it may have."""
+def max_parallel_tasks(job, site):
+    """Returns how many tasks of a class can run at once if it has every machine up to the limits of its teams."""
     gpu = job.get("gpus", 0) > 0
-    each = job["gpus"] if gpu else job["cpus"]
-    machines = 0
-    for c in site["capacity"]:
-        t = next(t for t in site["machine_types"] if t["name"] == c["type"])
-        fits = min(t["cpus"] // job["cpus"], t["memory_gb"] // job["memory_gb"])
+    demand = job["gpus"] if gpu else job["cpus"]
+    tasks_on_machines = 0
+    for capacity in site["capacity"]:
+        machine_type = next(t for t in site["machine_types"] if t["name"] == capacity["type"])
+        fits = min(machine_type["cpus"] // job["cpus"], machine_type["memory_gb"] // job["memory_gb"])
         if gpu:
-            fits = min(fits, t.get("gpus", 0) // job["gpus"])
-        # Spot machines come beside the others, or in their place: the larger reading keeps the bound a bound.
-        machines += fits * (c["count"] + (c.get("spot", 0) if job.get("spot") else 0))
+            fits = min(fits, machine_type.get("gpus", 0) // job["gpus"])
+        # A site file may count spot machines in addition to the others or among them; adding them keeps this an upper bound.
+        tasks_on_machines += fits * (capacity["count"] + (capacity.get("spot", 0) if job.get("spot") else 0))
     teams = [t for t in site.get("teams", []) if t["name"] in job.get("teams", [t["name"]])]
     limits = [t.get("gpus_max" if gpu else "cpus_max", 0) for t in teams]
-    limit = sum(limits) // each if limits and all(limits) else math.inf
-    return min(machines, limit)
+    limit = sum(limits) // demand if limits and all(limits) else math.inf
+    return min(tasks_on_machines, limit)
 
 
 def main():
-    args = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    args.add_argument("site")
-    args.add_argument("report")
-    args = args.parse_args()
+    parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
+    parser.add_argument("site")
+    parser.add_argument("report")
+    args = parser.parse_args()
     with open(args.site, "rb") as f:
         site = tomllib.load(f)
     with open(args.report, encoding="utf-8") as f:
         report = json.load(f)
     rng = random.Random(1)
     for job in site["jobs"]:
-        told = report["classes"].get(job["name"])
-        if not told:
+        reported = report["classes"].get(job["name"])
+        if not reported:
             continue
-        count = told["jobs"] - told["cancelled"]
-        work = []
+        count = reported["jobs"] - reported["cancelled"]
+        task_seconds = []
         for _ in range(count):
-            run = drawn(job["run_s"], rng)
-            work.append(max(1, round(drawn(job["tasks"], rng))) * run)
-        work.sort()
-        left, served = slots(job, site) * report["ends_s"], 0
-        for w in work:
-            left -= w
-            if left < 0:
+            run_s = sample(job["run_s"], rng)
+            task_seconds.append(max(1, round(sample(job["tasks"], rng))) * run_s)
+        task_seconds.sort()
+        remaining_s, served = max_parallel_tasks(job, site) * report["ends_s"], 0
+        for needed_s in task_seconds:
+            remaining_s -= needed_s
+            if remaining_s < 0:
                 break
             served += 1
-        print(f"{job['name']}: served {told['done'] / max(1, count):.3f} of {count}, bound {served / max(1, count):.3f}")
+        print(f"{job['name']}: served {reported['done'] / max(1, count):.3f} of {count}, bound {served / max(1, count):.3f}")
 
 
 if __name__ == "__main__":
