--- a/.ci/clang_capnp.h
+++ b/.ci/clang_capnp.h
@@ -1,5 +1,7 @@
-// For clang-tidy only, put before each file by .ci/lint. kj 0.9 leaves `const char* == StringPtr` in C++20 to the compiler's
-// turning it round, which clang (P2468) does not do beside an operator!=; gcc 12 does. Without it capnp/blob.h is an error.
+// For clang-tidy only: .ci/lint includes this header before each file. capnp/blob.h compares
+// `const char* == StringPtr`, for which kj 0.9 relies on the reversed operator== of C++20. clang
+// does not consider the reversed operator beside a declared operator!= (P2468) and reports an
+// error; gcc 12 accepts it. These operators make the comparison valid for both.
 #pragma once
 #include <kj/string.h>
 
