--- a/bench/trace_fuzz.cpp
+++ b/bench/trace_fuzz.cpp
@@ -1,12 +1,13 @@
-// libFuzzer on the import of one format: whatever the bytes, every record is told of once, and the
-// account holds.
+// libFuzzer target for the import of one format. For any input, every record must have exactly one
+// disposition, and the counts of the summary must match the output.
 //
-//   cmake -S . -B target/fuzz -DCMAKE_CXX_COMPILER=clang++-14 -DWEIRMILL_FUZZ=ON
-//   -DWEIRMILL_TESTS=OFF cmake --build target/fuzz --target trace_fuzz WEIRMILL_SAMPLES_TO=corpus
-//   target/ci/weirmill_tests --gtest_filter='Traces.EveryRecord*' WEIRMILL_FUZZ_FORMAT=swf
-//   target/fuzz/trace_fuzz -max_total_time=600 corpus/swf
+//   cmake -S . -B target/fuzz -DCMAKE_CXX_COMPILER=clang++-14 -DWEIRMILL_FUZZ=ON \
+//       -DWEIRMILL_TESTS=OFF
+//   cmake --build target/fuzz --target trace_fuzz
+//   WEIRMILL_SAMPLES_TO=corpus target/ci/weirmill_tests --gtest_filter='TraceImport.EveryRecord*'
+//   WEIRMILL_FUZZ_FORMAT=swf target/fuzz/trace_fuzz -max_total_time=600 corpus/swf
 //
-// The input is one file, or several with the byte 0x1e between them.
+// The fuzzer's input is one file, or up to four files that are separated by the byte 0x1e.
 #include <sys/mman.h>
 #include <unistd.h>
 
@@ -21,11 +22,11 @@
 
 namespace {
 
-uint64_t lines_of(std::string_view text, std::string_view start) {
-    uint64_t n = 0;
-    for (size_t at = 0; at < text.size(); at = text.find('\n', at) + 1)
-        n += text.substr(at).starts_with(start);
-    return n;
+uint64_t count_lines(std::string_view text, std::string_view prefix) {
+    uint64_t count = 0;
+    for (size_t begin = 0; begin < text.size(); begin = text.find('\n', begin) + 1)
+        count += text.substr(begin).starts_with(prefix);
+    return count;
 }
 
 }  // namespace
@@ -33,9 +34,9 @@
 extern "C" int LLVMFuzzerTestOneInput(const uint8_t* data, size_t size) {
     static const Format* format = [] {
         auto* name = std::getenv("WEIRMILL_FUZZ_FORMAT");
-        auto* f = name ? find_format(name) : nullptr;
-        if (!f) std::abort();
-        return f;
+        auto* named_format = name ? find_format(name) : nullptr;
+        if (!named_format) std::abort();
+        return named_format;
     }();
     static const std::vector<MachineType> types{
         {"c16", {16000, 0, 64000}, 50, 1, 1, 1, 30, {"a"}},
@@ -54,14 +55,14 @@
         files.push_back(fd);
         paths.push_back("/proc/self/fd/" + std::to_string(fd));
     }
-    std::string jobs, adoption_recorded;
-    auto account = import(
-        *format, paths, Map{}, types, [&](std::string_view t) { jobs += t; },
-        [&](std::string_view t) { adoption_recorded += t; });
+    std::string jobs, dispositions;
+    auto summary = import(
+        *format, paths, Mapping{}, types, [&](std::string_view text) { jobs += text; },
+        [&](std::string_view text) { dispositions += text; });
     for (int fd : files) ::close(fd);
-    if (!account.holds() || lines_of(adoption_recorded, "{\"record\":") != account.records ||
-        lines_of(adoption_recorded, "{\"job\":") != account.accepted_jobs + account.rejected_jobs ||
-        lines_of(jobs, "{\"at_s\":") != account.accepted_jobs)
+    if (!summary.is_consistent() || count_lines(dispositions, "{\"record\":") != summary.records ||
+        count_lines(dispositions, "{\"job\":") != summary.accepted_jobs + summary.rejected_jobs ||
+        count_lines(jobs, "{\"at_s\":") != summary.accepted_jobs)
         std::abort();
     return 0;
 }
--- a/src/cli/completion.cpp
+++ b/src/cli/completion.cpp
@@ -4,19 +4,20 @@
 
 namespace {
 
-std::string joined(const std::vector<std::string>& words, const char* between) {
-    std::string out;
-    for (auto& w : words) out += (out.empty() ? "" : between) + w;
-    return out;
+std::string join(const std::vector<std::string>& words, const char* separator) {
+    std::string joined;
+    for (auto& word : words) joined += (joined.empty() ? "" : separator) + word;
+    return joined;
 }
 
-// The verbs below `app` by their path ("/trace/import"), each with the words that may follow it.
-void walk(const CLI::App& app, const std::string& path,
-          std::map<std::string, std::vector<std::string>>& out) {
-    auto& words = out[path];
-    for (auto* sub : app.get_subcommands(nullptr)) {
-        words.push_back(sub->get_name());
-        walk(*sub, path + "/" + sub->get_name(), out);
+// Adds `app` and its subcommands by their paths (such as "/trace/import"), each with the
+// subcommands and options that can follow it.
+void collect_words(const CLI::App& app, const std::string& path,
+                   std::map<std::string, std::vector<std::string>>& words_by_path) {
+    auto& words = words_by_path[path];
+    for (auto* subcommand : app.get_subcommands(nullptr)) {
+        words.push_back(subcommand->get_name());
+        collect_words(*subcommand, path + "/" + subcommand->get_name(), words_by_path);
     }
     for (auto* option : app.get_options())
         for (auto& name : option->get_lnames()) words.push_back("--" + name);
@@ -25,34 +26,34 @@
 }  // namespace
 
 std::string bash_completion(const CLI::App& app, const std::string& program,
-                            const std::map<std::string, std::vector<std::string>>& values) {
-    std::map<std::string, std::vector<std::string>> verbs;
-    walk(app, "", verbs);
+                            const std::map<std::string, std::vector<std::string>>& option_values) {
+    std::map<std::string, std::vector<std::string>> words_by_path;
+    collect_words(app, "", words_by_path);
     std::vector<std::string> paths;
-    std::string cases;
-    for (auto& [path, words] : verbs) {
+    std::string path_cases;
+    for (auto& [path, words] : words_by_path) {
         if (!path.empty()) paths.push_back(path);
-        cases += "        \"" + path + "\") words=\"" + joined(words, " ") + "\" ;;\n";
+        path_cases += "        \"" + path + "\") words=\"" + join(words, " ") + "\" ;;\n";
     }
-    std::string given;
-    for (auto& [option, words] : values)
-        given += "        " + option + ") words=\"" + joined(words, " ") + "\" ;;\n";
-    // What no word fits is completed as a file.
+    std::string option_cases;
+    for (auto& [option, words] : option_values)
+        option_cases += "        " + option + ") words=\"" + join(words, " ") + "\" ;;\n";
+    // With "-o default", bash completes file names where no word matches.
     return "_" + program +
            "() {\n"
            "    local current=\"${COMP_WORDS[COMP_CWORD]}\" path=\"\" words=\"\" word\n"
            "    for word in \"${COMP_WORDS[@]:1:COMP_CWORD-1}\"; do\n"
            "        case \"$path/$word\" in\n"
            "            " +
-           joined(paths, "|") +
+           join(paths, "|") +
            ") path=\"$path/$word\" ;;\n"
            "        esac\n"
            "    done\n"
            "    case \"$path\" in\n" +
-           cases +
+           path_cases +
            "    esac\n"
            "    case \"${COMP_WORDS[COMP_CWORD-1]}\" in\n" +
-           given +
+           option_cases +
            "        --*) [[ $current == -* ]] || words=\"\" ;;\n"
            "    esac\n"
            "    COMPREPLY=($(compgen -W \"$words\" -- \"$current\"))\n"
--- a/src/cli/completion.h
+++ b/src/cli/completion.h
@@ -1,4 +1,5 @@
-// Shell completion made from the command line's own description, so that the two can't differ.
+// Generates a shell completion script from the definition of the command line, so that the two
+// always match.
 #pragma once
 #include <CLI/CLI.hpp>
 #include <map>
@@ -7,8 +8,8 @@
 
 namespace weirmill::tools {
 
-// A script for bash. `values`: what an option may be given, by its name.
+// Returns a script for bash. `option_values` has the possible values of options, by option name.
 std::string bash_completion(const CLI::App& app, const std::string& program,
-                            const std::map<std::string, std::vector<std::string>>& values);
+                            const std::map<std::string, std::vector<std::string>>& option_values);
 
 }  // namespace weirmill::tools
--- a/src/cli/weirmillctl.cpp
+++ b/src/cli/weirmillctl.cpp
@@ -1,5 +1,5 @@
-// The operators' command: verbs, their options and exit codes. What they do is in packages of their
-// own.
+// The command line tool for operators: its subcommands, their options and exit codes. The work of
+// the subcommands is done in other modules.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -27,21 +27,29 @@
 namespace io = boost::iostreams;
 using namespace weirmill;
 
-enum Exit : int { kDone = 0, kSomeRejected = 1, kUsage = 2, kUnreadable = 3, kBug = 70 };
+enum ExitCode : int {
+    kOk = 0,
+    kFailures = 1,
+    kUsageError = 2,
+    kFileError = 3,
+    kInternalError = 70
+};
 
-// A file that is written, compressed as its name ends.
-class Output {
+// Writes a file. The file is compressed if its name ends in .zst, .gz or .xz.
+class OutputFile {
   public:
-    explicit Output(const std::string& path) : path_(path) {
+    explicit OutputFile(const std::string& path) : path_(path) {
         if (path.ends_with(".zst"))
             stream_.push(io::zstd_compressor());
         else if (path.ends_with(".gz"))
             stream_.push(io::gzip_compressor());
         else if (path.ends_with(".xz"))
             stream_.push(io::lzma_compressor());
-        stream_.push(io::file_descriptor_sink(path, std::ios::binary | std::ios::trunc), kBuffer);
+        stream_.push(io::file_descriptor_sink(path, std::ios::binary | std::ios::trunc),
+                     kBufferBytes);
     }
-    // All throw std::exception if it can't be written.
+    // write() and close() throw std::exception if the file can't be written, as the constructor
+    // does.
     void write(std::string_view text) {
         if (io::write(stream_, text.data(), static_cast<std::streamsize>(text.size())) !=
             static_cast<std::streamsize>(text.size()))
@@ -50,15 +58,15 @@
     void close() { io::close(stream_); }
 
   private:
-    static constexpr std::streamsize kBuffer = 1 << 18;
+    static constexpr std::streamsize kBufferBytes = 1 << 18;
     std::string path_;
     io::filtering_streambuf<io::output> stream_;
 };
 
-std::string whole(const std::string& path) {
+std::string read_file(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
     std::stringstream text;
-    if (!in || !(text << in.rdbuf())) throw traces::Unreadable(path + ": can't be read");
+    if (!in || !(text << in.rdbuf())) throw traces::FileError(path + ": can't be read");
     return text.str();
 }
 
@@ -68,37 +76,38 @@
     std::vector<std::string> inputs;
 };
 
-int run_import(const ImportOptions& o) {
-    auto* format = traces::find_format(o.format);
-    auto map = o.map.empty() ? traces::Map{} : traces::load_map(o.map);
-    auto types = parse_machine_types(whole(o.types));
-    if (o.out == o.dispositions)
+int run_import(const ImportOptions& options) {
+    auto* format = traces::find_format(options.format);
+    auto mapping = options.map.empty() ? traces::Mapping{} : traces::load_mapping(options.map);
+    auto types = parse_machine_types(read_file(options.types));
+    if (options.out == options.dispositions)
         throw CLI::ValidationError("--out and --dispositions name the same file");
-    Output jobs(o.out), dispositions(o.dispositions);
-    auto account = traces::import(
-        *format, o.inputs, map, types, [&](std::string_view t) { jobs.write(t); },
-        [&](std::string_view t) { dispositions.write(t); });
+    OutputFile jobs(options.out), dispositions(options.dispositions);
+    auto summary = traces::import(
+        *format, options.inputs, mapping, types, [&](std::string_view text) { jobs.write(text); },
+        [&](std::string_view text) { dispositions.write(text); });
     jobs.close();
     dispositions.close();
-    std::cout << account.json() << std::endl;
-    for (auto& why : account.broken) std::cerr << "weirmillctl: " << why << "\n";
-    if (!account.holds()) {
-        std::cerr << "weirmillctl: the account does not hold: this is an error of weirmillctl\n";
-        return kBug;
+    std::cout << summary.json() << std::endl;
+    for (auto& error : summary.input_errors) std::cerr << "weirmillctl: " << error << "\n";
+    if (!summary.is_consistent()) {
+        std::cerr << "weirmillctl: the counts of records and jobs are inconsistent; this is a bug "
+                     "in weirmillctl\n";
+        return kInternalError;
     }
-    if (!account.broken.empty()) return kUnreadable;
-    return o.strict && account.rejected_records + account.rejected_jobs > 0 ? kSomeRejected : kDone;
+    if (!summary.input_errors.empty()) return kFileError;
+    return options.strict && summary.rejected_records + summary.rejected_jobs > 0 ? kFailures : kOk;
 }
 
 int run_stats(const std::string& jobs, const std::string& times, const std::string& html) {
     auto stats = traces::read_stats(jobs, times);
     if (!html.empty()) {
-        Output page(html);
-        page.write(stats.html("Load of " + jobs));
+        OutputFile page(html);
+        page.write(stats.html("Workload of " + jobs));
         page.close();
     }
     std::cout << stats.json() << std::endl;
-    return kDone;
+    return kOk;
 }
 
 struct PlayArguments {
@@ -108,28 +117,30 @@
     size_t in_flight = 1000;
 };
 
-int run_play(const PlayArguments& a) {
+int run_play(const PlayArguments& arguments) {
     traces::PlayOptions options;
-    for (auto& to : a.to) {
+    for (auto& address : arguments.to) {
         try {
-            options.to.push_back(Endpoint::parse(to, "--to"));
+            options.endpoints.push_back(Endpoint::parse(address, "--to"));
         } catch (const SettingsError& e) {
             throw CLI::ValidationError(e.what());
         }
     }
-    options.speed = a.speed;
-    options.in_flight = a.in_flight;
-    options.log = !a.resume.empty() ? a.resume : !a.log.empty() ? a.log : a.jobs + ".play";
-    std::unordered_map<std::string, traces::Played> known;
-    if (!a.resume.empty())
-        known = traces::read_play_log(a.resume);
-    else if (std::ifstream(options.log).peek() != std::ifstream::traits_type::eof())
-        throw CLI::ValidationError(
-            options.log +
-            " is the log of an earlier play: --resume it, or name another with --log");
-    traces::JobFile file(a.jobs);
+    options.speed = arguments.speed;
+    options.max_in_flight = arguments.in_flight;
+    options.log_path = !arguments.resume.empty() ? arguments.resume
+                       : !arguments.log.empty()  ? arguments.log
+                                                 : arguments.jobs + ".play";
+    std::unordered_map<std::string, traces::PlayState> resumed_states;
+    if (!arguments.resume.empty())
+        resumed_states = traces::read_play_log(arguments.resume);
+    else if (std::ifstream(options.log_path).peek() != std::ifstream::traits_type::eof())
+        throw CLI::ValidationError(options.log_path +
+                                   " is the log of an earlier play; resume it with --resume, or "
+                                   "set another log with --log");
+    traces::JobFile file(arguments.jobs);
     boost::asio::io_context run_io(1);
-    traces::Player player(run_io, options, [&] { return file.next(); }, std::move(known));
+    traces::Player player(run_io, options, [&] { return file.next(); }, std::move(resumed_states));
     boost::asio::signal_set signals(run_io, SIGINT, SIGTERM);
     bool interrupted = false;
     signals.async_wait([&](boost::system::error_code ec, int) {
@@ -137,172 +148,190 @@
         interrupted = true;
         player.stop();
     });
-    boost::asio::steady_timer tick(run_io);
-    bool terminal = ::isatty(STDERR_FILENO) == 1;
-    std::function<void()> progress = [&] {
-        tick.expires_after(std::chrono::seconds(1));
-        tick.async_wait([&](boost::system::error_code ec) {
+    boost::asio::steady_timer progress_timer(run_io);
+    bool show_progress = ::isatty(STDERR_FILENO) == 1;
+    std::function<void()> print_progress = [&] {
+        progress_timer.expires_after(std::chrono::seconds(1));
+        progress_timer.async_wait([&](boost::system::error_code ec) {
             if (ec) return;
-            auto f = player.figures();
-            auto n = [&](traces::Played p) { return f.by_state[static_cast<size_t>(p)]; };
-            std::cerr << "\r" << f.jobs << " jobs: " << n(traces::Played::Accepted) << " accepted, "
-                      << n(traces::Played::Done) << " done, " << n(traces::Played::Sent)
-                      << " under way \x1b[K" << std::flush;
-            progress();
+            auto summary = player.summary();
+            auto count = [&](traces::PlayState state) {
+                return summary.by_state[static_cast<size_t>(state)];
+            };
+            std::cerr << "\r" << summary.jobs << " jobs: " << count(traces::PlayState::Accepted)
+                      << " accepted, " << count(traces::PlayState::Done) << " done, "
+                      << count(traces::PlayState::Sent) << " sent \x1b[K" << std::flush;
+            print_progress();
         });
     };
-    if (terminal) progress();
-    std::exception_ptr failed;
+    if (show_progress) print_progress();
+    std::exception_ptr failure;
     boost::asio::co_spawn(run_io, player.run(), [&](std::exception_ptr e) {
-        failed = e;
-        tick.cancel();
+        failure = e;
+        progress_timer.cancel();
         signals.cancel();
     });
     run_io.run();
-    if (terminal) std::cerr << "\n";
-    if (failed) std::rethrow_exception(failed);
-    if (!a.csv.empty()) {
-        Output csv(a.csv);
+    if (show_progress) std::cerr << "\n";
+    if (failure) std::rethrow_exception(failure);
+    if (!arguments.csv.empty()) {
+        OutputFile csv(arguments.csv);
         player.csv([&](const std::string& row) { csv.write(row); });
         csv.close();
     }
-    auto figures = player.figures();
-    std::cout << figures.json() << std::endl;
+    auto summary = player.summary();
+    std::cout << summary.json() << std::endl;
     if (interrupted)
-        std::cerr << "weirmillctl: stopped; go on with --resume " << options.log << "\n";
-    auto failures = figures.went_back + (interrupted ? 1 : 0);
-    for (auto p : {traces::Played::Refused, traces::Played::GivenUp, traces::Played::NotSent,
-                   traces::Played::Lost})
-        failures += figures.by_state[static_cast<size_t>(p)];
-    return failures > 0 ? kSomeRejected : kDone;
+        std::cerr << "weirmillctl: interrupted; continue with --resume " << options.log_path
+                  << "\n";
+    auto failures = summary.contradictions + (interrupted ? 1 : 0);
+    for (auto state : {traces::PlayState::Refused, traces::PlayState::GivenUp,
+                       traces::PlayState::NotSent, traces::PlayState::Lost})
+        failures += summary.by_state[static_cast<size_t>(state)];
+    return failures > 0 ? kFailures : kOk;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app("weirmillctl: tools around the cluster scheduler");
+    CLI::App app("weirmillctl: tools for the cluster scheduler");
     app.set_version_flag("--version", std::string("weirmillctl ") + WEIRMILL_VERSION);
     app.require_subcommand(1);
     app.footer("Example:\n  weirmillctl trace formats");
-    auto* completion =
-        app.add_subcommand("completion", "a script that completes this command's words");
+    auto* completion = app.add_subcommand("completion", "print a shell completion script");
     completion->footer(
         "Example:\n  weirmillctl completion bash > /etc/bash_completion.d/weirmillctl");
     std::string shell;
     completion->add_option("SHELL", shell, "bash")->required()->check(CLI::IsMember({"bash"}));
-    auto* trace = app.add_subcommand("trace", "published traces of clusters as submissions");
+    auto* trace = app.add_subcommand("trace", "import and play published cluster traces");
     trace->require_subcommand(1);
     trace->footer(
         "Example:\n  weirmillctl trace import --format swf --types types.json --out jobs.ndjson "
         "--dispositions d.ndjson log.swf.gz");
-    auto* list = trace->add_subcommand("formats", "the formats that can be imported");
+    auto* list = trace->add_subcommand("formats", "list the trace formats that can be imported");
     list->footer("Example:\n  weirmillctl trace formats");
     auto* import = trace->add_subcommand(
-        "import", "make submissions of a trace, and tell what became of each record");
+        "import", "convert a trace to submissions and report the result for each record");
     import->footer(
-        "Exit codes: 0 done, 1 some were rejected (--strict), 2 usage, 3 unreadable input, 70 the "
-        "account "
-        "does not "
-        "hold\nExample:\n  weirmillctl trace import --format google-2011 --map map.properties "
-        "--types "
-        "types.json \\\n"
+        "Exit codes: 0 success, 1 records or jobs were rejected (only with --strict), "
+        "2 usage error, 3 a file can't be read or written, 70 internal error\n"
+        "Example:\n"
+        "  weirmillctl trace import --format google-2011 --map map.properties --types types.json "
+        "\\\n"
         "      --out jobs.ndjson.zst --dispositions d.ndjson.zst job_events/*.csv.gz "
         "task_events/*.csv.gz");
-    ImportOptions o;
-    std::vector<std::string> names;
-    for (auto& f : traces::formats()) names.emplace_back(f.name);
-    import->add_option("--format", o.format, "see `trace formats`")
+    ImportOptions import_options;
+    std::vector<std::string> format_names;
+    for (auto& format : traces::formats()) format_names.emplace_back(format.name);
+    import
+        ->add_option("--format", import_options.format,
+                     "format of the trace; `trace formats` lists them")
         ->required()
-        ->check(CLI::IsMember(names));
-    import->add_option("--map", o.map, "how the trace's units and names become ours (properties)")
+        ->check(CLI::IsMember(format_names));
+    import
+        ->add_option("--map", import_options.map,
+                     "mapping of the trace's units and names to the service's (properties file)")
         ->type_name("FILE");
     import
-        ->add_option("--types", o.types, "the cloud's machine types, as its /machine_types answers")
+        ->add_option("--types", import_options.types,
+                     "machine types in the JSON of the cloud API's /machine_types")
         ->required()
         ->type_name("FILE");
     import
-        ->add_option("--out", o.out,
-                     "submissions, a line each; compressed if it ends in .zst, .gz or .xz")
+        ->add_option(
+            "--out", import_options.out,
+            "output file for submissions, one JSON line each; compressed if its name ends in "
+            ".zst, .gz or .xz")
         ->required()
         ->type_name("FILE");
     import
-        ->add_option("--dispositions", o.dispositions,
-                     "what became of each record and job, a line each")
+        ->add_option("--dispositions", import_options.dispositions,
+                     "output file for the result of each record and job, one JSON line each")
         ->required()
         ->type_name("FILE");
-    import->add_flag("--strict", o.strict, "exit with 1 if anything was rejected");
-    import->add_option("INPUT", o.inputs, "files (plain, gzip, xz or zstd); - for standard input")
+    import->add_flag("--strict", import_options.strict,
+                     "exit with code 1 if any record or job was rejected");
+    import
+        ->add_option("INPUT", import_options.inputs,
+                     "trace files (plain, gzip, xz or zstd), or - for standard input")
         ->required();
     auto* stats = trace->add_subcommand(
-        "stats", "distributions of an import's jobs, and of a play's waiting");
+        "stats", "show distributions of imported jobs and of the waiting times of a play");
     stats->footer(
         "Example:\n  weirmillctl trace stats jobs.ndjson --times times.csv --html load.html");
     std::string stats_jobs, stats_times, stats_html;
-    stats->add_option("JOBS", stats_jobs, "the output of `trace import`")
+    stats->add_option("JOBS", stats_jobs, "output of `trace import`")
         ->required()
         ->type_name("FILE");
-    stats->add_option("--times", stats_times, "the table that `trace play --csv` wrote")
+    stats->add_option("--times", stats_times, "CSV file that `trace play --csv` wrote")
         ->type_name("FILE");
-    stats->add_option("--html", stats_html, "one page with everything in it")->type_name("FILE");
-    auto* play =
-        trace->add_subcommand("play", "submit an import's jobs in time, follow them to their end");
+    stats->add_option("--html", stats_html, "output file for a self-contained HTML page")
+        ->type_name("FILE");
+    auto* play = trace->add_subcommand(
+        "play", "submit imported jobs at the times of the trace and follow them to their end");
     play->footer(
-        "Exit codes: 0 every job was taken and none of the answers went back, 1 otherwise, 2 "
-        "usage, 3 "
-        "unreadable "
-        "input\nCtrl-C ends it with the figures so far.\nExample:\n  weirmillctl trace play --to "
-        "10.0.0.1:8080,10.0.0.2:8080 --speed 60 --csv times.csv jobs.ndjson");
-    PlayArguments p;
-    play->add_option("--to", p.to, "the service's nodes, HOST:PORT")
+        "Exit codes: 0 every job was accepted and no answer contradicted an earlier one, "
+        "1 otherwise, 2 usage error, 3 a file can't be read or written\n"
+        "Ctrl-C stops the play and prints the summary so far.\n"
+        "Example:\n"
+        "  weirmillctl trace play --to 10.0.0.1:8080,10.0.0.2:8080 --speed 60 --csv times.csv "
+        "jobs.ndjson");
+    PlayArguments play_arguments;
+    play->add_option("--to", play_arguments.to, "addresses of the service's nodes, IP:PORT")
         ->required()
         ->delimiter(',')
         ->allow_extra_args(false);
-    play->add_option("--speed", p.speed, "the trace's seconds in one of ours")
+    play->add_option("--speed", play_arguments.speed,
+                     "seconds of the trace in one second of the play")
         ->check(CLI::Range(1e-6, 1e9));
-    play->add_option("--jobs-in-flight", p.in_flight,
-                     "jobs that are sent and not at their end, at most")
+    play->add_option("--jobs-in-flight", play_arguments.in_flight,
+                     "maximum number of jobs that are submitted and not finished")
         ->check(CLI::Range(size_t{1}, size_t{1000000}));
-    play->add_option("--csv", p.csv, "times of every job")->type_name("FILE");
-    auto* log = play->add_option("--log", p.log, "what was sent and answered (default: JOBS.play)")
+    play->add_option("--csv", play_arguments.csv, "output file for the times of every job")
+        ->type_name("FILE");
+    auto* log = play->add_option("--log", play_arguments.log,
+                                 "log of submissions and answers (default: JOBS.play)")
                     ->type_name("FILE");
-    play->add_option("--resume", p.resume, "go on from the log of an earlier play")
+    play->add_option("--resume", play_arguments.resume, "continue an earlier play from its log")
         ->type_name("FILE")
         ->excludes(log);
-    play->add_option("JOBS", p.jobs, "the output of `trace import`")->required()->type_name("FILE");
+    play->add_option("JOBS", play_arguments.jobs, "output of `trace import`")
+        ->required()
+        ->type_name("FILE");
     try {
         app.parse(argc, argv);
     } catch (const CLI::ParseError& e) {
-        return app.exit(e) == 0 ? kDone : kUsage;
+        return app.exit(e) == 0 ? kOk : kUsageError;
     }
     try {
         if (*completion) {
-            std::cout << tools::bash_completion(app, "weirmillctl", {{"--format", names}});
-            return kDone;
+            std::cout << tools::bash_completion(app, "weirmillctl", {{"--format", format_names}});
+            return kOk;
         }
         if (*list) {
-            for (auto& f : traces::formats())
-                std::cout << f.name << "\t" << f.title << "\t" << f.inputs << "\n";
-            return kDone;
+            for (auto& format : traces::formats())
+                std::cout << format.name << "\t" << format.title << "\t" << format.inputs << "\n";
+            return kOk;
         }
         if (*stats) return run_stats(stats_jobs, stats_times, stats_html);
-        return *play ? run_play(p) : run_import(o);
-    } catch (const traces::Unreadable& e) {
+        return *play ? run_play(play_arguments) : run_import(import_options);
+    } catch (const traces::FileError& e) {
         std::cerr << "weirmillctl: " << e.what() << "\n";
-        return kUnreadable;
+        return kFileError;
     } catch (const BadMessage& e) {
-        std::cerr << "weirmillctl: " << o.types << ": " << e.what() << "\n";
-        return kUnreadable;
+        std::cerr << "weirmillctl: " << import_options.types << ": " << e.what() << "\n";
+        return kFileError;
     } catch (const CLI::ValidationError& e) {
         std::cerr << "weirmillctl: " << e.what() << "\n";
-        return kUsage;
-    } catch (const traces::MapError& e) {
+        return kUsageError;
+    } catch (const traces::MappingError& e) {
         std::cerr << "weirmillctl: " << e.what() << "\n";
-        return kUsage;
+        return kUsageError;
     } catch (const traces::ScriptError& e) {
         std::cerr << "weirmillctl: " << e.what() << "\n";
-        return kUsage;
+        return kUsageError;
     } catch (const std::exception& e) {
         std::cerr << "weirmillctl: " << e.what() << "\n";
-        return kUnreadable;
+        return kFileError;
     }
 }
--- a/src/traces/assembler.cpp
+++ b/src/traces/assembler.cpp
@@ -5,243 +5,264 @@
 
 namespace weirmill::traces {
 
-uint64_t Assembler::mark(const std::string& key) const {
-    if (!numeric_) return std::hash<std::string>{}(key);
-    uint64_t v = 0;
-    std::from_chars(key.data(), key.data() + key.size(), v);
-    return v;
+uint64_t Assembler::bitmap_key(const std::string& key) const {
+    if (!numeric_keys_) return std::hash<std::string>{}(key);
+    uint64_t number = 0;
+    std::from_chars(key.data(), key.data() + key.size(), number);
+    return number;
 }
 
-Refusal Assembler::in_time(Event& e) {
-    if (std::isnan(e.at_s)) return {};
-    if (std::isnan(newest_) || e.at_s >= newest_) {
-        newest_ = e.at_s;
-        refused_in_row_ = 0;
+Rejection Assembler::check_time(Event& event) {
+    if (std::isnan(event.time_s)) return {};
+    if (std::isnan(newest_s_) || event.time_s >= newest_s_) {
+        newest_s_ = event.time_s;
+        consecutive_rejections_ = 0;
         return {};
     }
-    double late = newest_ - e.at_s;
-    if (late <= back_s_) {
-        ++notes_.times_put_right;
-        for (double* t : {&e.facts.submitted_s, &e.facts.started_s, &e.facts.ended_s}) *t += late;
-        e.at_s = newest_;
+    double late_s = newest_s_ - event.time_s;
+    if (late_s <= time_tolerance_s_) {
+        ++counters_.adjusted_times;
+        for (double* time_s : {&event.attributes.submitted_s, &event.attributes.started_s,
+                               &event.attributes.ended_s})
+            *time_s += late_s;
+        event.time_s = newest_s_;
         return {};
     }
-    refused_in_row_ = refused_in_row_ > 0 && e.at_s < refused_s_ ? 1 : refused_in_row_ + 1;
-    refused_s_ = e.at_s;
-    if (refused_in_row_ > kResync) {
-        ++notes_.time_resyncs;
-        refused_in_row_ = 0;
-        newest_ = e.at_s;
+    consecutive_rejections_ = consecutive_rejections_ > 0 && event.time_s < last_rejected_s_
+                                  ? 1
+                                  : consecutive_rejections_ + 1;
+    last_rejected_s_ = event.time_s;
+    if (consecutive_rejections_ > kRejectionsBeforeResync) {
+        ++counters_.time_resyncs;
+        consecutive_rejections_ = 0;
+        newest_s_ = event.time_s;
         return {};
     }
-    return {Reason::TimeBackwards, std::to_string(late) + " s older than the newest record"};
+    return {RejectReason::TimeBackwards,
+            std::to_string(late_s) + " s older than the newest record"};
 }
 
-Refusal Assembler::take(Event& e, Where where) {
-    auto refusal = in_time(e);
-    if (refusal.reason != Reason::None) return refusal;
-    close_over();
-    switch (e.kind) {
+Rejection Assembler::add(Event& event, RecordLocation location) {
+    auto rejection = check_time(event);
+    if (rejection.reason != RejectReason::None) return rejection;
+    close_ended_jobs();
+    switch (event.kind) {
         case EventKind::MachineAdd:
         case EventKind::MachineRemove:
         case EventKind::MachineUpdate:
-        case EventKind::MachineState:
-            return machine_event(e);
-        case EventKind::GroupFacts: {
-            auto it = groups_.find(e.group);
+        case EventKind::MachineSnapshot:
+            return add_machine_event(event);
+        case EventKind::GroupAttributes: {
+            auto it = groups_.find(event.group);
             if (it == groups_.end())
-                return {Reason::UnknownJob, "no task of job " + e.group + " was declared"};
+                return {RejectReason::UnknownJob,
+                        "no task of job " + event.group + " was declared before"};
             if (!it->second.user.empty())
-                return {Reason::DuplicateJob, "job " + e.group + " was told before"};
-            it->second = std::move(e.facts);
+                return {RejectReason::DuplicateJob,
+                        "the record of job " + event.group + " is a duplicate"};
+            it->second = std::move(event.attributes);
             return {};
         }
         default:
             break;
     }
-    auto it = open_.find(e.job);
-    bool closed = it == open_.end() && closed_.contains(mark(e.job));
-    if (e.kind == EventKind::Job || e.kind == EventKind::Declare) {
-        if (it != open_.end() || closed)
-            return {Reason::DuplicateJob, "job " + e.job + " was declared before"};
-        Open open;
-        open.order = order_++;
-        open.job = {e.job, where, std::move(e.facts), kNoTime, {}};
-        if (e.kind == EventKind::Job) {
+    auto it = open_jobs_.find(event.job);
+    bool closed = it == open_jobs_.end() && closed_jobs_.contains(bitmap_key(event.job));
+    if (event.kind == EventKind::CompleteJob || event.kind == EventKind::JobDeclare) {
+        if (it != open_jobs_.end() || closed)
+            return {RejectReason::DuplicateJob, "job " + event.job + " was declared before"};
+        OpenJob open;
+        open.declaration_order = declared_jobs_++;
+        open.job = {event.job, location, std::move(event.attributes), kUnknown, {}};
+        if (event.kind == EventKind::CompleteJob) {
             close(std::move(open));
             return {};
         }
-        if (!e.group.empty()) groups_[e.group];
-        open.group = std::move(e.group);
-        open_.emplace(std::move(e.job), std::move(open));
+        if (!event.group.empty()) groups_[event.group];
+        open.group = std::move(event.group);
+        open_jobs_.emplace(std::move(event.job), std::move(open));
         return {};
     }
-    if (closed) return {Reason::AfterEnd, "job " + e.job + " had ended"};
-    if (it == open_.end()) return {Reason::UnknownJob, "job " + e.job + " was never declared"};
+    if (closed) return {RejectReason::AfterJobEnd, "job " + event.job + " has already ended"};
+    if (it == open_jobs_.end())
+        return {RejectReason::UnknownJob, "job " + event.job + " was never declared"};
     auto& open = it->second;
-    if (!std::isnan(open.over_s) && e.at_s > open.over_s)
-        return {Reason::AfterEnd, "job " + e.job + " had ended"};
-    if (e.kind == EventKind::JobEnd) {
-        if (!std::isnan(open.over_s)) return {Reason::AfterEnd, "job " + e.job + " had ended"};
-        // Ends of its tasks may follow with the same time.
-        open.over_s = e.at_s;
-        over_.emplace_back(e.at_s, e.job);
+    if (!std::isnan(open.ended_s) && event.time_s > open.ended_s)
+        return {RejectReason::AfterJobEnd, "job " + event.job + " has already ended"};
+    if (event.kind == EventKind::JobEnd) {
+        if (!std::isnan(open.ended_s))
+            return {RejectReason::AfterJobEnd, "job " + event.job + " has already ended"};
+        // The job stays open until the time advances, because ends of its tasks may follow with
+        // the same time.
+        open.ended_s = event.time_s;
+        ended_jobs_.emplace_back(event.time_s, event.job);
         return {};
     }
-    return task_event(e, open);
+    return add_task_event(event, open);
 }
 
-Refusal Assembler::machine_event(const Event& e) {
-    machines_told_ = true;
-    auto [it, added] = machine_index_.emplace(e.machine, static_cast<uint32_t>(machines_.size()));
+Rejection Assembler::add_machine_event(const Event& event) {
+    has_machine_events_ = true;
+    auto [it, added] =
+        machine_index_.emplace(event.machine, static_cast<uint32_t>(machines_.size()));
     if (added) machines_.emplace_back();
-    auto& m = machines_[it->second];
-    switch (e.kind) {
-        case EventKind::MachineState:
-            if (m.there && !(e.facts.submitted_s > m.told_s))
-                return {Reason::MachineTwice,
-                        "machine " + e.machine + " was told of for this time"};
-            m.there = true;
-            m.told_s = e.facts.submitted_s;
+    auto& machine_state = machines_[it->second];
+    switch (event.kind) {
+        case EventKind::MachineSnapshot:
+            if (machine_state.present && !(event.attributes.submitted_s > machine_state.snapshot_s))
+                return {RejectReason::MachineAlreadyPresent,
+                        "machine " + event.machine +
+                            " already has a record for this time or a later one"};
+            machine_state.present = true;
+            machine_state.snapshot_s = event.attributes.submitted_s;
             return {};
         case EventKind::MachineAdd:
-            if (m.there)
-                return {Reason::MachineTwice, "machine " + e.machine + " is there already"};
-            m.there = true;
+            if (machine_state.present)
+                return {RejectReason::MachineAlreadyPresent,
+                        "machine " + event.machine + " is already present"};
+            machine_state.present = true;
             return {};
         default:
-            if (!m.there) return {Reason::MachineUnknown, "machine " + e.machine + " is not there"};
-            if (e.kind == EventKind::MachineRemove) {
-                m.there = false;
-                notes_.machines_removed_in_use += m.running > 0;
+            if (!machine_state.present)
+                return {RejectReason::MachineNotPresent,
+                        "machine " + event.machine + " is not present"};
+            if (event.kind == EventKind::MachineRemove) {
+                machine_state.present = false;
+                counters_.machines_removed_in_use += machine_state.running > 0;
             }
             return {};
     }
 }
 
-// A machine that the trace does not declare is no reason to lose the job that ran there.
-uint32_t Assembler::use(const std::string& machine) {
+// Counts a use of a machine that the trace does not declare, but does not reject it: the job that
+// ran there is still valid. Returns the index of the machine plus one, or 0 for an empty key.
+uint32_t Assembler::start_on_machine(const std::string& machine) {
     if (machine.empty()) return 0;
     auto [it, added] = machine_index_.emplace(machine, static_cast<uint32_t>(machines_.size()));
     if (added) machines_.emplace_back();
-    auto& m = machines_[it->second];
-    notes_.machines_undeclared += machines_told_ && !m.there;
-    ++m.running;
+    auto& machine_state = machines_[it->second];
+    counters_.undeclared_machine_uses += has_machine_events_ && !machine_state.present;
+    ++machine_state.running;
     return it->second + 1;
 }
 
-void Assembler::leave(Task& task) {
+void Assembler::leave_machine(Task& task) {
     if (task.machine > 0 && machines_[task.machine - 1].running > 0)
         --machines_[task.machine - 1].running;
     task.machine = 0;
-    task.since = kNoTime;
+    task.running_since_s = kUnknown;
 }
 
-void Assembler::ran(Open& open, double from, double to) {
-    if (std::isnan(from) || std::isnan(to)) return;
+void Assembler::record_run(OpenJob& open, double from_s, double to_s) {
+    if (std::isnan(from_s) || std::isnan(to_s)) return;
     auto& job = open.job;
-    if (to < from) {
-        // One bad task does not end its job: the others tell how long it ran.
+    if (to_s < from_s) {
+        // The job is rejected only if no other task of it has a valid run time.
         if (std::isnan(job.run_s))
-            job.refusal = {Reason::EndBeforeStart, "a task ends before it starts"};
+            job.rejection = {RejectReason::EndBeforeStart, "a task ends before it starts"};
         return;
     }
-    if (job.refusal.reason == Reason::EndBeforeStart) job.refusal = {};
-    if (std::isnan(job.run_s) || to - from > job.run_s) job.run_s = to - from;
+    if (job.rejection.reason == RejectReason::EndBeforeStart) job.rejection = {};
+    if (std::isnan(job.run_s) || to_s - from_s > job.run_s) job.run_s = to_s - from_s;
 }
 
-Refusal Assembler::task_event(const Event& e, Open& open) {
-    auto& facts = open.job.facts;
-    // The largest of its tasks says what each takes.
-    auto widen = [](double& have, double told) {
-        if (!std::isnan(told) && (std::isnan(have) || told > have)) have = told;
+Rejection Assembler::add_task_event(const Event& event, OpenJob& open) {
+    auto& attributes = open.job.attributes;
+    // All tasks of a job get the demand of its largest task.
+    auto keep_larger = [](double& known, double value) {
+        if (!std::isnan(value) && (std::isnan(known) || value > known)) known = value;
     };
-    switch (e.kind) {
+    switch (event.kind) {
         case EventKind::TaskSubmit: {
-            auto [it, added] = open.tasks.emplace(e.task, Task{});
+            auto [it, added] = open.tasks.emplace(event.task, Task{});
             if (!added && !it->second.ended)
-                return {Reason::DuplicateTask,
-                        "task " + std::to_string(e.task) + " was submitted before"};
+                return {RejectReason::DuplicateTask,
+                        "task " + std::to_string(event.task) + " was submitted before"};
             it->second.ended = false;
-            widen(facts.cpu, e.facts.cpu);
-            widen(facts.mem, e.facts.mem);
-            facts.priority = std::max(facts.priority, e.facts.priority);
+            keep_larger(attributes.cpu, event.attributes.cpu);
+            keep_larger(attributes.mem, event.attributes.mem);
+            attributes.priority = std::max(attributes.priority, event.attributes.priority);
             return {};
         }
         case EventKind::TaskStart:
         case EventKind::TaskEnd: {
-            auto it = open.tasks.find(e.task);
+            auto it = open.tasks.find(event.task);
             if (it == open.tasks.end() || it->second.ended)
-                return {Reason::UnknownTask,
-                        "task " + std::to_string(e.task) + " was not submitted, or has ended"};
+                return {RejectReason::UnknownTask, "task " + std::to_string(event.task) +
+                                                       " was not submitted or has already ended"};
             auto& task = it->second;
-            if (e.kind == EventKind::TaskStart) {
-                leave(task);
-                task.since = e.at_s;
-                task.machine = use(e.machine);
+            if (event.kind == EventKind::TaskStart) {
+                leave_machine(task);
+                task.running_since_s = event.time_s;
+                task.machine = start_on_machine(event.machine);
             } else {
-                ran(open, task.since, e.at_s);
-                leave(task);
+                record_run(open, task.running_since_s, event.time_s);
+                leave_machine(task);
                 task.ended = true;
             }
             return {};
         }
-        case EventKind::TaskRan:
-            use(e.machine);
-            ran(open, e.facts.started_s, e.facts.ended_s);
+        case EventKind::TaskRun:
+            start_on_machine(event.machine);
+            record_run(open, event.attributes.started_s, event.attributes.ended_s);
             return {};
         default:
             return {};
     }
 }
 
-void Assembler::close_first() {
-    auto it = open_.find(over_.front().second);
-    over_.pop_front();
-    if (it == open_.end()) return;
+void Assembler::close_first_ended_job() {
+    auto it = open_jobs_.find(ended_jobs_.front().second);
+    ended_jobs_.pop_front();
+    if (it == open_jobs_.end()) return;
     auto open = std::move(it->second);
-    open_.erase(it);
+    open_jobs_.erase(it);
     close(std::move(open));
 }
 
-void Assembler::close_over() {
-    while (!over_.empty() && !(over_.front().first >= newest_)) close_first();
+void Assembler::close_ended_jobs() {
+    while (!ended_jobs_.empty() && !(ended_jobs_.front().first >= newest_s_))
+        close_first_ended_job();
 }
 
-void Assembler::close(Open&& open) {
+void Assembler::close(OpenJob&& open) {
     auto& job = open.job;
-    auto& facts = job.facts;
-    closed_.add(mark(job.key));
+    auto& attributes = job.attributes;
+    closed_jobs_.add(bitmap_key(job.key));
     for (auto& [index, task] : open.tasks) {
-        // Still running when its job ended.
-        if (!std::isnan(open.over_s)) ran(open, task.since, open.over_s);
-        leave(task);
+        // A task that is still running ends with its job.
+        if (!std::isnan(open.ended_s)) record_run(open, task.running_since_s, open.ended_s);
+        leave_machine(task);
     }
     if (auto group = groups_.find(open.group); !open.group.empty() && group != groups_.end()) {
-        if (!group->second.user.empty()) facts.user = group->second.user;
-        if (!std::isnan(group->second.submitted_s)) facts.submitted_s = group->second.submitted_s;
+        if (!group->second.user.empty()) attributes.user = group->second.user;
+        if (!std::isnan(group->second.submitted_s))
+            attributes.submitted_s = group->second.submitted_s;
     }
-    if (std::isnan(facts.tasks)) facts.tasks = static_cast<double>(open.tasks.size());
-    auto refuse = [&](Reason reason, const char* why) {
-        if (job.refusal.reason == Reason::None) job.refusal = {reason, why};
+    if (std::isnan(attributes.tasks)) attributes.tasks = static_cast<double>(open.tasks.size());
+    auto reject_job = [&](RejectReason reason, const char* message) {
+        if (job.rejection.reason == RejectReason::None) job.rejection = {reason, message};
     };
-    if (facts.reservation)
-        refuse(Reason::Reservation, "it holds room for jobs that come by themselves");
-    if (facts.tasks < 1) refuse(Reason::NoTask, "no task of it was told");
-    if (std::isnan(facts.submitted_s)) refuse(Reason::NoTime, "its submission was not told");
-    if (std::isnan(job.run_s) && facts.ended_s < facts.started_s)
-        refuse(Reason::EndBeforeStart, "it ends before it starts");
-    if (std::isnan(job.run_s)) job.run_s = facts.ended_s - facts.started_s;
-    if (std::isnan(job.run_s) && facts.wanted_s > 0) job.run_s = facts.wanted_s;
+    if (attributes.reservation)
+        reject_job(RejectReason::Reservation, "it only reserves capacity for other jobs");
+    if (attributes.tasks < 1) reject_job(RejectReason::NoTasks, "the trace has no task of the job");
+    if (std::isnan(attributes.submitted_s))
+        reject_job(RejectReason::NoSubmissionTime, "the trace has no submission time of the job");
+    if (std::isnan(job.run_s) && attributes.ended_s < attributes.started_s)
+        reject_job(RejectReason::EndBeforeStart, "the job ends before it starts");
+    if (std::isnan(job.run_s)) job.run_s = attributes.ended_s - attributes.started_s;
+    if (std::isnan(job.run_s) && attributes.requested_run_s > 0)
+        job.run_s = attributes.requested_run_s;
     sink_(std::move(job));
 }
 
 void Assembler::finish() {
-    while (!over_.empty()) close_first();  // in the order in which they ended
-    std::vector<Open> rest;
-    for (auto& [key, open] : open_) rest.push_back(std::move(open));
-    open_.clear();
-    std::sort(rest.begin(), rest.end(), [](auto& a, auto& b) { return a.order < b.order; });
+    while (!ended_jobs_.empty()) close_first_ended_job();  // in the order of their ends
+    std::vector<OpenJob> rest;
+    for (auto& [key, open] : open_jobs_) rest.push_back(std::move(open));
+    open_jobs_.clear();
+    std::sort(rest.begin(), rest.end(),
+              [](auto& a, auto& b) { return a.declaration_order < b.declaration_order; });
     for (auto& open : rest) close(std::move(open));
 }
 
--- a/src/traces/assembler.h
+++ b/src/traces/assembler.h
@@ -1,14 +1,15 @@
-// Makes jobs of a trace's events.
+// Assembles jobs from the events of a trace.
 //
-// Owns: the jobs that are open, the machines that are there, the keys of jobs that are over, and
-// the newest time. What it keeps grows with the jobs that are open at once; of a job that is over
-// only its key stays (a bit to 16 bytes in a compressed bitmap), as a second job of that key must
-// be refused.
+// Owns: the open jobs, the machines that are present, the keys of closed jobs, and the newest time.
+// Memory grows with the number of jobs that are open at once. Of a closed job only the key is kept
+// (between one bit and 16 bytes in a compressed bitmap), because a second job with that key must be
+// rejected.
 //
-// Order: in formats with a time, an event up to `back_s` older than the newest is put at the
-// newest; an older one is refused. One record with a time far ahead must not have all that follow
-// refused: after kResync refusals in a row which are in order among themselves, time goes on from
-// there.
+// Order of time: in formats with times, an event that is at most `time_tolerance_s` older than the
+// newest is moved to the newest time, and an older one is rejected. A single record with a time far
+// in the future must not cause the rejection of all records after it: after kRejectionsBeforeResync
+// rejections in a row whose times are in order among themselves, the next such record sets the
+// newest time.
 #pragma once
 #include <deque>
 #include <functional>
@@ -23,87 +24,90 @@
 
 namespace weirmill::traces {
 
-// Where a record stands.
-struct Where {
+// The position of a record in the inputs.
+struct RecordLocation {
     uint32_t file = 0;     // index among the inputs
-    uint64_t line = 0;     // of its first byte
-    uint64_t element = 0;  // of the input's array; 0: it is none
+    uint64_t line = 0;     // number of the line in which the record starts, from 1
+    uint64_t element = 0;  // number of the element in a JSON array, from 1; 0: not in an array
 };
 
-// A job of which nothing more comes.
+// A job that is closed: no further event can change it.
 struct TraceJob {
     std::string key;
-    Where where;  // of its first record
-    Facts facts;
-    double run_s = kNoTime;  // of its longest task; NaN: not told
-    Refusal refusal;         // reason None: nothing speaks against it yet
+    RecordLocation location;  // of its first record
+    JobAttributes attributes;
+    double run_s = kUnknown;  // of its longest task; NaN: the trace does not have it
+    Rejection rejection;      // reason None: no reason to reject it has been found so far
 };
 
 class Assembler {
   public:
     using Sink = std::function<void(TraceJob&&)>;
-    struct Notes {
-        uint64_t times_put_right = 0;  // events put at the newest time
+    struct Counters {
+        uint64_t adjusted_times = 0;  // events that were moved to the newest time
         uint64_t time_resyncs = 0;
-        uint64_t machines_undeclared =
-            0;  // uses of a machine that the trace did not declare, though others
+        // Uses of a machine that the trace does not declare, although it declares others.
+        uint64_t undeclared_machine_uses = 0;
         uint64_t machines_removed_in_use = 0;
     };
-    static constexpr int kResync = 8;
+    static constexpr int kRejectionsBeforeResync = 8;
 
-    Assembler(bool numeric_keys, double back_s, Sink sink)
-        : numeric_(numeric_keys), back_s_(back_s), sink_(std::move(sink)) {}
-    // Reason None: the record is part of its job or machine.
-    Refusal take(Event& event, Where where);
-    // No event is left: every open job ends here.
+    Assembler(bool numeric_keys, double time_tolerance_s, Sink sink)
+        : numeric_keys_(numeric_keys),
+          time_tolerance_s_(time_tolerance_s),
+          sink_(std::move(sink)) {}
+    // Adds an event to its job or machine. The reason of the result is None if that was possible.
+    Rejection add(Event& event, RecordLocation location);
+    // Closes every open job. The caller has no further events.
     void finish();
-    const Notes& notes() const { return notes_; }
-    size_t open() const { return open_.size(); }
+    const Counters& counters() const { return counters_; }
+    size_t open_jobs() const { return open_jobs_.size(); }
 
   private:
     struct Task {
-        double since = kNoTime;  // running since
-        uint32_t machine = 0;    // 1 + index; 0: none
+        double running_since_s = kUnknown;
+        uint32_t machine = 0;  // index of the machine plus one; 0: none
         bool ended = false;
     };
-    struct Open {
-        uint64_t order = 0;
+    struct OpenJob {
+        uint64_t declaration_order = 0;
         TraceJob job;
         std::string group;
         std::unordered_map<int64_t, Task> tasks;
-        double over_s = kNoTime;  // when its end was told
+        double ended_s = kUnknown;  // time of its JobEnd event
     };
     struct Machine {
-        bool there = false;
-        double told_s = kNoTime;
-        uint32_t running = 0;
+        bool present = false;
+        double snapshot_s = kUnknown;  // time of the newest MachineSnapshot event
+        uint32_t running = 0;          // tasks
     };
 
-    Refusal in_time(Event& event);
-    Refusal machine_event(const Event& event);
-    Refusal task_event(const Event& event, Open& open);
-    uint32_t use(const std::string& machine);
-    void leave(Task& task);
-    void ran(Open& open, double from, double to);
-    uint64_t mark(const std::string& key) const;
-    void close_over();
-    void close_first();
-    void close(Open&& open);
+    Rejection check_time(Event& event);
+    Rejection add_machine_event(const Event& event);
+    Rejection add_task_event(const Event& event, OpenJob& open);
+    uint32_t start_on_machine(const std::string& machine);
+    void leave_machine(Task& task);
+    void record_run(OpenJob& open, double from_s, double to_s);
+    uint64_t bitmap_key(const std::string& key) const;
+    void close_ended_jobs();
+    void close_first_ended_job();
+    void close(OpenJob&& open);
 
-    bool numeric_;
-    double back_s_;
+    bool numeric_keys_;
+    double time_tolerance_s_;
     Sink sink_;
-    uint64_t order_ = 0;
-    std::unordered_map<std::string, Open> open_;
-    std::deque<std::pair<double, std::string>> over_;  // jobs whose end was told, in order of time
-    std::unordered_map<std::string, Facts> groups_;
+    uint64_t declared_jobs_ = 0;
+    std::unordered_map<std::string, OpenJob> open_jobs_;
+    // Open jobs that had a JobEnd event, with its time, in order of time.
+    std::deque<std::pair<double, std::string>> ended_jobs_;
+    std::unordered_map<std::string, JobAttributes> groups_;
     std::unordered_map<std::string, uint32_t> machine_index_;
     std::vector<Machine> machines_;
-    bool machines_told_ = false;
-    Roaring64Map closed_;
-    double newest_ = kNoTime, refused_s_ = kNoTime;
-    int refused_in_row_ = 0;
-    Notes notes_;
+    bool has_machine_events_ = false;
+    Roaring64Map closed_jobs_;
+    double newest_s_ = kUnknown, last_rejected_s_ = kUnknown;
+    int consecutive_rejections_ = 0;
+    Counters counters_;
 };
 
 }  // namespace weirmill::traces
--- a/src/traces/fields.cpp
+++ b/src/traces/fields.cpp
@@ -7,12 +7,12 @@
 namespace weirmill::traces {
 
 namespace {
-// Times "after the trace" are 2^63 - 1 us; nothing sound is beyond. Sums and differences stay
-// finite.
-constexpr double kLargest = 1e19;
+// The largest valid number of a trace is 2^63 - 1, in microseconds, which stands for a time after
+// the end of the trace. Sums and differences of numbers up to this bound are finite.
+constexpr double kMaxNumber = 1e19;
 }  // namespace
 
-const char* reason_code(Reason reason) {
+const char* reason_code(RejectReason reason) {
     static constexpr const char* kCodes[] = {"none",           "bad_columns",    "bad_number",
                                              "negative",       "empty_field",    "bad_event",
                                              "bad_json",       "not_utf8",       "line_too_long",
@@ -23,99 +23,103 @@
                                              "no_time",        "too_many_tasks", "no_fit",
                                              "cycle",          "awaits_unknown", "reservation",
                                              "script",         "script_failed"};
-    static_assert(std::size(kCodes) == static_cast<size_t>(Reason::Count));
+    static_assert(std::size(kCodes) == static_cast<size_t>(RejectReason::Count));
     return kCodes[static_cast<size_t>(reason)];
 }
 
 CsvRow::CsvRow() { csv_init(&parser_, CSV_STRICT | CSV_STRICT_FINI); }
 CsvRow::~CsvRow() { csv_free(&parser_); }
 
-void CsvRow::field(void* data, size_t n, void* row) {
+void CsvRow::on_field(void* data, size_t size, void* row) {
     auto& self = *static_cast<CsvRow*>(row);
-    self.text_.append(static_cast<const char*>(data), n);
-    self.ends_.push_back(self.text_.size());
+    self.text_.append(static_cast<const char*>(data), size);
+    self.field_ends_.push_back(self.text_.size());
 }
 
-void CsvRow::end(int, void* row) { ++static_cast<CsvRow*>(row)->rows_; }
+void CsvRow::on_row(int, void* row) { ++static_cast<CsvRow*>(row)->rows_; }
 
 bool CsvRow::parse(std::string_view text) {
     text_.clear();
-    ends_.clear();
+    field_ends_.clear();
     rows_ = 0;
-    bool sound = csv_parse(&parser_, text.data(), text.size(), field, end, this) == text.size() &&
-                 csv_fini(&parser_, field, end, this) == 0 && rows_ == 1;
-    if (!sound) {  // after an error the parser stays where it was
+    bool valid =
+        csv_parse(&parser_, text.data(), text.size(), on_field, on_row, this) == text.size() &&
+        csv_fini(&parser_, on_field, on_row, this) == 0 && rows_ == 1;
+    if (!valid) {  // after an error, libcsv keeps its state in the middle of a row
         csv_free(&parser_);
         csv_init(&parser_, CSV_STRICT | CSV_STRICT_FINI);
     }
-    return sound;
+    return valid;
 }
 
-size_t words(std::string_view text, std::string_view* out, size_t most) {
-    size_t n = 0;
+size_t split_at_blanks(std::string_view text, std::string_view* out, size_t max_fields) {
+    size_t count = 0;
     for (size_t i = 0;;) {
         while (i < text.size() && (text[i] == ' ' || text[i] == '\t')) ++i;
-        if (i == text.size()) return n;
-        size_t from = i;
+        if (i == text.size()) return count;
+        size_t begin = i;
         while (i < text.size() && text[i] != ' ' && text[i] != '\t') ++i;
-        if (n < most) out[n] = text.substr(from, i - from);
-        ++n;
+        if (count < max_fields) out[count] = text.substr(begin, i - begin);
+        ++count;
     }
 }
 
-void Fields::refuse(Reason reason, std::string why) {
-    if (ok()) refusal_ = {reason, std::move(why)};
+void FieldParser::reject(RejectReason reason, std::string message) {
+    if (ok()) rejection_ = {reason, std::move(message)};
 }
 
-double Fields::number(std::string_view text, const char* name, bool needed) {
+double FieldParser::number(std::string_view text, const char* name, bool required) {
     if (text.empty()) {
-        if (needed) refuse(Reason::EmptyField, std::string(name) + " is empty");
-        return kNoTime;
+        if (required) reject(RejectReason::EmptyField, std::string(name) + " is empty");
+        return kUnknown;
     }
-    // Whole numbers of few digits are quicker to read as such, and most are.
-    if (text.size() <= 15) {
-        int64_t whole = 0;
-        auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), whole);
+    // Most numbers are short integers, which are faster to parse as integers.
+    constexpr size_t kMaxExactDigits = 15;  // a double represents such integers exactly
+    if (text.size() <= kMaxExactDigits) {
+        int64_t integer_value = 0;
+        auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), integer_value);
         if (ec == std::errc() && end == text.data() + text.size())
-            return static_cast<double>(whole);
+            return static_cast<double>(integer_value);
     }
-    double v = 0;
-    auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), v);
-    if (ec != std::errc() || end != text.data() + text.size() || !(std::abs(v) <= kLargest)) {
-        refuse(Reason::BadNumber, std::string(name) + " is not a number that can be used");
-        return kNoTime;
+    double value = 0;
+    auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (ec != std::errc() || end != text.data() + text.size() || !(std::abs(value) <= kMaxNumber)) {
+        reject(RejectReason::BadNumber,
+               std::string(name) + " is not a number in the supported range");
+        return kUnknown;
     }
-    return v;
+    return value;
 }
 
-double Fields::amount(std::string_view text, const char* name, bool needed) {
-    double v = number(text, name, needed);
-    if (v < 0) refuse(Reason::Negative, std::string(name) + " is negative");
-    return v;
+double FieldParser::non_negative(std::string_view text, const char* name, bool required) {
+    double value = number(text, name, required);
+    if (value < 0) reject(RejectReason::Negative, std::string(name) + " is negative");
+    return value;
 }
 
-int64_t Fields::integer(std::string_view text, const char* name, bool needed) {
+int64_t FieldParser::integer(std::string_view text, const char* name, bool required) {
     if (text.empty()) {
-        if (needed) refuse(Reason::EmptyField, std::string(name) + " is empty");
-        return kNoTask;
+        if (required) reject(RejectReason::EmptyField, std::string(name) + " is empty");
+        return kUnknownInteger;
     }
-    int64_t v = 0;
-    auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), v);
+    int64_t value = 0;
+    auto [end, ec] = std::from_chars(text.data(), text.data() + text.size(), value);
     if (ec != std::errc() || end != text.data() + text.size())
-        refuse(Reason::BadNumber, std::string(name) + " is not a whole number that can be used");
-    else if (v < 0)
-        refuse(Reason::Negative, std::string(name) + " is negative");
-    return v;
+        reject(RejectReason::BadNumber,
+               std::string(name) + " is not an integer in the supported range");
+    else if (value < 0)
+        reject(RejectReason::Negative, std::string(name) + " is negative");
+    return value;
 }
 
-std::string Fields::key(std::string_view text, const char* name) {
-    if (text.empty()) refuse(Reason::EmptyField, std::string(name) + " is empty");
+std::string FieldParser::key(std::string_view text, const char* name) {
+    if (text.empty()) reject(RejectReason::EmptyField, std::string(name) + " is empty");
     return std::string(text);
 }
 
-std::string Fields::numeric_key(std::string_view text, const char* name) {
-    auto v = integer(text, name, true);
-    return ok() ? std::to_string(v) : std::string();
+std::string FieldParser::numeric_key(std::string_view text, const char* name) {
+    auto value = integer(text, name, true);
+    return ok() ? std::to_string(value) : std::string();
 }
 
 }  // namespace weirmill::traces
--- a/src/traces/fields.h
+++ b/src/traces/fields.h
@@ -1,4 +1,5 @@
-// Fields of a record: rows of CSV (libcsv) or words, and checked numbers in them.
+// Splits a record into fields, either as a CSV row (libcsv) or at blanks, and parses numbers in
+// them with validation.
 #pragma once
 #include <csv.h>
 
@@ -12,51 +13,53 @@
 
 namespace weirmill::traces {
 
-// One row, parsed by libcsv: quotes and commas in them as RFC 4180 says.
+// One CSV row with quoting according to RFC 4180, parsed by libcsv.
 class CsvRow {
   public:
     CsvRow();
     ~CsvRow();
     CsvRow(const CsvRow&) = delete;
     CsvRow& operator=(const CsvRow&) = delete;
-    // False: not a sound row.
+    // Returns false if the text is not exactly one valid row.
     bool parse(std::string_view text);
-    size_t size() const { return ends_.size(); }
+    size_t size() const { return field_ends_.size(); }
     std::string_view operator[](size_t i) const {
-        size_t from = i ? ends_[i - 1] : 0;
-        return std::string_view(text_).substr(from, ends_[i] - from);
+        size_t begin = i ? field_ends_[i - 1] : 0;
+        return std::string_view(text_).substr(begin, field_ends_[i] - begin);
     }
 
   private:
-    static void field(void* data, size_t n, void* row);
-    static void end(int, void* row);
+    static void on_field(void* data, size_t size, void* row);
+    static void on_row(int, void* row);
     csv_parser parser_;
-    std::string text_;
-    std::vector<size_t> ends_;
+    std::string text_;  // the fields without quotes, one after the other
+    std::vector<size_t> field_ends_;
     int rows_ = 0;
 };
 
-// Fields separated by blanks, at most `most` of them; the count that there are.
-size_t words(std::string_view text, std::string_view* out, size_t most);
+// Splits the text at spaces and tabs and stores the first `max_fields` fields in `out`. Returns the
+// number of all fields.
+size_t split_at_blanks(std::string_view text, std::string_view* out, size_t max_fields);
 
-// Reads numbers into a refusal that names the first bad field.
-class Fields {
+// Parses the fields of one record. The first invalid field sets the rejection, whose message names
+// that field.
+class FieldParser {
   public:
-    explicit Fields(Refusal& refusal) : refusal_(refusal) {}
-    // A finite number; an empty field is NaN unless `needed`.
-    double number(std::string_view text, const char* name, bool needed = false);
-    // The same, refused if negative.
-    double amount(std::string_view text, const char* name, bool needed = false);
-    int64_t integer(std::string_view text, const char* name, bool needed = false);
-    // A key: not empty.
+    explicit FieldParser(Rejection& rejection) : rejection_(rejection) {}
+    // Returns a finite number. An empty field is NaN, or rejected if it is `required`.
+    double number(std::string_view text, const char* name, bool required = false);
+    // Like number(), but rejects negative numbers.
+    double non_negative(std::string_view text, const char* name, bool required = false);
+    int64_t integer(std::string_view text, const char* name, bool required = false);
+    // Returns a key, which must not be empty.
     std::string key(std::string_view text, const char* name);
-    // A key that is a number below 2^63.
+    // Returns a key that must be an integer below 2^63.
     std::string numeric_key(std::string_view text, const char* name);
-    void refuse(Reason reason, std::string why);
-    bool ok() const { return refusal_.reason == Reason::None; }
+    void reject(RejectReason reason, std::string message);
+    bool ok() const { return rejection_.reason == RejectReason::None; }
 
   private:
-    Refusal& refusal_;
+    Rejection& rejection_;
 };
 
 }  // namespace weirmill::traces
--- a/src/traces/readers_json.cpp
+++ b/src/traces/readers_json.cpp
@@ -1,5 +1,5 @@
-// The formats whose records are JSON: Google ClusterData 2019 (a line each), Microsoft Philly (one
-// array).
+// Readers of the formats whose records are JSON: Google ClusterData 2019 (JSON lines) and Microsoft
+// Philly (one array).
 #include <simdjson.h>
 
 #include <algorithm>
@@ -14,178 +14,190 @@
 
 namespace dom = simdjson::dom;
 
-// A record as an object; valid until the parser is used again.
-Refusal parse_object(dom::parser& parser, std::string_view text, dom::object& out) {
-    dom::element doc;
-    if (auto error = parser.parse(text.data(), text.size()).get(doc))
-        return {Reason::BadJson,
-                std::string("not JSON that can be used: ") + simdjson::error_message(error)};
-    if (doc.get(out)) return {Reason::BadJson, "not an object"};
+// Parses a record as a JSON object, which is valid until the parser is used again.
+Rejection parse_object(dom::parser& parser, std::string_view text, dom::object& out) {
+    dom::element document;
+    if (auto error = parser.parse(text.data(), text.size()).get(document))
+        return {RejectReason::BadJson,
+                std::string("invalid JSON: ") + simdjson::error_message(error)};
+    if (document.get(out)) return {RejectReason::BadJson, "not a JSON object"};
     return {};
 }
 
-// A field as the text of a number: exports write 64-bit numbers as strings.
-std::string as_text(const dom::object& o, const char* name) {
-    dom::element v;
-    if (o[name].get(v) || v.is_null()) return {};
-    if (v.is_string()) return std::string(std::string_view(v));
-    if (v.is_array() || v.is_object() || v.is_bool()) return "?";
-    return simdjson::minify(v);
+// Returns a field as text, because exports of the trace write 64-bit numbers as strings. A field
+// that is missing or null is an empty text; "?" stands for a value that is neither a number nor a
+// string.
+std::string field_text(const dom::object& object, const char* name) {
+    dom::element value;
+    if (object[name].get(value) || value.is_null()) return {};
+    if (value.is_string()) return std::string(std::string_view(value));
+    if (value.is_array() || value.is_object() || value.is_bool()) return "?";
+    return simdjson::minify(value);
 }
 
 // Google ClusterData 2019: collection_events, instance_events and machine_events as JSON lines.
 class Google2019 : public Reader {
   public:
-    bool timed() const override { return true; }
+    bool ordered_by_time() const override { return true; }
     bool numeric_keys() const override { return true; }
-    bool comment(std::string_view text, uint64_t) const override {
+    bool is_comment(std::string_view text, uint64_t) const override {
         return text.find_first_not_of(" \t") == std::string_view::npos;
     }
-    double time(std::string_view text) override {
-        dom::object o;
-        if (parse_object(parser_, text, o).reason != Reason::None) return kNoTime;
-        Refusal none;
-        return Fields(none).amount(as_text(o, "time"), "") / 1e6;
+    double record_time(std::string_view text) override {
+        dom::object object;
+        if (parse_object(parser_, text, object).reason != RejectReason::None) return kUnknown;
+        Rejection rejection;
+        return FieldParser(rejection).non_negative(field_text(object, "time"), "") / 1e6;
     }
-    Refusal read(std::string_view text, Event& e) override {
-        dom::object o;
-        auto r = parse_object(parser_, text, o);
-        if (r.reason != Reason::None) return r;
-        Fields f(r);
-        e.at_s = f.amount(as_text(o, "time"), "time", true) / 1e6;
-        auto instance = as_text(o, "instance_index"), collection = as_text(o, "collection_id");
-        auto type = as_text(o, "type");
-        e.machine = as_text(o, "machine_id");
+    Rejection parse_record(std::string_view text, Event& event) override {
+        dom::object object;
+        auto rejection = parse_object(parser_, text, object);
+        if (rejection.reason != RejectReason::None) return rejection;
+        FieldParser fields(rejection);
+        event.time_s = fields.non_negative(field_text(object, "time"), "time", true) / 1e6;
+        auto instance = field_text(object, "instance_index"),
+             collection = field_text(object, "collection_id");
+        auto type = field_text(object, "type");
+        event.machine = field_text(object, "machine_id");
         if (collection.empty() && instance.empty()) {
-            f.key(e.machine, "machine_id");
-            if (!f.ok()) return r;
+            fields.key(event.machine, "machine_id");
+            if (!fields.ok()) return rejection;
             if (type == "1" || type == "ADD")
-                e.kind = EventKind::MachineAdd;
+                event.kind = EventKind::MachineAdd;
             else if (type == "2" || type == "REMOVE")
-                e.kind = EventKind::MachineRemove;
+                event.kind = EventKind::MachineRemove;
             else if (type == "3" || type == "UPDATE")
-                e.kind = EventKind::MachineUpdate;
+                event.kind = EventKind::MachineUpdate;
             else
-                return {Reason::BadEvent, "machine event " + type};
-            return r;
+                return {RejectReason::BadEvent, "machine event " + type};
+            return rejection;
         }
-        e.job = f.numeric_key(collection, "collection_id");
-        auto& facts = e.facts;
-        facts.priority = f.integer(as_text(o, "priority"), "priority");
-        bool job = instance.empty();
-        if (job) {
-            facts.user = as_text(o, "user");
-            facts.job_class = as_text(o, "scheduling_class");
-            facts.submitted_s = e.at_s;
-            auto kind = as_text(o, "collection_type");
-            facts.reservation = kind == "1" || kind == "ALLOC_SET";
-            dom::array before;
-            if (!o["start_after_collection_ids"].get(before))
-                for (auto id : before) {
-                    std::string_view s;
-                    facts.awaits.push_back(f.numeric_key(
-                        id.get(s) ? simdjson::minify(id) : std::string(s), "start_after"));
+        event.job = fields.numeric_key(collection, "collection_id");
+        auto& attributes = event.attributes;
+        attributes.priority = fields.integer(field_text(object, "priority"), "priority");
+        bool is_job_event = instance.empty();
+        if (is_job_event) {
+            attributes.user = field_text(object, "user");
+            attributes.job_class = field_text(object, "scheduling_class");
+            attributes.submitted_s = event.time_s;
+            auto kind = field_text(object, "collection_type");
+            attributes.reservation = kind == "1" || kind == "ALLOC_SET";
+            dom::array predecessors;
+            if (!object["start_after_collection_ids"].get(predecessors))
+                for (auto id : predecessors) {
+                    std::string_view id_text;
+                    attributes.dependencies.push_back(fields.numeric_key(
+                        id.get(id_text) ? simdjson::minify(id) : std::string(id_text),
+                        "start_after"));
                 }
         } else {
-            e.task = f.integer(instance, "instance_index", true);
-            dom::object asked;
-            if (!o["resource_request"].get(asked)) {
-                facts.cpu = f.amount(as_text(asked, "cpus"), "cpus");
-                facts.mem = f.amount(as_text(asked, "memory"), "memory");
+            event.task = fields.integer(instance, "instance_index", true);
+            dom::object requested;
+            if (!object["resource_request"].get(requested)) {
+                attributes.cpu = fields.non_negative(field_text(requested, "cpus"), "cpus");
+                attributes.mem = fields.non_negative(field_text(requested, "memory"), "memory");
             }
         }
-        if (!f.ok()) return r;
-        static const char* const kTypes[] = {
+        if (!fields.ok()) return rejection;
+        static const char* const kEventTypes[] = {
             "SUBMIT", "QUEUE", "ENABLE", "SCHEDULE",       "EVICT",         "FAIL",
             "FINISH", "KILL",  "LOST",   "UPDATE_PENDING", "UPDATE_RUNNING"};
-        size_t t = 0;
-        while (t < std::size(kTypes) && type != kTypes[t] && type != std::to_string(t)) ++t;
-        if (t == std::size(kTypes)) return {Reason::BadEvent, "event type " + type};
-        if (e.at_s > 9e12)
-            e.kind = EventKind::Update;  // "after the trace"
-        else if (t == 0)
-            e.kind = job ? EventKind::Declare : EventKind::TaskSubmit;
-        else if (t == 3)
-            e.kind = job ? EventKind::Update : EventKind::TaskStart;
-        else if (t >= 4 && t <= 8)
-            e.kind = job ? EventKind::JobEnd : EventKind::TaskEnd;
+        size_t type_index = 0;
+        while (type_index < std::size(kEventTypes) && type != kEventTypes[type_index] &&
+               type != std::to_string(type_index))
+            ++type_index;
+        if (type_index == std::size(kEventTypes))
+            return {RejectReason::BadEvent, "event type " + type};
+        if (event.time_s > 9e12)
+            event.kind = EventKind::Update;  // a time after the end of the trace
+        else if (type_index == 0)
+            event.kind = is_job_event ? EventKind::JobDeclare : EventKind::TaskSubmit;
+        else if (type_index == 3)
+            event.kind = is_job_event ? EventKind::Update : EventKind::TaskStart;
+        else if (type_index >= 4 && type_index <= 8)
+            event.kind = is_job_event ? EventKind::JobEnd : EventKind::TaskEnd;
         else
-            e.kind = EventKind::Update;
-        return r;
+            event.kind = EventKind::Update;
+        return rejection;
     }
 
   private:
     dom::parser parser_;
 };
 
-// "2017-10-09 07:01:54" in seconds since 1970; NaN: not told ("None", null).
-double clock_time(const std::string& text, Fields& f, const char* name) {
-    if (text.empty() || text == "None") return kNoTime;
-    int n[6];
-    static constexpr const char kForm[] = "dddd-dd-dd dd:dd:dd";
-    bool sound = text.size() == sizeof kForm - 1;
-    for (size_t i = 0; sound && i < text.size(); ++i)
-        sound = kForm[i] == 'd' ? std::isdigit(static_cast<unsigned char>(text[i])) != 0
-                                : text[i] == kForm[i];
-    static constexpr int kFrom[] = {0, 5, 8, 11, 14, 17}, kTo[] = {4, 7, 10, 13, 16, 19};
-    for (int i = 0; sound && i < 6; ++i)
-        std::from_chars(text.data() + kFrom[i], text.data() + kTo[i], n[i]);
+// Parses a time such as "2017-10-09 07:01:54" into seconds since 1970. Returns NaN for a
+// missing time ("None" or null).
+double parse_date_time(const std::string& text, FieldParser& fields, const char* name) {
+    if (text.empty() || text == "None") return kUnknown;
+    int parts[6];
+    static constexpr const char kPattern[] = "dddd-dd-dd dd:dd:dd";
+    bool valid = text.size() == sizeof kPattern - 1;
+    for (size_t i = 0; valid && i < text.size(); ++i)
+        valid = kPattern[i] == 'd' ? std::isdigit(static_cast<unsigned char>(text[i])) != 0
+                                   : text[i] == kPattern[i];
+    static constexpr int kPartBegin[] = {0, 5, 8, 11, 14, 17}, kPartEnd[] = {4, 7, 10, 13, 16, 19};
+    for (int i = 0; valid && i < 6; ++i)
+        std::from_chars(text.data() + kPartBegin[i], text.data() + kPartEnd[i], parts[i]);
     using namespace std::chrono;
-    if (sound) {
-        year_month_day day{year(n[0]), month(static_cast<unsigned>(n[1])),
-                           std::chrono::day(static_cast<unsigned>(n[2]))};
-        if (day.ok() && n[3] < 24 && n[4] < 60 && n[5] < 61)
+    if (valid) {
+        year_month_day day{year(parts[0]), month(static_cast<unsigned>(parts[1])),
+                           std::chrono::day(static_cast<unsigned>(parts[2]))};
+        if (day.ok() && parts[3] < 24 && parts[4] < 60 && parts[5] < 61)
             return static_cast<double>(sys_days(day).time_since_epoch().count()) * 86400.0 +
-                   n[3] * 3600 + n[4] * 60 + n[5];
+                   parts[3] * 3600 + parts[4] * 60 + parts[5];
     }
-    f.refuse(Reason::BadNumber, std::string(name) + " is not a time");
-    return kNoTime;
+    fields.reject(RejectReason::BadNumber, std::string(name) + " is not a date and time");
+    return kUnknown;
 }
 
-// Philly: cluster_job_log. GPUs are those of the last attempt that ran; each machine's share is a
-// task, or each GPU where shares differ.
+// Microsoft Philly: cluster_job_log. The GPUs of a job are those of its last attempt that ran. If
+// all machines of that attempt have the same number of GPUs, each machine is one task; otherwise
+// each GPU is one task.
 class Philly : public Reader {
   public:
-    Cut cut() const override { return Cut::JsonArray; }
-    bool comment(std::string_view, uint64_t) const override { return false; }
-    Refusal read(std::string_view text, Event& e) override {
-        dom::object o;
-        auto r = parse_object(parser_, text, o);
-        if (r.reason != Reason::None) return r;
-        Fields f(r);
-        auto& facts = e.facts;
-        e.kind = EventKind::Job;
-        e.job = f.key(as_text(o, "jobid"), "jobid");
-        facts.user = as_text(o, "user");
-        facts.queue = as_text(o, "vc");
-        facts.submitted_s = clock_time(as_text(o, "submitted_time"), f, "submitted_time");
-        facts.tasks = 0;
-        facts.gang = true;
+    RecordFraming framing() const override { return RecordFraming::JsonArray; }
+    bool is_comment(std::string_view, uint64_t) const override { return false; }
+    Rejection parse_record(std::string_view text, Event& event) override {
+        dom::object object;
+        auto rejection = parse_object(parser_, text, object);
+        if (rejection.reason != RejectReason::None) return rejection;
+        FieldParser fields(rejection);
+        auto& attributes = event.attributes;
+        event.kind = EventKind::CompleteJob;
+        event.job = fields.key(field_text(object, "jobid"), "jobid");
+        attributes.user = field_text(object, "user");
+        attributes.queue = field_text(object, "vc");
+        attributes.submitted_s =
+            parse_date_time(field_text(object, "submitted_time"), fields, "submitted_time");
+        attributes.tasks = 0;
+        attributes.gang = true;
         dom::array attempts;
-        if (o["attempts"].get(attempts)) return r;
-        for (auto a : attempts) {
+        if (object["attempts"].get(attempts)) return rejection;
+        for (auto attempt_element : attempts) {
             dom::object attempt;
-            if (a.get(attempt)) return {Reason::BadJson, "an attempt that is not an object"};
-            auto start = clock_time(as_text(attempt, "start_time"), f, "start_time");
-            auto end = clock_time(as_text(attempt, "end_time"), f, "end_time");
-            if (!std::isnan(start)) facts.started_s = start, facts.ended_s = end;
-            dom::array detail;
-            if (attempt["detail"].get(detail)) continue;
-            std::map<size_t, size_t> shares;  // GPUs -> machines
-            size_t total = 0, machines = 0;
-            for (auto d : detail) {
+            if (attempt_element.get(attempt))
+                return {RejectReason::BadJson, "an attempt is not a JSON object"};
+            auto start = parse_date_time(field_text(attempt, "start_time"), fields, "start_time");
+            auto end = parse_date_time(field_text(attempt, "end_time"), fields, "end_time");
+            if (!std::isnan(start)) attributes.started_s = start, attributes.ended_s = end;
+            dom::array machine_details;
+            if (attempt["detail"].get(machine_details)) continue;
+            std::map<size_t, size_t>
+                machines_by_gpus;  // number of machines by their number of GPUs
+            size_t total_gpus = 0, machines = 0;
+            for (auto machine : machine_details) {
                 dom::array gpus;
-                if (d["gpus"].get(gpus)) continue;
-                ++shares[gpus.size()];
-                total += gpus.size();
+                if (machine["gpus"].get(gpus)) continue;
+                ++machines_by_gpus[gpus.size()];
+                total_gpus += gpus.size();
                 ++machines;
             }
-            if (total == 0) continue;
-            bool even = shares.size() == 1;
-            facts.tasks = static_cast<double>(even ? machines : total);
-            facts.gpu = even ? static_cast<double>(shares.begin()->first) : 1;
+            if (total_gpus == 0) continue;
+            bool same_gpus = machines_by_gpus.size() == 1;
+            attributes.tasks = static_cast<double>(same_gpus ? machines : total_gpus);
+            attributes.gpu = same_gpus ? static_cast<double>(machines_by_gpus.begin()->first) : 1;
         }
-        return r;
+        return rejection;
     }
 
   private:
--- a/src/traces/script.h
+++ b/src/traces/script.h
@@ -1,8 +1,9 @@
-// The map's script: decides per job where properties do not reach. Lua without io, os, load or
-// modules, with bounds on instructions and memory.
+// Runs the mapping's Lua script, which changes or rejects single jobs where properties are not
+// enough. The script has no access to io, os, load or modules, and its instructions and memory are
+// limited.
 //
 //     function job(j)
-//         if j.user == "batch" then return nil, "not wanted" end   -- refused, with this sentence
+//         if j.user == "batch" then return nil, "not wanted" end   -- rejects the job
 //         j.urgency = j.run_s < 600 and "high" or "low"
 //         return j
 //     end
@@ -19,33 +20,35 @@
 
 namespace weirmill::traces {
 
-// A script that can't be read or has no function `job`.
+// The script can't be loaded or has no function `job`.
 struct ScriptError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-// What a script sees of a job, and may change but for the key: after units, before checks.
-struct Draft {
+// The attributes of a job that a script can read and, except for the key, change. Amounts are in
+// the service's units and not validated yet.
+struct JobDraft {
     std::string key, user, group, queue, job_class, team, urgency;
-    int64_t priority = kNoTask;
-    double submitted_s = 0, run_s = kNoTime, tasks = 1, cores = 0, gpus = 0, mem_gb = 0;
-    bool gang = false, loaners = false;
+    int64_t priority = kUnknownInteger;
+    double submitted_s = 0, run_s = kUnknown, tasks = 1, cores = 0, gpus = 0, mem_gb = 0;
+    bool gang = false, spot = false;
 };
 
 class Script {
   public:
-    static constexpr int kInstructions = 100'000;        // of one job, and of reading the script
-    static constexpr size_t kMemory = 16 * 1024 * 1024;  // bytes, of all
+    static constexpr int kMaxInstructions = 100'000;  // for each job, and for loading the script
+    static constexpr size_t kMaxMemoryBytes = 16 * 1024 * 1024;  // of the whole Lua state
 
     // Throws ScriptError.
     explicit Script(const std::string& path);
     ~Script();
-    // Reason None: the draft is as the script wants it.
-    Refusal decide(Draft& draft);
+    // Calls the script's function `job`, which can change the draft. The reason of the result is
+    // None if the script accepted the job.
+    Rejection run(JobDraft& draft);
 
   private:
     struct Memory {
-        size_t used = 0;
+        size_t used = 0;  // bytes
     };
     static void* allocate(void* memory, void* block, size_t old_size, size_t new_size);
     std::unique_ptr<Memory> memory_;
--- a/src/traces/stats.cpp
+++ b/src/traces/stats.cpp
@@ -7,7 +7,7 @@
 #include "protocol/json_write.h"
 #include "protocol/user_codec.h"
 #include "traces/fields.h"
-#include "traces/input.h"
+#include "traces/line_source.h"
 #include "traces/play.h"
 
 namespace weirmill::traces {
@@ -16,10 +16,10 @@
 
 namespace {
 
-constexpr double kLeast = 1e-3, kMost = 1e7;
-constexpr unsigned kSteps = 200;
+constexpr double kMinValue = 1e-3, kMaxValue = 1e7;
+constexpr unsigned kBins = 200;  // twenty for each decade
 
-std::string escaped(std::string_view text) {
+std::string escape_html(std::string_view text) {
     std::string out;
     for (char c : text) {
         if (c == '<')
@@ -36,173 +36,180 @@
     return out;
 }
 
-std::string shown(double v) {
+std::string format_number(double value) {
     char buffer[32];
-    std::snprintf(buffer, sizeof buffer, v >= 100 || v == std::floor(v) ? "%.0f" : "%.3g", v);
+    std::snprintf(buffer, sizeof buffer,
+                  value >= 100 || value == std::floor(value) ? "%.0f" : "%.3g", value);
     return buffer;
 }
 
-std::string shown_s(double s) {
-    if (s >= 172800) return shown(std::round(s / 8640) / 10) + " d";
-    if (s >= 7200) return shown(std::round(s / 360) / 10) + " h";
-    if (s >= 120) return shown(std::round(s / 6) / 10) + " min";
-    return shown(s) + " s";
+std::string format_seconds(double seconds) {
+    if (seconds >= 172800) return format_number(std::round(seconds / 8640) / 10) + " d";
+    if (seconds >= 7200) return format_number(std::round(seconds / 360) / 10) + " h";
+    if (seconds >= 120) return format_number(std::round(seconds / 6) / 10) + " min";
+    return format_number(seconds) + " s";
 }
 
-// Bars of one chart, each with its text for those who point at it or have it read to them.
+// A bar of a chart. The label is shown as a tooltip and read by screen readers.
 struct Bar {
-    uint64_t n;
+    uint64_t count;
     std::string label;
 };
-std::string chart(const std::string& title, const std::vector<Bar>& bars, const std::string& left,
-                  const std::string& right) {
+// Returns a bar chart as HTML with an inline SVG. The labels stand below the ends of the axis.
+std::string chart(const std::string& title, const std::vector<Bar>& bars,
+                  const std::string& left_label, const std::string& right_label) {
     constexpr double kWidth = 600, kHeight = 120;
-    uint64_t most = 1;
-    for (auto& b : bars) most = std::max(most, b.n);
+    uint64_t max_count = 1;
+    for (auto& bar : bars) max_count = std::max(max_count, bar.count);
     std::string out =
-        "<figure><figcaption>" + escaped(title) + " <small>(highest bar: " + std::to_string(most) +
+        "<figure><figcaption>" + escape_html(title) +
+        " <small>(highest bar: " + std::to_string(max_count) +
         ")</small></figcaption><svg viewBox=\"0 0 600 140\" role=\"img\" aria-label=\"" +
-        escaped(title) + "\">";
+        escape_html(title) + "\">";
     double step = kWidth / static_cast<double>(std::max<size_t>(bars.size(), 1));
     for (size_t i = 0; i < bars.size(); ++i) {
-        if (bars[i].n == 0) continue;
-        double h =
-            std::max(1.0, kHeight * static_cast<double>(bars[i].n) / static_cast<double>(most));
+        if (bars[i].count == 0) continue;
+        double height = std::max(
+            1.0, kHeight * static_cast<double>(bars[i].count) / static_cast<double>(max_count));
         char rect[160];
-        std::snprintf(rect, sizeof rect,
-                      "<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\">",
-                      step * static_cast<double>(i), kHeight - h, std::max(0.5, step - 1), h);
+        std::snprintf(
+            rect, sizeof rect, "<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\">",
+            step * static_cast<double>(i), kHeight - height, std::max(0.5, step - 1), height);
         out += rect;
-        out += "<title>" + escaped(bars[i].label) + ": " + std::to_string(bars[i].n) +
+        out += "<title>" + escape_html(bars[i].label) + ": " + std::to_string(bars[i].count) +
                "</title></rect>";
     }
-    return out + "<text x=\"0\" y=\"136\">" + escaped(left) +
-           "</text><text x=\"600\" y=\"136\" text-anchor=\"end\">" + escaped(right) +
+    return out + "<text x=\"0\" y=\"136\">" + escape_html(left_label) +
+           "</text><text x=\"600\" y=\"136\" text-anchor=\"end\">" + escape_html(right_label) +
            "</text></svg></figure>\n";
 }
 
-std::string chart(const std::string& title, const Spread& spread, std::string (*unit)(double)) {
+std::string chart(const std::string& title, const LogHistogram& histogram,
+                  std::string (*format)(double)) {
     std::vector<Bar> bars;
-    auto bins = spread.bins(40);
-    for (auto& b : bins) bars.push_back({b.n, unit(b.from) + " to " + unit(b.to)});
-    return bins.empty() ? "" : chart(title, bars, unit(bins.front().from), unit(bins.back().to));
+    auto bins = histogram.bins(40);
+    for (auto& bin : bins) bars.push_back({bin.count, format(bin.from) + " to " + format(bin.to)});
+    return bins.empty() ? ""
+                        : chart(title, bars, format(bins.front().from), format(bins.back().to));
 }
 
 }  // namespace
 
-Spread::Spread()
-    : steps_(hist::make_histogram(
-          hist::axis::regular<double, hist::axis::transform::log>(kSteps, kLeast, kMost))) {}
+LogHistogram::LogHistogram()
+    : histogram_(hist::make_histogram(
+          hist::axis::regular<double, hist::axis::transform::log>(kBins, kMinValue, kMaxValue))) {}
 
-void Spread::add(double v) {
-    v = std::clamp(v, kLeast, kMost * 0.999999);
-    least_ = count_ ? std::min(least_, v) : v;
-    most_ = std::max(most_, v);
+void LogHistogram::add(double value) {
+    value = std::clamp(value, kMinValue, kMaxValue * 0.999999);
+    min_ = count_ ? std::min(min_, value) : value;
+    max_ = std::max(max_, value);
     ++count_;
-    steps_(v);
+    histogram_(value);
 }
 
-double Spread::at(double share) const {
-    double below = 0, wanted = share * static_cast<double>(count_);
+double LogHistogram::quantile(double q) const {
+    double cumulative = 0, target = q * static_cast<double>(count_);
     if (count_ == 0) return 0;
-    for (auto&& x : hist::indexed(steps_)) {
-        below += *x;
-        if (below >= wanted) return std::min(x.bin().upper(), most_);
+    for (auto&& bin : hist::indexed(histogram_)) {
+        cumulative += *bin;
+        if (cumulative >= target) return std::min(bin.bin().upper(), max_);
     }
-    return most_;
+    return max_;
 }
 
-std::vector<Spread::Bin> Spread::bins(size_t bins) const {
+std::vector<LogHistogram::Bin> LogHistogram::bins(size_t max_bins) const {
     std::vector<Bin> out;
     if (count_ == 0) return out;
-    int first = steps_.axis().index(least_), last = steps_.axis().index(most_);
-    int each = std::max(1, (last - first + static_cast<int>(bins)) / static_cast<int>(bins));
-    for (int i = first; i <= last; i += each) {
-        Bin b{steps_.axis().bin(i).lower(), 0, 0};
-        for (int k = i; k < i + each && k <= last; ++k) {
-            b.n += static_cast<uint64_t>(double{steps_.at(k)});
-            b.to = steps_.axis().bin(k).upper();
+    int first = histogram_.axis().index(min_), last = histogram_.axis().index(max_);
+    int merged_bins =
+        std::max(1, (last - first + static_cast<int>(max_bins)) / static_cast<int>(max_bins));
+    for (int i = first; i <= last; i += merged_bins) {
+        Bin bin{histogram_.axis().bin(i).lower(), 0, 0};
+        for (int k = i; k < i + merged_bins && k <= last; ++k) {
+            bin.count += static_cast<uint64_t>(double{histogram_.at(k)});
+            bin.to = histogram_.axis().bin(k).upper();
         }
-        out.push_back(b);
+        out.push_back(bin);
     }
     return out;
 }
 
-void Arrivals::widen() {
+void ArrivalHistogram::merge_pairs() {
     for (size_t i = 0; i < counts_.size(); ++i) {
-        auto n = counts_[i];
+        auto count = counts_[i];
         counts_[i] = 0;
-        counts_[i / 2] += n;
+        counts_[i / 2] += count;
     }
     counts_.resize((counts_.size() + 1) / 2);
-    width_s_ *= 2;
+    bucket_s_ *= 2;
 }
 
-void Arrivals::add(double at_s) {
-    if (counts_.empty()) begin_s_ = at_s;
-    // An earlier job than the first: what was counted moves up by whole buckets.
-    while (at_s < begin_s_) {
-        auto more = static_cast<size_t>(std::min(1e15, std::ceil((begin_s_ - at_s) / width_s_)));
-        if (counts_.size() + more <= kBuckets) {
-            counts_.insert(counts_.begin(), more, 0);
-            begin_s_ -= static_cast<double>(more) * width_s_;
+void ArrivalHistogram::add(double time_s) {
+    if (counts_.empty()) begin_s_ = time_s;
+    // For a job that arrived before the first bucket, empty buckets are inserted at the front.
+    while (time_s < begin_s_) {
+        auto added_buckets =
+            static_cast<size_t>(std::min(1e15, std::ceil((begin_s_ - time_s) / bucket_s_)));
+        if (counts_.size() + added_buckets <= kMaxBuckets) {
+            counts_.insert(counts_.begin(), added_buckets, 0);
+            begin_s_ -= static_cast<double>(added_buckets) * bucket_s_;
         } else {
-            widen();
+            merge_pairs();
         }
     }
-    while ((at_s - begin_s_) / width_s_ >= static_cast<double>(kBuckets)) widen();
-    auto i = static_cast<size_t>((at_s - begin_s_) / width_s_);
+    while ((time_s - begin_s_) / bucket_s_ >= static_cast<double>(kMaxBuckets)) merge_pairs();
+    auto i = static_cast<size_t>((time_s - begin_s_) / bucket_s_);
     if (counts_.size() <= i) counts_.resize(i + 1);
     ++counts_[i];
 }
 
-void LoadStats::add(double at_s, const JobSpec& spec, const std::string& job_class) {
-    arrivals_.add(at_s);
+void LoadStats::add_job(double submitted_s, const JobSpec& spec, const std::string& job_class) {
+    arrivals_.add(submitted_s);
     double tasks = spec.tasks, cores = static_cast<double>(spec.demand.cpu) / 1000;
     double gpus = static_cast<double>(spec.demand.gpu) / 1000,
-           hours = tasks * spec.estimate_s / 3600;
-    for (auto* c : {&all_, &classes_[job_class]}) {
-        ++c->jobs;
-        c->gangs += spec.kind == JobKind::Gang;
-        c->tasks += spec.tasks;
-        c->core_hours += cores * hours;
-        c->gpu_hours += gpus * hours;
-        c->width.add(cores * tasks);
-        c->length.add(spec.estimate_s);
+           task_hours = tasks * spec.estimate_s / 3600;
+    for (auto* stats : {&all_, &classes_[job_class]}) {
+        ++stats->jobs;
+        stats->gangs += spec.kind == JobKind::Gang;
+        stats->tasks += spec.tasks;
+        stats->core_hours += cores * task_hours;
+        stats->gpu_hours += gpus * task_hours;
+        stats->job_cores.add(cores * tasks);
+        stats->run_s.add(spec.estimate_s);
     }
 }
 
-void LoadStats::waited(const std::string& job_class, double wait_s) {
-    all_.waiting.add(wait_s);
-    classes_[job_class].waiting.add(wait_s);
+void LoadStats::add_waiting_time(const std::string& job_class, double waiting_s) {
+    all_.waiting_s.add(waiting_s);
+    classes_[job_class].waiting_s.add(waiting_s);
 }
 
 std::string LoadStats::json() const {
-    auto one = [](const ClassStats& c) {
-        std::string out = "{\"jobs\":" + std::to_string(c.jobs) +
-                          ",\"gangs\":" + std::to_string(c.gangs) +
-                          ",\"tasks\":" + std::to_string(c.tasks);
-        auto number = [&](const std::string& name, double v) {
+    auto class_json = [](const ClassStats& stats) {
+        std::string out = "{\"jobs\":" + std::to_string(stats.jobs) +
+                          ",\"gangs\":" + std::to_string(stats.gangs) +
+                          ",\"tasks\":" + std::to_string(stats.tasks);
+        auto append_number = [&](const std::string& name, double value) {
             out += ",\"" + name + "\":";
-            write::number(out, std::round(v * 1000) / 1000);
+            write::number(out, std::round(value * 1000) / 1000);
         };
-        number("core_hours", c.core_hours);
-        number("gpu_hours", c.gpu_hours);
-        for (auto [name, spread] : {std::pair{"width_cores", &c.width},
-                                    {"length_s", &c.length},
-                                    {"waiting_s", &c.waiting}}) {
-            if (spread->count() == 0) continue;
-            for (auto [q, share] : {std::pair{"p50", 0.5}, {"p95", 0.95}, {"p99", 0.99}})
-                number(std::string(name) + "_" + q, spread->at(share));
+        append_number("core_hours", stats.core_hours);
+        append_number("gpu_hours", stats.gpu_hours);
+        for (auto [name, histogram] : {std::pair{"width_cores", &stats.job_cores},
+                                       {"length_s", &stats.run_s},
+                                       {"waiting_s", &stats.waiting_s}}) {
+            if (histogram->count() == 0) continue;
+            for (auto [percentile, q] : {std::pair{"p50", 0.5}, {"p95", 0.95}, {"p99", 0.99}})
+                append_number(std::string(name) + "_" + percentile, histogram->quantile(q));
         }
         return out + "}";
     };
-    std::string out = "{\"all\":" + one(all_) + ",\"classes\":{";
+    std::string out = "{\"all\":" + class_json(all_) + ",\"classes\":{";
     bool first = true;
-    for (auto& [name, c] : classes_) {
+    for (auto& [name, stats] : classes_) {
         if (!std::exchange(first, false)) out += ',';
         write::text(out, name);
-        out += ":" + one(c);
+        out += ":" + class_json(stats);
     }
     return out + "}}";
 }
@@ -211,7 +218,7 @@
     std::string out =
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><meta name=\"viewport\" "
         "content=\"width=device-width, initial-scale=1\"><title>" +
-        escaped(title) +
+        escape_html(title) +
         "</title><style>\n"
         "body{font:16px/1.4 system-ui,sans-serif;margin:0 "
         "auto;max-width:60rem;padding:1rem;color:#222;background:#fff}\n"
@@ -227,47 +234,50 @@
         "print{body{max-width:none;font-size:11pt}figure,tr{break-inside:avoid}table{display:table}"
         "}\n"
         "</style></head><body>\n<h1>" +
-        escaped(title) + "</h1>\n<p>" + std::to_string(all_.jobs) + " jobs, " +
-        std::to_string(all_.tasks) + " tasks, " + shown(all_.core_hours) + " core hours and " +
-        shown(all_.gpu_hours) +
-        " GPU hours as estimated.</p>\n<table><tr>"
+        escape_html(title) + "</h1>\n<p>" + std::to_string(all_.jobs) + " jobs, " +
+        std::to_string(all_.tasks) + " tasks, " + format_number(all_.core_hours) +
+        " core hours and " + format_number(all_.gpu_hours) +
+        " GPU hours, from estimated run times.</p>\n<table><tr>"
         "<th>class</th><th>jobs</th><th>gangs</th><th>tasks</th><th>core hours</th><th>GPU "
-        "hours</th><th>width, median</th>"
-        "<th>95%</th><th>length, median</th><th>95%</th><th>waiting, "
+        "hours</th><th>cores per job, median</th>"
+        "<th>95%</th><th>run time, median</th><th>95%</th><th>waiting time, "
         "median</th><th>95%</th></tr>\n";
-    auto row = [&](const std::string& name, const ClassStats& c) {
-        auto waits = c.waiting.count() > 0;
-        out += "<tr><td>" + escaped(name) + "</td>";
+    auto append_row = [&](const std::string& name, const ClassStats& stats) {
+        auto has_waiting_times = stats.waiting_s.count() > 0;
+        out += "<tr><td>" + escape_html(name) + "</td>";
         for (auto& cell :
-             {std::to_string(c.jobs), std::to_string(c.gangs), std::to_string(c.tasks),
-              shown(c.core_hours), shown(c.gpu_hours), shown(c.width.at(0.5)) + " cores",
-              shown(c.width.at(0.95)), shown_s(c.length.at(0.5)), shown_s(c.length.at(0.95)),
-              waits ? shown_s(c.waiting.at(0.5)) : "\xe2\x80\x93",
-              waits ? shown_s(c.waiting.at(0.95)) : "\xe2\x80\x93"})
+             {std::to_string(stats.jobs), std::to_string(stats.gangs), std::to_string(stats.tasks),
+              format_number(stats.core_hours), format_number(stats.gpu_hours),
+              format_number(stats.job_cores.quantile(0.5)) + " cores",
+              format_number(stats.job_cores.quantile(0.95)),
+              format_seconds(stats.run_s.quantile(0.5)), format_seconds(stats.run_s.quantile(0.95)),
+              has_waiting_times ? format_seconds(stats.waiting_s.quantile(0.5)) : "\xe2\x80\x93",
+              has_waiting_times ? format_seconds(stats.waiting_s.quantile(0.95)) : "\xe2\x80\x93"})
             out += "<td>" + cell + "</td>";
         out += "</tr>\n";
     };
-    row("all", all_);
-    for (auto& [name, c] : classes_) row(name, c);
+    append_row("all", all_);
+    for (auto& [name, stats] : classes_) append_row(name, stats);
     out += "</table>\n";
     std::vector<Bar> bars;
     auto& counts = arrivals_.counts();
     for (size_t i = 0; i < counts.size(); ++i)
         bars.push_back(
-            {counts[i], "from " + shown_s(static_cast<double>(i) * arrivals_.bucket_s())});
+            {counts[i], "from " + format_seconds(static_cast<double>(i) * arrivals_.bucket_s())});
     if (!bars.empty())
-        out += chart("Jobs that arrive in each " + shown_s(arrivals_.bucket_s()), bars, "0 s",
-                     shown_s(static_cast<double>(counts.size()) * arrivals_.bucket_s()));
-    auto charts = [&](const std::string& of, const ClassStats& c) {
-        out += chart("Width, cores of a job" + of, c.width, shown);
-        out += chart("Length of a task" + of, c.length, shown_s);
-        out += chart("Waiting for the first start" + of, c.waiting, shown_s);
+        out += chart("Jobs submitted in each " + format_seconds(arrivals_.bucket_s()), bars, "0 s",
+                     format_seconds(static_cast<double>(counts.size()) * arrivals_.bucket_s()));
+    auto append_charts = [&](const std::string& title_suffix, const ClassStats& stats) {
+        out += chart("Cores per job" + title_suffix, stats.job_cores, format_number);
+        out += chart("Estimated run time" + title_suffix, stats.run_s, format_seconds);
+        out += chart("Waiting time until the first start" + title_suffix, stats.waiting_s,
+                     format_seconds);
     };
-    charts("", all_);
+    append_charts("", all_);
     if (classes_.size() > 1)
-        for (auto& [name, c] : classes_) {
-            out += "<h2>" + escaped(name) + "</h2>\n";
-            charts(", " + name, c);
+        for (auto& [name, stats] : classes_) {
+            out += "<h2>" + escape_html(name) + "</h2>\n";
+            append_charts(", " + name, stats);
         }
     return out + "</body></html>\n";
 }
@@ -275,28 +285,30 @@
 LoadStats read_stats(const std::string& jobs, const std::string& times) {
     LoadStats stats;
     std::unordered_map<std::string, std::string>
-        class_of;  // by id, only if a play's times are to be told by class
-    JobFile::each(jobs, [&](double at_s, const JobSpec& spec, const Names& names) {
+        class_by_job;  // by job id; only filled if waiting times are read
+    JobFile::for_each(jobs, [&](double submitted_s, const JobSpec& spec, const Names& names) {
         auto& name = names.classes.name(spec.job_class);
-        stats.add(at_s, spec, name);
-        if (!times.empty()) class_of.emplace(spec.id, name);
+        stats.add_job(submitted_s, spec, name);
+        if (!times.empty()) class_by_job.emplace(spec.id, name);
     });
     if (times.empty()) return stats;
     LineSource lines(times);
     CsvRow row;
     for (Line line; lines.next(line);) {
         if (line.number == 1) continue;
-        Refusal none;
-        Fields f(none);
-        constexpr size_t kSent = 3, kStarted = 5, kColumns = 10;
+        Rejection rejection;
+        FieldParser fields(rejection);
+        constexpr size_t kSentColumn = 3, kStartedColumn = 5, kColumns = 10;
         if (!row.parse(line.text) || row.size() != kColumns)
-            throw Unreadable(times + ":" + std::to_string(line.number) +
-                             ": not a row of a play's times");
-        double wait = f.amount(row[kStarted], "") - f.amount(row[kSent], "");
-        if (auto it = class_of.find(std::string(row[0])); it != class_of.end() && wait >= 0)
-            stats.waited(it->second, wait);
+            throw FileError(times + ":" + std::to_string(line.number) +
+                            ": not a row of the table that trace play --csv writes");
+        double waiting_s = fields.non_negative(row[kStartedColumn], "") -
+                           fields.non_negative(row[kSentColumn], "");
+        if (auto it = class_by_job.find(std::string(row[0]));
+            it != class_by_job.end() && waiting_s >= 0)
+            stats.add_waiting_time(it->second, waiting_s);
     }
-    if (!lines.broken().empty()) throw Unreadable(lines.broken());
+    if (!lines.error().empty()) throw FileError(lines.error());
     return stats;
 }
 
--- a/src/traces/stats.h
+++ b/src/traces/stats.h
@@ -1,8 +1,9 @@
-// What a load looks like: distributions of arrival, width, length and (after a play) waiting, by
-// class, as text and as one self-contained HTML page.
+// Statistics of a workload: distributions of arrival times, cores per job, run times and, if the
+// trace was played, waiting times. They are computed for each class and written as JSON and as one
+// self-contained HTML page.
 //
-// Owns: counts, whose size grows with classes and not with jobs; arrivals widen their buckets as
-// time goes on.
+// Owns: counts. Their size grows with the number of classes but not with the number of jobs; the
+// buckets of the arrival histogram become wider as it covers more time.
 #pragma once
 #include <boost/histogram.hpp>
 #include <cstdint>
@@ -16,69 +17,73 @@
 
 namespace weirmill::traces {
 
-// A distribution over decades: amounts from 1e-3 to 1e7, twenty steps a decade; larger and smaller
-// ones count at the ends.
-class Spread {
+// A histogram with logarithmic bins for values from 1e-3 to 1e7, with twenty bins per decade.
+// Values outside that range count in the first or the last bin.
+class LogHistogram {
   public:
-    Spread();
-    void add(double v);
+    LogHistogram();
+    void add(double value);
     uint64_t count() const { return count_; }
-    // The upper edge of the step in which the share lies; 0: nothing was counted.
-    double at(double share) const;
-    // Counts in `bins` equal steps (on the logarithm) between the smallest and the largest amount
-    // seen.
+    // Returns the upper edge of the bin that contains the quantile `q` (0 to 1), or 0 if the
+    // histogram is empty.
+    double quantile(double q) const;
     struct Bin {
         double from, to;
-        uint64_t n;
+        uint64_t count;
     };
-    std::vector<Bin> bins(size_t bins) const;
+    // Returns at most `max_bins` bins of equal width on the logarithmic scale between the smallest
+    // and the largest value.
+    std::vector<Bin> bins(size_t max_bins) const;
 
   private:
     boost::histogram::histogram<
         std::tuple<boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>>>
-        steps_;
+        histogram_;
     uint64_t count_ = 0;
-    double least_ = 0, most_ = 0;
+    double min_ = 0, max_ = 0;
 };
 
-// Jobs over time, in at most kBuckets buckets: when time runs beyond the last, two become one.
-class Arrivals {
+// Counts jobs by arrival time in at most kMaxBuckets buckets. When the buckets no longer cover all
+// times, each pair of them is merged into one.
+class ArrivalHistogram {
   public:
-    static constexpr size_t kBuckets = 96;
-    void add(double at_s);
-    double bucket_s() const { return width_s_; }
+    static constexpr size_t kMaxBuckets = 96;
+    void add(double time_s);
+    double bucket_s() const { return bucket_s_; }
     double begin_s() const { return begin_s_; }
     const std::vector<uint64_t>& counts() const { return counts_; }
 
   private:
-    void widen();
-    double begin_s_ = 0, width_s_ = 1;
+    void merge_pairs();
+    double begin_s_ = 0, bucket_s_ = 1;
     std::vector<uint64_t> counts_;
 };
 
 struct ClassStats {
     uint64_t jobs = 0, gangs = 0, tasks = 0;
-    double core_hours = 0, gpu_hours = 0;  // as estimated
-    Spread width, length,
-        waiting;  // cores of a job; s of a task; s from submission to the first start
+    double core_hours = 0, gpu_hours = 0;  // computed from the estimated run times
+    LogHistogram job_cores;                // cores of all tasks of a job
+    LogHistogram run_s;                    // estimated run time of a task
+    LogHistogram waiting_s;                // from the submission of a job to its first start
 };
 
 class LoadStats {
   public:
-    void add(double at_s, const JobSpec& spec, const std::string& job_class);
-    // From a play's table of times.
-    void waited(const std::string& job_class, double wait_s);
+    void add_job(double submitted_s, const JobSpec& spec, const std::string& job_class);
+    // Adds the waiting time of a job that was played.
+    void add_waiting_time(const std::string& job_class, double waiting_s);
     std::string json() const;
-    // `title` is shown as it is, escaped.
+    // Returns the HTML page. The title is escaped.
     std::string html(const std::string& title) const;
 
   private:
-    Arrivals arrivals_;
+    ArrivalHistogram arrivals_;
     std::map<std::string, ClassStats> classes_;
     ClassStats all_;
 };
 
-// Reads an import's output, and a play's times unless `times` is empty. Throws Unreadable.
+// Reads the output of an import and, unless `times` is empty, the CSV table of a play. Throws
+// FileError.
 LoadStats read_stats(const std::string& jobs, const std::string& times);
 
 }  // namespace weirmill::traces
