--- a/src/traces/import.cpp
+++ b/src/traces/import.cpp
@@ -110,6 +110,7 @@
     std::string text_;
 };
 
+// Runs one import.
 class Import {
   public:
     Import(const Format& format, const std::vector<std::string>& inputs, const Mapping& mapping,
--- a/src/traces/play.cpp
+++ b/src/traces/play.cpp
@@ -159,7 +159,8 @@
     return true;
 }
 
-// Flushes after each line, so that the log has every state change even if the process is killed.
+// Writes the play log. Flushes after each line, so that the log has every state change even if the
+// process is killed.
 struct Player::Log {
     std::ofstream out;
     std::string path;
--- a/src/traces/play.h
+++ b/src/traces/play.h
@@ -115,6 +115,7 @@
     std::string json() const;
 };
 
+// Plays the jobs of a source against the service, each in a coroutine of its own.
 class Player {
   public:
     using Source = std::function<std::optional<PlayJob>()>;
--- a/src/traces/submission_builder.cpp
+++ b/src/traces/shape.cpp
@@ -1,4 +1,4 @@
-#include "traces/submission_builder.h"
+#include "traces/shape.h"
 
 #include <Poco/AutoPtr.h>
 #include <Poco/Util/PropertyFileConfiguration.h>
@@ -193,8 +193,9 @@
     draft.mem_gb =
         attributes.mem > 0 ? attributes.mem * mapping_.mem_gb_per_unit : mapping_.default_mem_gb;
     if (attributes.divisible) {
-        // Each task gets as many processors as one machine can hold, and then the processors are
-        // distributed evenly over the tasks.
+        // The number of tasks follows from the most processors that a task can have: those that the
+        // mapping allows, or those of the largest machine. The processors are then distributed
+        // evenly over the tasks.
         double max_task_cores =
             mapping_.max_task_cores > 0
                 ? mapping_.max_task_cores
