--- a/src/traces/shape.cpp
+++ b/src/traces/shape.cpp
@@ -14,221 +14,245 @@
 
 namespace {
 
-constexpr std::pair<const char*, Priority> kUrgencies[] = {{"prod", Priority::Production},
-                                                           {"high", Priority::High},
-                                                           {"normal", Priority::Normal},
-                                                           {"low", Priority::Low}};
-std::optional<Priority> urgency(const std::string& name) {
-    for (auto& [n, p] : kUrgencies)
-        if (name == n) return p;
+constexpr std::pair<const char*, Priority> kPriorityByUrgency[] = {{"prod", Priority::Production},
+                                                                   {"high", Priority::High},
+                                                                   {"normal", Priority::Normal},
+                                                                   {"low", Priority::Low}};
+std::optional<Priority> parse_urgency(const std::string& name) {
+    for (auto& [urgency, priority] : kPriorityByUrgency)
+        if (name == urgency) return priority;
     return {};
 }
 
-constexpr std::pair<const char*, Map::From> kSources[] = {{"user", Map::From::User},
-                                                          {"group", Map::From::Group},
-                                                          {"queue", Map::From::Queue},
-                                                          {"class", Map::From::Class},
-                                                          {"priority", Map::From::Priority}};
+constexpr std::pair<const char*, Mapping::Source> kNameSources[] = {
+    {"user", Mapping::Source::User},
+    {"group", Mapping::Source::Group},
+    {"queue", Mapping::Source::Queue},
+    {"class", Mapping::Source::Class},
+    {"priority", Mapping::Source::Priority}};
 
 }  // namespace
 
-Map load_map(const std::string& path) {
-    Map map;
+Mapping load_mapping(const std::string& path) {
+    Mapping mapping;
     Poco::AutoPtr<Poco::Util::PropertyFileConfiguration> file;
     try {
         file = new Poco::Util::PropertyFileConfiguration(path);
     } catch (const Poco::Exception& e) {
-        throw MapError(path + ": " + e.displayText());
+        throw MappingError(path + ": " + e.displayText());
     }
-    struct Row {
+    struct NumberProperty {
         const char* name;
         double* value;
-        double low, high;
+        double min, max;
     };
-    const Row rows[] = {
-        {"time.back_s", &map.back_s, 0, 1e9},
-        {"unit.cores", &map.cores, 1e-9, 1e9},
-        {"unit.gpus", &map.gpus, 1e-9, 1e9},
-        {"unit.mem_gb", &map.mem_gb, 1e-12, 1e9},
-        {"default.cores", &map.default_cores, 0.001, 1e6},
-        {"default.mem_gb", &map.default_mem_gb, 0, 1e6},
-        {"default.run_s", &map.default_run_s, 0, 1e9},
-        {"least.run_s", &map.least_run_s, 0, 1e9},
-        {"pack.cores", &map.pack_cores, 0, 1e6},
-        {"due.factor", &map.due_factor, 0, 1e6},
-        {"tally_s", &map.tally_s, 0, 1e9},
-        {"bank_s", &map.bank_s, 0, 1e9},
-        {"image_gb", &map.image_gb, 0, 1e6},
+    const NumberProperty number_properties[] = {
+        {"time.back_s", &mapping.time_tolerance_s, 0, 1e9},
+        {"unit.cores", &mapping.cores_per_unit, 1e-9, 1e9},
+        {"unit.gpus", &mapping.gpus_per_unit, 1e-9, 1e9},
+        {"unit.mem_gb", &mapping.mem_gb_per_unit, 1e-12, 1e9},
+        {"default.cores", &mapping.default_cores, 0.001, 1e6},
+        {"default.mem_gb", &mapping.default_mem_gb, 0, 1e6},
+        {"default.run_s", &mapping.default_run_s, 0, 1e9},
+        {"least.run_s", &mapping.min_run_s, 0, 1e9},
+        {"pack.cores", &mapping.max_task_cores, 0, 1e6},
+        {"due.factor", &mapping.deadline_factor, 0, 1e6},
+        {"tally_s", &mapping.checkpoint_interval_s, 0, 1e9},
+        {"bank_s", &mapping.checkpoint_duration_s, 0, 1e9},
+        {"image_gb", &mapping.image_gb, 0, 1e6},
     };
-    struct Group {
-        const char* name;
-        Map::Names* names;
+    struct NameProperties {
+        const char* prefix;
+        Mapping::NameRule* rule;
     };
-    const Group groups[] = {
-        {"team.", &map.team}, {"urgency.", &map.urgency}, {"class.", &map.job_class}};
+    const NameProperties name_properties[] = {
+        {"team.", &mapping.team}, {"urgency.", &mapping.urgency}, {"class.", &mapping.job_class}};
     std::vector<std::string> keys;
-    // Keys come in a tree; dots in values of a trace ("user.a.b") make deeper ones.
-    auto walk = [&](auto& self, const std::string& at) -> void {
-        if (!at.empty() && file->hasProperty(at)) keys.push_back(at);
-        Poco::Util::AbstractConfiguration::Keys below;
-        file->keys(at, below);
-        for (auto& k : below) self(self, at.empty() ? k : at + "." + k);
+    // Poco splits keys at dots into a tree. Names of the trace can contain dots, so a key such as
+    // "team.a.b" is at any depth.
+    auto collect_keys = [&](auto& self, const std::string& path_in_tree) -> void {
+        if (!path_in_tree.empty() && file->hasProperty(path_in_tree)) keys.push_back(path_in_tree);
+        Poco::Util::AbstractConfiguration::Keys children;
+        file->keys(path_in_tree, children);
+        for (auto& child : children)
+            self(self, path_in_tree.empty() ? child : path_in_tree + "." + child);
     };
-    walk(walk, "");
+    collect_keys(collect_keys, "");
     std::sort(keys.begin(), keys.end());
     keys.erase(std::unique(keys.begin(), keys.end()), keys.end());
     for (auto& key : keys) {
         auto value = file->getRawString(key);
-        auto wrong = [&](const std::string& why) {
-            throw MapError(path + ": " + key + ": " + why);
+        auto fail = [&](const std::string& message) {
+            throw MappingError(path + ": " + key + ": " + message);
         };
-        if (auto* row = std::find_if(std::begin(rows), std::end(rows),
-                                     [&](auto& r) { return key == r.name; });
-            row != std::end(rows)) {
+        if (auto* property =
+                std::find_if(std::begin(number_properties), std::end(number_properties),
+                             [&](auto& candidate) { return key == candidate.name; });
+            property != std::end(number_properties)) {
             auto [end, ec] =
-                std::from_chars(value.data(), value.data() + value.size(), *row->value);
-            if (ec != std::errc() || end != value.data() + value.size()) wrong("not a number");
-            if (!(*row->value >= row->low && *row->value <= row->high)) wrong("out of range");
+                std::from_chars(value.data(), value.data() + value.size(), *property->value);
+            if (ec != std::errc() || end != value.data() + value.size()) fail("not a number");
+            if (!(*property->value >= property->min && *property->value <= property->max))
+                fail("out of range");
             continue;
         }
         if (key == "loaners") {
-            if (value != "true" && value != "false") wrong("neither true nor false");
-            map.loaners = value == "true";
+            if (value != "true" && value != "false") fail("must be true or false");
+            mapping.spot = value == "true";
             continue;
         }
         if (key == "script") {
-            map.script = (std::filesystem::path(path).parent_path() / value).string();
+            mapping.script = (std::filesystem::path(path).parent_path() / value).string();
             continue;
         }
-        auto* group = std::find_if(std::begin(groups), std::end(groups),
-                                   [&](auto& g) { return key.starts_with(g.name); });
-        if (group == std::end(groups)) wrong("there is no such property");
-        auto rest = key.substr(std::string(group->name).size());
-        bool urgencies = group->names == &map.urgency;
-        if (rest == "from") {
-            auto* source = std::find_if(std::begin(kSources), std::end(kSources),
-                                        [&](auto& s) { return value == s.first; });
-            if (source == std::end(kSources)) wrong("none of user, group, queue, class, priority");
-            group->names->from = source->second;
+        auto* properties =
+            std::find_if(std::begin(name_properties), std::end(name_properties),
+                         [&](auto& candidate) { return key.starts_with(candidate.prefix); });
+        if (properties == std::end(name_properties)) fail("unknown property");
+        auto suffix = key.substr(std::string(properties->prefix).size());
+        bool is_urgency = properties->rule == &mapping.urgency;
+        if (suffix == "from") {
+            auto* source = std::find_if(std::begin(kNameSources), std::end(kNameSources),
+                                        [&](auto& candidate) { return value == candidate.first; });
+            if (source == std::end(kNameSources))
+                fail("must be one of user, group, queue, class, priority");
+            properties->rule->source = source->second;
             continue;
         }
-        if (urgencies && !urgency(value)) wrong("none of prod, high, normal, low");
-        if (rest == "default") {
-            group->names->otherwise = value;
-        } else if (urgencies && rest.starts_with("at.")) {
-            int64_t from = 0;
-            auto digits = rest.substr(3);
-            auto [end, ec] = std::from_chars(digits.data(), digits.data() + digits.size(), from);
-            if (ec != std::errc() || end != digits.data() + digits.size()) wrong("not a priority");
-            map.urgency_at.emplace_back(from, value);
+        if (is_urgency && !parse_urgency(value)) fail("must be one of prod, high, normal, low");
+        if (suffix == "default") {
+            properties->rule->default_name = value;
+        } else if (is_urgency && suffix.starts_with("at.")) {
+            int64_t threshold = 0;
+            auto digits = suffix.substr(std::string("at.").size());
+            auto [end, ec] =
+                std::from_chars(digits.data(), digits.data() + digits.size(), threshold);
+            if (ec != std::errc() || end != digits.data() + digits.size())
+                fail("the text after \"at.\" is not an integer");
+            mapping.urgency_thresholds.emplace_back(threshold, value);
         } else {
-            group->names->by_value[rest] = value;
+            properties->rule->by_value[suffix] = value;
         }
     }
-    std::sort(map.urgency_at.begin(), map.urgency_at.end());
-    return map;
+    std::sort(mapping.urgency_thresholds.begin(), mapping.urgency_thresholds.end());
+    return mapping;
 }
 
-Shaper::Shaper(Map map, std::vector<MachineType> types)
-    : map_(std::move(map)), types_(std::move(types)) {
-    for (auto& t : types_) widest_ = std::max(widest_, static_cast<double>(t.size.cpu) / 1000);
-    if (!map_.script.empty()) script_.emplace(map_.script);
+SubmissionBuilder::SubmissionBuilder(Mapping mapping, std::vector<MachineType> types)
+    : mapping_(std::move(mapping)), types_(std::move(types)) {
+    for (auto& type : types_)
+        max_machine_cores_ =
+            std::max(max_machine_cores_, static_cast<double>(type.size.cpu) / 1000);
+    if (!mapping_.script.empty()) script_.emplace(mapping_.script);
 }
 
-std::string Shaper::pick(const Map::Names& names, const Draft& d) const {
-    std::string number;
-    const std::string* value = &number;
-    switch (names.from) {
-        case Map::From::User:
-            value = &d.user;
+std::string SubmissionBuilder::mapped_name(const Mapping::NameRule& rule,
+                                           const JobDraft& draft) const {
+    std::string priority;
+    const std::string* value = &priority;
+    switch (rule.source) {
+        case Mapping::Source::User:
+            value = &draft.user;
             break;
-        case Map::From::Group:
-            value = &d.group;
+        case Mapping::Source::Group:
+            value = &draft.group;
             break;
-        case Map::From::Queue:
-            value = &d.queue;
+        case Mapping::Source::Queue:
+            value = &draft.queue;
             break;
-        case Map::From::Class:
-            value = &d.job_class;
+        case Mapping::Source::Class:
+            value = &draft.job_class;
             break;
-        case Map::From::Priority:
-            if (d.priority >= 0) number = std::to_string(d.priority);
+        case Mapping::Source::Priority:
+            if (draft.priority >= 0) priority = std::to_string(draft.priority);
             break;
     }
-    auto it = names.by_value.find(*value);
-    return it == names.by_value.end() ? names.otherwise : it->second;
+    auto it = rule.by_value.find(*value);
+    return it == rule.by_value.end() ? rule.default_name : it->second;
 }
 
-Refusal Shaper::shape(const TraceJob& job, JobSpec& spec) {
-    if (job.refusal.reason != Reason::None) return job.refusal;
-    auto& f = job.facts;
-    Draft d;
-    d.key = job.key;
-    d.user = f.user;
-    d.group = f.group;
-    d.queue = f.queue;
-    d.job_class = f.job_class;
-    d.priority = f.priority;
-    d.submitted_s = f.submitted_s;
-    d.run_s = std::isnan(job.run_s) ? map_.default_run_s : std::max(job.run_s, map_.least_run_s);
-    d.tasks = f.tasks;
-    d.gang = f.gang && f.tasks > 1;
-    d.loaners = map_.loaners;
-    d.cores = f.cpu > 0 ? f.cpu * map_.cores : map_.default_cores;
-    d.gpus = f.gpu > 0 ? f.gpu * map_.gpus : 0;
-    d.mem_gb = f.mem > 0 ? f.mem * map_.mem_gb : map_.default_mem_gb;
-    if (f.divisible) {
-        // Processors of one task as far as a machine holds them, and as equal as they can be.
-        double most = map_.pack_cores > 0 ? map_.pack_cores
-                                          : std::max(1.0, std::floor(widest_ / d.cores) * d.cores);
-        double each = std::max(1.0, std::floor(most / d.cores));
-        d.tasks = std::ceil(f.tasks / each);
-        each = std::ceil(f.tasks / d.tasks);
-        d.cores *= each;
-        d.mem_gb *= each;
-        d.gang = d.tasks > 1;
+Rejection SubmissionBuilder::build(const TraceJob& job, JobSpec& spec) {
+    if (job.rejection.reason != RejectReason::None) return job.rejection;
+    auto& attributes = job.attributes;
+    JobDraft draft;
+    draft.key = job.key;
+    draft.user = attributes.user;
+    draft.group = attributes.group;
+    draft.queue = attributes.queue;
+    draft.job_class = attributes.job_class;
+    draft.priority = attributes.priority;
+    draft.submitted_s = attributes.submitted_s;
+    draft.run_s =
+        std::isnan(job.run_s) ? mapping_.default_run_s : std::max(job.run_s, mapping_.min_run_s);
+    draft.tasks = attributes.tasks;
+    draft.gang = attributes.gang && attributes.tasks > 1;
+    draft.spot = mapping_.spot;
+    draft.cores =
+        attributes.cpu > 0 ? attributes.cpu * mapping_.cores_per_unit : mapping_.default_cores;
+    draft.gpus = attributes.gpu > 0 ? attributes.gpu * mapping_.gpus_per_unit : 0;
+    draft.mem_gb =
+        attributes.mem > 0 ? attributes.mem * mapping_.mem_gb_per_unit : mapping_.default_mem_gb;
+    if (attributes.divisible) {
+        // The number of tasks follows from the most processors that a task can have: those that the
+        // mapping allows, or those of the largest machine. The processors are then distributed
+        // evenly over the tasks.
+        double max_task_cores =
+            mapping_.max_task_cores > 0
+                ? mapping_.max_task_cores
+                : std::max(1.0, std::floor(max_machine_cores_ / draft.cores) * draft.cores);
+        double processors_per_task = std::max(1.0, std::floor(max_task_cores / draft.cores));
+        draft.tasks = std::ceil(attributes.tasks / processors_per_task);
+        processors_per_task = std::ceil(attributes.tasks / draft.tasks);
+        draft.cores *= processors_per_task;
+        draft.mem_gb *= processors_per_task;
+        draft.gang = draft.tasks > 1;
     }
-    d.team = pick(map_.team, d);
-    d.urgency = pick(map_.urgency, d);
-    if (d.priority >= 0)
-        for (auto& [from, name] : map_.urgency_at)
-            if (d.priority >= from) d.urgency = name;
-    d.job_class = pick(map_.job_class, d);
+    draft.team = mapped_name(mapping_.team, draft);
+    draft.urgency = mapped_name(mapping_.urgency, draft);
+    if (draft.priority >= 0)
+        for (auto& [threshold, name] : mapping_.urgency_thresholds)
+            if (draft.priority >= threshold) draft.urgency = name;
+    draft.job_class = mapped_name(mapping_.job_class, draft);
     if (script_)
-        if (auto refusal = script_->decide(d); refusal.reason != Reason::None) return refusal;
-    if (!(d.tasks >= 1)) return {Reason::NoTask, "it has no task"};
-    if (d.tasks > kMaxTasksPerJob)
-        return {Reason::TooManyTasks, "more than " + std::to_string(kMaxTasksPerJob) + " tasks"};
-    if (std::isnan(d.run_s)) return {Reason::NoEnd, "nothing tells how long it ran"};
-    if (!(d.run_s <= 1e9))
-        return {Reason::BadNumber, "a run time beyond what a submission may have"};
-    auto wanted = urgency(d.urgency);
-    if (!wanted) return {Reason::ScriptFailed, "the urgency is none of prod, high, normal, low"};
-    if (d.team.empty() || d.team.size() > 200 || d.job_class.empty() || d.job_class.size() > 200)
-        return {Reason::ScriptFailed, "the team or the class is empty or too long"};
-    auto no_fit = [&] {
-        return Refusal{Reason::NoFit, "no machine type holds a task of " + std::to_string(d.cores) +
-                                          " cores, " + std::to_string(d.gpus) + " GPUs, " +
-                                          std::to_string(d.mem_gb) + " GB"};
+        if (auto rejection = script_->run(draft); rejection.reason != RejectReason::None)
+            return rejection;
+    if (!(draft.tasks >= 1)) return {RejectReason::NoTasks, "the job has no task"};
+    if (draft.tasks > kMaxTasksPerJob)
+        return {RejectReason::TooManyTasks, "more than " + std::to_string(kMaxTasksPerJob) + " tasks"};
+    if (std::isnan(draft.run_s))
+        return {RejectReason::NoRunTime, "the trace has no run time of the job"};
+    if (!(draft.run_s <= 1e9))
+        return {RejectReason::BadNumber, "the run time is longer than a submission may have"};
+    auto priority = parse_urgency(draft.urgency);
+    if (!priority)
+        return {RejectReason::ScriptFailed, "the urgency must be one of prod, high, normal, low"};
+    if (draft.team.empty() || draft.team.size() > 200 || draft.job_class.empty() ||
+        draft.job_class.size() > 200)
+        return {RejectReason::ScriptFailed, "the team or the class is empty or too long"};
+    auto no_machine_type_fits = [&] {
+        return Rejection{RejectReason::NoMachineTypeFits,
+                         "no machine type can hold a task of " + std::to_string(draft.cores) +
+                             " cores, " + std::to_string(draft.gpus) + " GPUs, " +
+                             std::to_string(draft.mem_gb) + " GB"};
     };
-    for (double v : {d.cores, d.gpus, d.mem_gb})
-        if (!(v >= 0 && v < 1e6)) return no_fit();
-    spec.demand = {to_milli_ceil(d.cores), to_milli_ceil(d.gpus), to_milli_ceil(d.mem_gb)};
+    for (double amount : {draft.cores, draft.gpus, draft.mem_gb})
+        if (!(amount >= 0 && amount < 1e6)) return no_machine_type_fits();
+    spec.demand = {to_milli_ceil(draft.cores), to_milli_ceil(draft.gpus), to_milli_ceil(draft.mem_gb)};
     if (std::none_of(types_.begin(), types_.end(),
-                     [&](auto& t) { return spec.demand.fits_in(t.size); }))
-        return no_fit();
-    spec.kind = d.gang ? JobKind::Gang : JobKind::Array;
-    spec.priority = *wanted;
-    spec.tasks = static_cast<uint32_t>(std::floor(d.tasks));
-    spec.team = names_.teams.intern(d.team);
-    spec.job_class = names_.classes.intern(d.job_class);
-    spec.spot = d.loaners;
-    spec.image = names_.images.intern("image-" + d.job_class);
-    spec.image_gb = map_.image_gb;
-    spec.estimate_s = d.run_s;
-    spec.checkpoint_interval_s = map_.tally_s;
-    spec.checkpoint_duration_s = map_.bank_s;
-    spec.deadline_s = map_.due_factor > 0 ? map_.due_factor * d.run_s : -1;
+                     [&](auto& type) { return spec.demand.fits_in(type.size); }))
+        return no_machine_type_fits();
+    spec.kind = draft.gang ? JobKind::Gang : JobKind::Array;
+    spec.priority = *priority;
+    spec.tasks = static_cast<uint32_t>(std::floor(draft.tasks));
+    spec.team = names_.teams.intern(draft.team);
+    spec.job_class = names_.classes.intern(draft.job_class);
+    spec.spot = draft.spot;
+    spec.image = names_.images.intern("image-" + draft.job_class);
+    spec.image_gb = mapping_.image_gb;
+    spec.estimate_s = draft.run_s;
+    spec.checkpoint_interval_s = mapping_.checkpoint_interval_s;
+    spec.checkpoint_duration_s = mapping_.checkpoint_duration_s;
+    spec.deadline_s = mapping_.deadline_factor > 0 ? mapping_.deadline_factor * draft.run_s : -1;
     return {};
 }
 
