--- a/bench/pass_bench.cpp
+++ b/bench/pass_bench.cpp
@@ -137,7 +137,8 @@
     size_t (*decide)(ClusterState&);
 };
 const Decision kDecisions[] = {
-    {"place", [](ClusterState& cluster) { return place_waiting_jobs(cluster, is_up, kNow_s).size(); }},
+    {"place",
+     [](ClusterState& cluster) { return place_waiting_jobs(cluster, is_up, kNow_s).size(); }},
     {"rent",
      [](ClusterState& cluster) { return plan_scale_out(cluster, is_up, {0.3, 8}, kNow_s).size(); }},
     {"rent_distinct",  // Without cached indexes, as if each job had its own task size.
--- a/src/traces/import.h
+++ b/src/traces/import.h
@@ -19,7 +19,7 @@
 
 #include "traces/assembler.h"
 #include "traces/line_source.h"
-#include "traces/shape.h"
+#include "traces/submission_builder.h"
 
 namespace weirmill::traces {
 
--- a/src/traces/play.cpp
+++ b/src/traces/play.cpp
@@ -123,8 +123,8 @@
     return {PlayState::Sent, retry_after_s};
 }
 
-bool apply_status_answer(JobProgress& progress, const std::optional<HttpResponse>& answer, double now,
-                         double retry_limit_s) {
+bool apply_status_answer(JobProgress& progress, const std::optional<HttpResponse>& answer,
+                         double now, double retry_limit_s) {
     auto record_contradiction = [&](const std::string& contradiction) {
         if (progress.contradiction.empty()) progress.contradiction = contradiction;
     };
--- a/src/traces/play.h
+++ b/src/traces/play.h
@@ -93,8 +93,8 @@
                                               double retry_limit_s);
 // Updates `progress` from the answer to a status request. Returns false if the answer has no state
 // of the job.
-bool apply_status_answer(JobProgress& progress, const std::optional<HttpResponse>& answer, double now,
-                         double retry_limit_s);
+bool apply_status_answer(JobProgress& progress, const std::optional<HttpResponse>& answer,
+                         double now, double retry_limit_s);
 
 struct PlayOptions {
     std::vector<Endpoint> endpoints;
--- a/src/traces/shape.cpp
+++ b/src/traces/submission_builder.cpp
@@ -1,4 +1,4 @@
-#include "traces/shape.h"
+#include "traces/submission_builder.h"
 
 #include <Poco/AutoPtr.h>
 #include <Poco/Util/PropertyFileConfiguration.h>
@@ -218,7 +218,8 @@
             return rejection;
     if (!(draft.tasks >= 1)) return {RejectReason::NoTasks, "the job has no task"};
     if (draft.tasks > kMaxTasksPerJob)
-        return {RejectReason::TooManyTasks, "more than " + std::to_string(kMaxTasksPerJob) + " tasks"};
+        return {RejectReason::TooManyTasks,
+                "more than " + std::to_string(kMaxTasksPerJob) + " tasks"};
     if (std::isnan(draft.run_s))
         return {RejectReason::NoRunTime, "the trace has no run time of the job"};
     if (!(draft.run_s <= 1e9))
@@ -237,7 +238,8 @@
     };
     for (double amount : {draft.cores, draft.gpus, draft.mem_gb})
         if (!(amount >= 0 && amount < 1e6)) return no_machine_type_fits();
-    spec.demand = {to_milli_ceil(draft.cores), to_milli_ceil(draft.gpus), to_milli_ceil(draft.mem_gb)};
+    spec.demand = {to_milli_ceil(draft.cores), to_milli_ceil(draft.gpus),
+                   to_milli_ceil(draft.mem_gb)};
     if (std::none_of(types_.begin(), types_.end(),
                      [&](auto& type) { return spec.demand.fits_in(type.size); }))
         return no_machine_type_fits();
