--- a/src/storage/rate_limiter.h
+++ b/src/storage/rate_limiter.h
@@ -16,7 +16,7 @@
         if (last_refill_at_ > 0) {
             double elapsed_s = now - last_refill_at_;
             tokens_ = std::min(rate_ * burst_s_, tokens_ + elapsed_s * rate_);
-            rate_ = std::min(max_rate_, rate_ + elapsed_s * max_rate_ * kRecoveryShare_per_s);
+            rate_ = std::min(max_rate_, rate_ + elapsed_s * max_rate_ * kRecoverySharePerSecond);
         }
         last_refill_at_ = now;
         return tokens_;
@@ -32,9 +32,9 @@
     double rate() const { return rate_; }
 
   private:
-    static constexpr double kBackoffFactor = 0.8;          // applied to the rate at each refusal
-    static constexpr double kMinRateShare = 0.1;           // share of the maximum rate
-    static constexpr double kRecoveryShare_per_s = 0.001;  // share of the maximum rate per second
+    static constexpr double kBackoffFactor = 0.8;             // applied to the rate at each refusal
+    static constexpr double kMinRateShare = 0.1;              // share of the maximum rate
+    static constexpr double kRecoverySharePerSecond = 0.001;  // share of the maximum rate
     double max_rate_, rate_, burst_s_, tokens_, last_refill_at_ = 0;
 };
 
