--- a/src/autoscaler/drain.cpp
+++ b/src/autoscaler/drain.cpp
@@ -6,7 +6,7 @@
 
 #include "autoscaler/autoscaler.h"
 #include "autoscaler/expected_capacity.h"
-#include "autoscaler/suitability.h"
+#include "autoscaler/machine_eligibility.h"
 
 namespace weirmill {
 
--- a/src/autoscaler/expected_capacity.cpp
+++ b/src/autoscaler/expected_capacity.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "autoscaler/autoscaler.h"
-#include "autoscaler/suitability.h"
+#include "autoscaler/machine_eligibility.h"
 
 namespace weirmill {
 
@@ -84,10 +84,10 @@
     task_ends.insert(std::ranges::upper_bound(task_ends, end, ends_before), end);
 }
 
-bool capacity_suits(const ClusterState& cluster, const JobSpec& spec,
-                    const ExpectedCapacity& capacity) {
-    return market_suits(spec, capacity.spot, capacity.zone) &&
-           type_suits(cluster, spec, capacity.type);
+bool capacity_eligible(const ClusterState& cluster, const JobSpec& spec,
+                       const ExpectedCapacity& capacity) {
+    return market_eligible(spec, capacity.spot, capacity.zone) &&
+           type_eligible(cluster, spec, capacity.type);
 }
 
 double remaining_run_s(double expected_s, double ran_s) {
--- a/src/autoscaler/expected_capacity.h
+++ b/src/autoscaler/expected_capacity.h
@@ -39,8 +39,8 @@
 };
 
 // Returns whether tasks of the job may run on the machine, regardless of its available resources.
-bool capacity_suits(const ClusterState& cluster, const JobSpec& spec,
-                    const ExpectedCapacity& capacity);
+bool capacity_eligible(const ClusterState& cluster, const JobSpec& spec,
+                       const ExpectedCapacity& capacity);
 
 // Returns the expected remaining run time of a task in seconds. The result is at least a fixed
 // share of the expected run time, or of the elapsed one if that is longer, so that a task which
--- a/src/autoscaler/job_planner.cpp
+++ b/src/autoscaler/job_planner.cpp
@@ -40,7 +40,7 @@
       index_(index),
       spec_(request.job.spec),
       request_(request),
-      zone_rule_(context.cluster, request.job),
+      zone_constraint_(context.cluster, request.job),
       zone_constrained_(spec_.one_zone || spec_.spread),
       run_s_(cluster_.expected_run_s(spec_)),
       max_tasks_per_machine_(max_tasks_per_machine(cluster_, spec_)),
@@ -136,7 +136,7 @@
     capacity.assign(spec_.demand, slot.start,
                     run_s_ + cluster_.image_fetch_s(spec_, capacity.type));
     ++context_.use_counts[slot.machine];
-    zone_rule_.add(capacity.zone);
+    zone_constraint_.add(capacity.zone);
     add_reused(slot.machine, capacity);
 }
 
@@ -155,7 +155,7 @@
 }
 
 void JobPlanner::update_offer(size_t remaining) {
-    offer_ = cheapest_offer(cluster_, spec_, remaining, request_.only_zone, zone_rule_,
+    offer_ = cheapest_offer(cluster_, spec_, remaining, request_.only_zone, zone_constraint_,
                             context_.silent_zones, context_.now);
 }
 
@@ -163,7 +163,7 @@
 // allowed.
 bool JobPlanner::is_stale(const StartSlot& slot, uint32_t use_count) const {
     return use_count != context_.use_counts[slot.machine] ||
-           (zone_constrained_ && !zone_rule_.allows(zone_of(slot.machine)));
+           (zone_constrained_ && !zone_constraint_.allows(zone_of(slot.machine)));
 }
 
 // Returns whether the plan can't use this slot of the index.
--- a/src/autoscaler/job_planner.h
+++ b/src/autoscaler/job_planner.h
@@ -95,7 +95,7 @@
     const ShapeIndex& index_;
     const JobSpec& spec_;
     JobRequest request_;
-    ZoneConstraint zone_rule_;
+    ZoneConstraint zone_constraint_;
     bool zone_constrained_;
     double run_s_;
     int64_t max_tasks_per_machine_;
--- a/src/autoscaler/suitability.h
+++ b/src/autoscaler/machine_eligibility.h
@@ -7,12 +7,12 @@
 
 // Returns whether tasks of the job fit the machine type and the type is not reserved for jobs with
 // GPUs.
-inline bool type_suits(const ClusterState& cluster, const JobSpec& spec, Index type) {
+inline bool type_eligible(const ClusterState& cluster, const JobSpec& spec, Index type) {
     return cluster.type_fits(spec, type) && !cluster.must_leave_room_for_gpus(spec, type);
 }
 
 // Returns whether the job may run in the zone and, if `spot`, on spot instances.
-inline bool market_suits(const JobSpec& spec, bool spot, Index zone) {
+inline bool market_eligible(const JobSpec& spec, bool spot, Index zone) {
     return (!spot || spec.spot) && (spec.zone == kNone || spec.zone == zone);
 }
 
--- a/src/autoscaler/offers.cpp
+++ b/src/autoscaler/offers.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "autoscaler/suitability.h"
+#include "autoscaler/machine_eligibility.h"
 
 namespace weirmill {
 
@@ -22,7 +22,7 @@
                       Index zone, int64_t tasks_per_machine, double now, BestOffer& best) {
     const auto& type = cluster.types[type_index].type;
     for (const bool spot : {true, false}) {
-        if (!market_suits(spec, spot, zone) ||
+        if (!market_eligible(spec, spot, zone) ||
             cluster.capacity_refused(type_index, zone, spot, now))
             continue;
         const double price = spot ? type.spot_price : type.price;
@@ -36,16 +36,16 @@
 
 std::optional<ExpectedCapacity> cheapest_offer(const ClusterState& cluster, const JobSpec& spec,
                                                size_t tasks, Index only_zone,
-                                               const ZoneConstraint& zone_rule,
+                                               const ZoneConstraint& zone_constraint,
                                                const std::vector<bool>& silent_zones, double now) {
     const auto zone_allowed = [&](Index zone) {
         if (zone == kNone || (only_zone != kNone && zone != only_zone)) return false;
         const bool silent = zone < silent_zones.size() && silent_zones[zone];
-        return !silent && zone_rule.allows(zone);
+        return !silent && zone_constraint.allows(zone);
     };
     BestOffer best;
     for (Index type_index = 0; type_index < cluster.types.size(); ++type_index) {
-        if (!type_suits(cluster, spec, type_index)) continue;
+        if (!type_eligible(cluster, spec, type_index)) continue;
         const auto& type = cluster.types[type_index].type;
         const auto tasks_per_machine =
             std::min<int64_t>(spec.demand.max_copies_in(type.size), static_cast<int64_t>(tasks));
--- a/src/autoscaler/offers.h
+++ b/src/autoscaler/offers.h
@@ -25,7 +25,7 @@
 // only if the job allows them. `only_zone` is kNone if any zone will do.
 std::optional<ExpectedCapacity> cheapest_offer(const ClusterState& cluster, const JobSpec& spec,
                                                size_t tasks, Index only_zone,
-                                               const ZoneConstraint& zone_rule,
+                                               const ZoneConstraint& zone_constraint,
                                                const std::vector<bool>& silent_zones, double now);
 
 inline Offer offer_of(const ExpectedCapacity& capacity) {
--- a/src/autoscaler/scale_in.cpp
+++ b/src/autoscaler/scale_in.cpp
@@ -2,7 +2,7 @@
 #include <algorithm>
 
 #include "autoscaler/autoscaler.h"
-#include "autoscaler/suitability.h"
+#include "autoscaler/machine_eligibility.h"
 
 namespace weirmill {
 
--- a/src/autoscaler/scale_out.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -62,7 +62,7 @@
     // Returns how many of the job's pending tasks the team's limit allows.
     [[nodiscard]] size_t tasks_within_limit(const Job& job) const;
     [[nodiscard]] std::vector<Index> zones_by_capacity(const ShapeIndex& index,
-                                                       const ZoneConstraint& zone_rule) const;
+                                                       const ZoneConstraint& zone_constraint) const;
     [[nodiscard]] std::optional<JobPlan> best_plan(const Job& job, size_t tasks);
     // Returns how many tasks fit into the resources that are available after the planned jobs.
     [[nodiscard]] int64_t tasks_in_available_resources(const JobSpec& spec) const;
@@ -87,10 +87,10 @@
 
 // Returns the zones that the rule allows, the one with the most available capacity first.
 std::vector<Index> ScaleOutPlanner::zones_by_capacity(const ShapeIndex& index,
-                                                      const ZoneConstraint& zone_rule) const {
+                                                      const ZoneConstraint& zone_constraint) const {
     std::vector<Index> zones;
     for (Index zone = 0; zone < cluster_.names.zones.size(); ++zone)
-        if (zone_rule.allows(zone)) zones.push_back(zone);
+        if (zone_constraint.allows(zone)) zones.push_back(zone);
     std::ranges::stable_sort(
         zones, [&](Index a, Index b) { return index.tasks_in_zone(a) > index.tasks_in_zone(b); });
     return zones;
@@ -127,7 +127,7 @@
 int64_t ScaleOutPlanner::tasks_in_available_resources(const JobSpec& spec) const {
     int64_t tasks = 0;
     for (const auto& capacity : forecast_.machines())
-        if (capacity_suits(cluster_, spec, capacity))
+        if (capacity_eligible(cluster_, spec, capacity))
             tasks += spec.demand.max_copies_in(capacity.available);
     return tasks;
 }
--- a/src/autoscaler/shape_index.cpp
+++ b/src/autoscaler/shape_index.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "autoscaler/suitability.h"
+#include "autoscaler/machine_eligibility.h"
 
 namespace weirmill {
 
@@ -16,18 +16,18 @@
 
 ShapeIndex::ShapeIndex(const ClusterState& cluster, const JobSpec& shape) : shape_(shape) {
     for (Index type = 0; type < cluster.types.size(); ++type)
-        suitable_types_.push_back(type_suits(cluster, shape, type));
+        eligible_types_.push_back(type_eligible(cluster, shape, type));
 }
 
-bool ShapeIndex::suits(const ExpectedCapacity& capacity) const {
-    return suitable_types_[capacity.type] && market_suits(shape_, capacity.spot, capacity.zone);
+bool ShapeIndex::is_eligible(const ExpectedCapacity& capacity) const {
+    return eligible_types_[capacity.type] && market_eligible(shape_, capacity.spot, capacity.zone);
 }
 
 void ShapeIndex::count_tasks(size_t machine, const ExpectedCapacity& capacity) {
     if (capacity.zone >= zone_tasks_.size()) zone_tasks_.resize(capacity.zone + 1, 0);
     auto& tasks = machine_tasks_[machine];
     zone_tasks_[capacity.zone] -= tasks;
-    tasks = suits(capacity) ? shape_.demand.max_copies_in(capacity.available) : 0;
+    tasks = is_eligible(capacity) ? shape_.demand.max_copies_in(capacity.available) : 0;
     zone_tasks_[capacity.zone] += tasks;
 }
 
@@ -36,7 +36,7 @@
                                                   const ExpectedCapacity& capacity) {
     ++versions_[machine];
     count_tasks(machine, capacity);
-    if (!suits(capacity)) return std::nullopt;
+    if (!is_eligible(capacity)) return std::nullopt;
     const StartSlot slot{capacity.earliest_start(shape_.demand), machine, versions_[machine]};
     if (slot.start.in_s > kHorizon_s) return std::nullopt;
     return slot;
--- a/src/autoscaler/shape_index.h
+++ b/src/autoscaler/shape_index.h
@@ -33,12 +33,12 @@
     void update(size_t machine, const ExpectedCapacity& capacity);
 
   private:
-    [[nodiscard]] bool suits(const ExpectedCapacity& capacity) const;
+    [[nodiscard]] bool is_eligible(const ExpectedCapacity& capacity) const;
     void count_tasks(size_t machine, const ExpectedCapacity& capacity);
     std::optional<StartSlot> compute_slot(size_t machine, const ExpectedCapacity& capacity);
 
     JobSpec shape_;
-    std::vector<bool> suitable_types_;  // by type index
+    std::vector<bool> eligible_types_;  // by type index
     StartSlotList slots_, booting_slots_;
     std::vector<uint32_t> versions_;      // by machine: how often its slot has been computed
     std::vector<int64_t> machine_tasks_;  // by machine: tasks that fit into its available resources
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -28,7 +28,7 @@
 constexpr double kMinPositive = 1e-3;
 // Number of operations of the largest transaction that the service can't split.
 constexpr double kMinTransactionOps = 4;
-constexpr double kMinMemory_mb = 16;
+constexpr double kMinMemoryMegabytes = 16;
 constexpr double kMinSockets = 32;
 
 std::string required_string(Node node, const std::string& field) {
@@ -182,7 +182,7 @@
 
 void read_resources(const Section& resources, Settings& settings) {
     settings.cpu_share = resources.number("cpu", kMinPositive);
-    settings.mem_mb = resources.number("mem_mb", kMinMemory_mb);
+    settings.mem_mb = resources.number("mem_mb", kMinMemoryMegabytes);
     settings.max_sockets = static_cast<int>(resources.number("max_sockets", kMinSockets));
 }
 
--- a/src/controller/heartbeat_handler.cpp
+++ b/src/controller/heartbeat_handler.cpp
@@ -100,7 +100,7 @@
     return true;
 }
 
-// ---- content of heartbeats ----
+// Content of heartbeats.
 
 void HeartbeatHandler::apply_heartbeat(Machine& machine, Index machine_index,
                                        const Heartbeat& heartbeat) {
@@ -255,7 +255,7 @@
     }
 }
 
-// ---- responses ----
+// Responses.
 
 // Returns whether pending writes of records would allow more commands in the response to this
 // machine.
--- a/src/controller/instance_manager.cpp
+++ b/src/controller/instance_manager.cpp
@@ -35,7 +35,7 @@
 
 }  // namespace
 
-// ---- lost machines ----
+// Lost machines.
 
 // Marks all tasks of the machine as lost. The machine must be proven gone, or its lease expired.
 void InstanceManager::mark_machine_gone(Index index, const char* reason) {
@@ -90,7 +90,7 @@
     bool expired =
         context_.now > worker_lease_expiry(context_.settings, machine, context_.term->won_at);
     if (expired && machine.up) return handle_expired_lease(index, machine);
-    abandon_unreachable(machine, fleet);
+    abandon_without_downlink(machine, fleet);
     abandon_silent(machine, fleet);
     if (expired && !machine.up && !machine.tasks.empty())
         mark_machine_gone(index, "no heartbeat since the failover");
@@ -110,16 +110,17 @@
     machine.up = false;
     machine.saw_fencing_token = false;
     // If the machine returns with the same name, its agent epoch and sequence numbers may start
-    // again. Its heartbeats must not be taken for duplicates then.
+    // again. Its heartbeats must not count as duplicates then.
     reset_downlink(machine.downlink, {machine.agent_epoch, machine.heartbeat_seq});
     machine.agent_epoch = machine.heartbeat_seq = 0;
 }
 
 // Abandons a machine whose heartbeats arrive, but which has not received responses for too long.
-void InstanceManager::abandon_unreachable(Machine& machine, const FleetSummary& fleet) const {
+void InstanceManager::abandon_without_downlink(Machine& machine, const FleetSummary& fleet) const {
     if (!machine.up || machine.abandoned) return;
-    if (!should_replace_unreachable(machine.downlink, replacement_s(machine, false),
-                                    fleet.downlink_lost, fleet.up, context_.settings, context_.now))
+    if (!should_replace_without_downlink(machine.downlink, replacement_s(machine, false),
+                                         fleet.downlink_lost, fleet.up, context_.settings,
+                                         context_.now))
         return;
     spdlog::info("machine: {} downlink lost for too long, will be terminated", machine.name);
     machine.abandoned = true;
@@ -178,7 +179,7 @@
     machine.abandoned = true;
 }
 
-// ---- results of calls to the cloud ----
+// Results of calls to the cloud.
 
 // Records the machine types, so that the next leader can validate submissions while the cloud does
 // not respond.
@@ -270,7 +271,7 @@
     }
 }
 
-// ---- the autoscaler ----
+// The autoscaler.
 
 void InstanceManager::autoscale() {
     if (!context_.cluster.types_known || !list_received_ || !may_decide_()) return;
@@ -312,7 +313,7 @@
                    asio::detached);
 }
 
-// ---- calls to the cloud ----
+// Calls to the cloud.
 
 void InstanceManager::start_polling_types() {
     asio::co_spawn(context_.io, poll_types(context_.keep_alive()), asio::detached);
--- a/src/controller/instance_manager.h
+++ b/src/controller/instance_manager.h
@@ -72,7 +72,7 @@
     void check_machine(Index index, Machine& machine, const FleetSummary& fleet);
     void handle_expired_lease(Index index, Machine& machine);
     // The `abandon_` functions mark a machine for termination if their condition holds.
-    void abandon_unreachable(Machine& machine, const FleetSummary& fleet) const;
+    void abandon_without_downlink(Machine& machine, const FleetSummary& fleet) const;
     void abandon_silent(Machine& machine, const FleetSummary& fleet) const;
     void abandon_unlisted(Machine& machine) const;
     void abandon_failed_boot(Machine& machine);
--- a/src/controller/job_admission.cpp
+++ b/src/controller/job_admission.cpp
@@ -54,7 +54,7 @@
     auto& index = context_.cluster.job_index;
     if (auto it = index.find(id); it != index.end()) {
         auto& job = *context_.cluster.jobs[it->second];
-        out.undecided = out.undecided || job.record_revision == 0;
+        out.has_unrecorded = out.has_unrecorded || job.record_revision == 0;
         // A cancellation that is not recorded yet propagates to the new job when it is recorded.
         if (job.cancel_durable)
             out.cancelled = true;
@@ -67,17 +67,18 @@
         return;
     }
     if (is_pending_(id)) {
-        out.undecided = true;  // accepted by a standby controller and not adopted yet
+        out.has_unrecorded = true;  // accepted by a standby controller and not adopted yet
         return;
     }
     out.unread.push_back(id);
 }
 
-Index JobAdmission::add(JobSpec spec, const DependencyResolution& dependencies, double submitted) {
+Index JobAdmission::add(JobSpec spec, const DependencyResolution& dependencies,
+                        double submitted_wall) {
     if (dependencies.live_jobs.empty() || dependencies.cancelled) spec.dependencies.clear();
-    auto index = context_.cluster.add_job(std::move(spec), submitted, context_.now);
+    auto index = context_.cluster.add_job(std::move(spec), submitted_wall, context_.now);
     auto& job = *context_.cluster.jobs[index];
-    job.submitted_steady = context_.now - std::max(0.0, wall_now() - submitted);
+    job.submitted_steady = context_.now - std::max(0.0, wall_now() - submitted_wall);
     if (dependencies.cancelled) {
         job.cancelled = true;
         job.cancel_durable = true;  // the record of the new job includes the cancellation
@@ -90,7 +91,7 @@
 void JobAdmission::drop(Index job) {
     auto dependencies = context_.cluster.dependencies().dependencies_of(job);
     context_.cluster.remove_job(job, context_.now);
-    callbacks_.check_cancelled(dependencies);
+    callbacks_.reconcile_cancelled_jobs(dependencies);
 }
 
 // Stops the job's tasks without waiting until the cancellation is recorded. The transaction may be
@@ -100,12 +101,12 @@
 void JobAdmission::request_cancellation(Index job) {
     context_.cluster.jobs[job]->cancelled = true;
     context_.state_log.queue_cancellation(job);
-    callbacks_.check_job(job);
+    callbacks_.reconcile_job(job);
 }
 
 void JobAdmission::read_dependencies(PeerCall call, ReplyPromise reply,
-                                     std::vector<std::string> ids, bool adopts) {
-    DependenciesRead read{std::move(call), std::move(reply), {}, {}, true, adopts};
+                                     std::vector<std::string> ids, bool for_adoption) {
+    DependenciesRead read{std::move(call), std::move(reply), {}, {}, true, for_adoption};
     asio::co_spawn(context_.io,
                    read_sequentially(context_.keep_alive(), std::move(read), std::move(ids)),
                    asio::detached);
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -55,8 +55,9 @@
 }
 
 JobCallbacks Leader::job_callbacks() {
-    return {[this](Index job) { task_lifecycle_.check_job(job); },
-            [this](const std::vector<Index>& jobs) { task_lifecycle_.check_cancelled(jobs); }};
+    return {
+        [this](Index job) { task_lifecycle_.reconcile_job(job); },
+        [this](const std::vector<Index>& jobs) { task_lifecycle_.reconcile_cancelled_jobs(jobs); }};
 }
 
 void Leader::start() {
@@ -74,7 +75,7 @@
 }
 
 asio::awaitable<PeerReply> Leader::request(PeerCall call) {
-    if (!ready_) co_return undecided(context_);
+    if (!ready_) co_return leadership_unconfirmed(context_);
     size_t bytes = call.body.size();
     if (queued_requests_ >= kMaxQueuedRequests ||
         queued_bytes_ + bytes > max_queued_request_bytes(context_.settings))
@@ -121,7 +122,7 @@
         users_.dependencies_read(message);
 }
 
-void Leader::gauges(std::map<std::string, double>& out) const {
+void Leader::add_gauges(std::map<std::string, double>& out) const {
     size_t machines_up = 0, downlinks_lost = 0, tasks_placed = 0, tasks_pending = 0;
     for (auto& machine : context_.cluster.machines) {
         machines_up += machine && machine->up;
@@ -182,10 +183,10 @@
     StateLoader loader(context_);
     std::optional<PendingRecordsChanged> pending;
     while (!context_.stopped) {
-        auto notes = co_await loader.load();
-        if (notes) {
-            scheduling_loop_.set_last_preemption_round(notes->preemption_rounds);
-            instance_manager_.set_recorded_types(notes->machine_types);
+        auto metadata = co_await loader.load();
+        if (metadata) {
+            scheduling_loop_.set_last_preemption_round(metadata->preemption_rounds);
+            instance_manager_.set_recorded_types(metadata->machine_types);
             pending = co_await adoption_.read_all();
         }
         if (pending) break;
@@ -209,7 +210,7 @@
         auto& job = *context_.cluster.jobs[job_index];
         job.submitted_steady = context_.now - std::max(0.0, wall_now() - job.submitted_wall);
         job.ready_steady = context_.now - std::max(0.0, wall_now() - job.ready_wall);
-        task_lifecycle_.check_job(job_index);
+        task_lifecycle_.reconcile_job(job_index);
     }
     context_.cluster.propagate_priorities_and_deadlines();
     if (!pending.events.empty())
@@ -268,7 +269,7 @@
     next_autoscale_at_ = std::min(next_autoscale_at_, context_.now + kAutoscaleRepeatDelay_s);
 }
 
-// ---- leadership transfer ----
+// Leadership transfer.
 
 void Leader::transfer_leadership(std::function<void()> on_quiesced) {
     if (!ready_) return on_quiesced();
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -42,7 +42,7 @@
     bool may_decide() const { return lease_valid(context_.now) && !on_quiesced_; }
     uint64_t fencing_token() const { return context_.term->fencing_token; }
     // Adds the current values of this leader's gauges to `out`, by metric name.
-    void gauges(std::map<std::string, double>& out) const;
+    void add_gauges(std::map<std::string, double>& out) const;
 
     // Starts no new work, and calls `on_quiesced` once the work in progress is complete or a
     // deadline has passed.
--- a/src/controller/leader_replies.cpp
+++ b/src/controller/leader_replies.cpp
@@ -6,7 +6,7 @@
     return {503, R"({"error":"not now"})", seconds, context.term->fencing_token};
 }
 
-PeerReply undecided(const LeaderContext& context) {
+PeerReply leadership_unconfirmed(const LeaderContext& context) {
     auto reply = retry_later(context);
     reply.leadership_unconfirmed = true;
     return reply;
--- a/src/controller/pending_adoption.cpp
+++ b/src/controller/pending_adoption.cpp
@@ -132,7 +132,7 @@
         return;
     }
     auto dependencies = admission_.resolve(*spec);
-    if (dependencies.undecided) return;
+    if (dependencies.has_unrecorded) return;
     if (dependencies.unread.empty())
         return record_job(std::move(*spec), entry, std::move(dependencies));
     entry.state = State::ReadingDependencies;
--- a/src/controller/request_router.cpp
+++ b/src/controller/request_router.cpp
@@ -17,7 +17,7 @@
                              const Properties& properties)
     : io_(io), settings_(settings), properties_(properties), kv_(io, settings), roster_(settings) {
     Election::Events events;
-    events.won = [this](const std::shared_ptr<LeadershipTerm>& term) {
+    events.on_elected = [this](const std::shared_ptr<LeadershipTerm>& term) {
         term_ = term;
         leader_ = std::make_shared<Leader>(io_, settings_, properties_, kv_, metrics_, term);
         leader_->set_relay([this](std::string name, PeerCall call) {
@@ -25,7 +25,7 @@
         });
         leader_->start();
     };
-    events.lost = [this] {
+    events.on_term_ended = [this] {
         if (leader_) leader_->stop();
         leader_.reset();
         term_.reset();
--- a/src/controller/request_router.h
+++ b/src/controller/request_router.h
@@ -41,7 +41,8 @@
     boost::asio::awaitable<PeerReply> handle_peer_call(PeerCall call);
     // Calls the leader, through a peer if this controller can't reach it.
     boost::asio::awaitable<PeerReply> call_leader(PeerCall call);
-    // Calls the peer with this name. Status 503 with `undecided` set: the peer did not answer.
+    // Calls the peer with this name. Status 503 with `leadership_unconfirmed` set: the peer did not
+    // answer.
     boost::asio::awaitable<PeerReply> call_peer(std::string name, PeerCall call);
     // Returns whether the peer answered with status 200.
     boost::asio::awaitable<bool> forward_to_peer(std::string name, PeerCall call);
--- a/src/controller/request_router_heartbeats.cpp
+++ b/src/controller/request_router_heartbeats.cpp
@@ -29,7 +29,7 @@
     try {
         header = parse_heartbeat_header(request.body);
     } catch (const BadMessage& e) {
-        spdlog::error("worker: malformed heartbeat from {} rejected: {}", request.client_address,
+        spdlog::error("worker: refused malformed heartbeat from {}: {}", request.client_address,
                       e.what());
         co_return HttpReply{400, "{}"};
     }
--- a/src/controller/request_router_http.cpp
+++ b/src/controller/request_router_http.cpp
@@ -12,7 +12,7 @@
 namespace asio = boost::asio;
 
 namespace {
-// After this time without an answer of the leader or, at the leader, of the state service, the
+// After this time without an answer of the leader or, at the leader, of the key-value store, the
 // health check fails and the load balancer sends users to other controllers.
 constexpr double kMaxLeaderSilence_s = 6;
 constexpr double kSlowRequest_s = 0.15;  // slower requests are logged at debug level
@@ -49,8 +49,8 @@
 }  // namespace
 
 bool RequestRouter::is_healthy() const {
-    // A leader that reaches neither the state service nor any peer can't serve users. Without this
-    // check the load balancer would keep sending it requests for as long as it is isolated.
+    // A leader that reaches neither the key-value store nor any peer can't serve users. Without
+    // this check the load balancer would keep sending it requests for as long as it is isolated.
     if (membership_->enabled() && leader_ && !leader_->lease_valid(steady_now())) {
         double now = steady_now();
         bool isolated = membership_->peer_views(now).empty() && !settings_.peers.empty();
@@ -64,8 +64,8 @@
     std::map<std::string, double> gauges{
         {"leading", leader_ ? 1 : 0},
         {"token", static_cast<double>(leader_tracker_->fencing_token())}};
-    if (leader_ && leader_->ready()) leader_->gauges(gauges);
-    if (membership_->enabled()) membership_->gauges(gauges);
+    if (leader_ && leader_->ready()) leader_->add_gauges(gauges);
+    if (membership_->enabled()) membership_->add_gauges(gauges);
     gauges["workers_relayed"] = static_cast<double>(roster_.relayed_workers(steady_now()));
     HttpReply reply{200, metrics_.to_prometheus_text(gauges)};
     reply.content_type = "text/plain; version=0.0.4";
--- a/src/controller/request_router_peers.cpp
+++ b/src/controller/request_router_peers.cpp
@@ -34,7 +34,7 @@
     if (auto leader = leader_; leader && (leader->lease_valid(steady_now()) || !call.relay))
         co_return co_await leader->request(std::move(call));
     if (call.relay) {
-        // The sender can't reach the leader, and possibly not the state service either. A relayed
+        // The sender can't reach the leader, and possibly not the key-value store either. A relayed
         // call is not relayed again.
         if (call.op == PeerOp::Heartbeat) co_return co_await call_leader(std::move(call));
         co_return co_await serve_user_request(std::move(call));
@@ -77,8 +77,8 @@
     if (leader_tracker_->record_report(reply->body, reply->fencing_token))
         spdlog::info("node: {} reports that {} leads with token={}", name, reply->body,
                      reply->fencing_token);
-    // A leader without a valid lease counts as answering. During an outage of the state service no
-    // other node could serve users better, and nodes that fail their health check because of it
+    // A leader without a valid lease counts as answering. During an outage of the key-value store
+    // no other node could serve users better, and nodes that fail their health check because of it
     // return to the load balancer late.
     if (name == leader_tracker_->name() && reply->body == name) leader_tracker_->record_answer();
     co_return reply->status == 200;
@@ -88,9 +88,9 @@
     for (;;) {
         co_await sleep_s(settings_.ping_interval_s);
         if (term_ && leader_tracker_->reported_fencing_token() > term_->fencing_token) {
-            // Another controller leads by now, and the state service refuses only this node.
+            // Another controller leads by now, and the key-value store refuses only this node.
             // Without this check the node would stay a leader without a valid lease and refuse its
-            // users for as long as the state service refuses it.
+            // users for as long as the key-value store refuses it.
             spdlog::info("node: gives up the leadership with token={}, {} leads",
                          term_->fencing_token, leader_tracker_->reported_leader());
             term_->ended = true;
--- a/src/controller/scheduling_loop.cpp
+++ b/src/controller/scheduling_loop.cpp
@@ -60,7 +60,7 @@
     context_.metrics.increment("preemption_stops_total", round.victims.size());
     context_.state_log.queue_single_record(
         kRoundKey, preemption_round_json(round, context_.cluster, preemption_rounds_));
-    reserve_cleared(round);
+    reserve_for_preemptors(round);
     for (auto& ref : round.victims) {
         auto& task = context_.cluster.jobs[ref.job]->tasks[ref.task];
         if (task.state == TaskState::Placed && !task.stopping)
@@ -68,20 +68,21 @@
     }
 }
 
-// Reserves the machines of a round for the jobs that they are cleared for, until the stopped tasks
-// are certain to be gone.
-void SchedulingLoop::reserve_cleared(const PreemptionRound& round) {
+// Reserves the evicted and the empty machines of a round for its preempting jobs, until the stopped
+// tasks have certainly ended.
+void SchedulingLoop::reserve_for_preemptors(const PreemptionRound& round) {
     double until =
         context_.now + 2 * context_.properties.preemption_round_s + context_.settings.lease_s;
-    for (auto& clearing : round.evictions) {
-        for (auto* machines : {&clearing.machines, &clearing.empty_machines})
+    for (auto& eviction : round.evictions) {
+        for (auto* machines : {&eviction.machines, &eviction.empty_machines})
             for (auto i : *machines) {
-                context_.cluster.machines[i]->reserved_for = clearing.job;
+                context_.cluster.machines[i]->reserved_for = eviction.job;
                 context_.cluster.machines[i]->reserved_until = until;
             }
-        spdlog::info("preemption: round={} job={} machines={} kept={} stops={}", preemption_rounds_,
-                     context_.cluster.jobs[clearing.job]->spec.id, clearing.machines.size(),
-                     clearing.empty_machines.size(), round.victims.size());
+        spdlog::info("preemption: round={} job={} machines={} empty_machines={} stops={}",
+                     preemption_rounds_, context_.cluster.jobs[eviction.job]->spec.id,
+                     eviction.machines.size(), eviction.empty_machines.size(),
+                     round.victims.size());
     }
 }
 
--- a/src/controller/scheduling_loop.h
+++ b/src/controller/scheduling_loop.h
@@ -34,7 +34,7 @@
   private:
     void run_pass();
     void reserve_for_late_gang(const std::vector<Index>& late_jobs);
-    void reserve_cleared(const PreemptionRound& round);
+    void reserve_for_preemptors(const PreemptionRound& round);
 
     LeaderContext& context_;
     TaskLifecycle& task_lifecycle_;
--- a/src/controller/state_log_writer.cpp
+++ b/src/controller/state_log_writer.cpp
@@ -100,7 +100,7 @@
     return kv_failed_at_ > std::max(kv_succeeded_at_, renewed_at);
 }
 
-// ---- transactions ----
+// Transactions.
 
 void StateLogWriter::flush() {
     if (in_flight_ || context_.now < flush_not_before_ || !context_.lease_valid() ||
@@ -178,7 +178,7 @@
     return Reconciliation::Abandoned;
 }
 
-// ---- outcomes ----
+// Outcomes.
 
 void StateLogWriter::outcome_unknown() {
     kv_failed_at_ = context_.now;
@@ -237,8 +237,8 @@
                   context_.cluster.dependencies().dependencies_of(entry.job).size());
     context_.scheduling_needed = true;
     if (!job.cancelled) return;
-    callbacks_.check_job(entry.job);
-    callbacks_.check_cancelled(context_.cluster.dependencies().dependencies_of(entry.job));
+    callbacks_.reconcile_job(entry.job);
+    callbacks_.reconcile_cancelled_jobs(context_.cluster.dependencies().dependencies_of(entry.job));
 }
 
 void StateLogWriter::cancellation_recorded(const StateLogEntry& entry) {
@@ -251,8 +251,8 @@
             context_.state_log.queue_cancellation(dependant);
     spdlog::debug("job: {} cancellation recorded, {} tasks placed", job.spec.id, job.placed);
     users_.cancellation_recorded(job);
-    callbacks_.check_job(entry.job);
-    callbacks_.check_cancelled(context_.cluster.dependencies().dependencies_of(entry.job));
+    callbacks_.reconcile_job(entry.job);
+    callbacks_.reconcile_cancelled_jobs(context_.cluster.dependencies().dependencies_of(entry.job));
 }
 
 void StateLogWriter::end_recorded(const StateLogEntry& entry) {
@@ -267,7 +267,7 @@
         if (!job.waits_for_dependencies && !job.cancelled)
             spdlog::debug("job: {} ready", job.spec.id);
     }
-    callbacks_.check_cancelled(dependencies);
+    callbacks_.reconcile_cancelled_jobs(dependencies);
     spdlog::debug("job: {} {}", id,
                   entry.final_state.state == JobState::Done ? "done" : "cancelled");
 }
--- a/src/controller/task_lifecycle.cpp
+++ b/src/controller/task_lifecycle.cpp
@@ -35,7 +35,7 @@
         handle_success(job_index, task_index, machine_index);
     else
         handle_unsuccessful_exit(job_index, task_index, machine_index, status);
-    check_job(job_index);
+    reconcile_job(job_index);
 }
 
 void TaskLifecycle::handle_success(Index job_index, uint32_t task_index, Index machine_index) {
@@ -117,7 +117,7 @@
     context_.cluster.unassign(job_index, task_index, context_.now);
     context_.scheduling_needed = true;
     if (job.spec.kind == JobKind::Gang) end_gang_attempt(job_index, graceful);
-    check_job(job_index);
+    reconcile_job(job_index);
 }
 
 // Ends the gang's current attempt. All of its tasks must be gone before the next attempt starts.
@@ -135,7 +135,7 @@
     }
 }
 
-void TaskLifecycle::check_job(Index job_index) {
+void TaskLifecycle::reconcile_job(Index job_index) {
     auto& job = *context_.cluster.jobs[job_index];
     if (job.ending || job.record_revision == 0) return;
     if (job.spec.kind == JobKind::Gang && job.placed == 0) job.gang_attempt_ending = false;
@@ -166,9 +166,9 @@
     }
 }
 
-void TaskLifecycle::check_cancelled(const std::vector<Index>& job_indexes) {
+void TaskLifecycle::reconcile_cancelled_jobs(const std::vector<Index>& job_indexes) {
     for (auto job_index : job_indexes)
-        if (context_.cluster.jobs[job_index]->cancelled) check_job(job_index);
+        if (context_.cluster.jobs[job_index]->cancelled) reconcile_job(job_index);
 }
 
 void TaskLifecycle::stop_task(Index job_index, uint32_t task_index, bool graceful) {
--- a/src/controller/task_lifecycle.h
+++ b/src/controller/task_lifecycle.h
@@ -35,11 +35,11 @@
     void stop_task(Index job_index, uint32_t task_index, bool graceful);
     // Ends the job, stops its tasks or ends its gang's attempt if its task counts or its
     // cancellation require that. Must be called after each change of these.
-    void check_job(Index job_index);
-    // Calls check_job for those of `job_indexes` that are cancelled. A cancelled job can't end
-    // until the cancellation of each of its dependents is recorded or the dependent is gone; called
-    // when that happened to one of them.
-    void check_cancelled(const std::vector<Index>& job_indexes);
+    void reconcile_job(Index job_index);
+    // Calls reconcile_job for those of `job_indexes` that are cancelled. A cancelled job can't end
+    // until each of its dependants has ended or its cancellation is recorded. Called when that
+    // happened to one of them.
+    void reconcile_cancelled_jobs(const std::vector<Index>& job_indexes);
     // Stops tasks on a machine that the cloud will interrupt in `notice_s` seconds.
     void prepare_for_interruption(Index machine_index, double notice_s);
 
--- a/src/controller/user_requests.cpp
+++ b/src/controller/user_requests.cpp
@@ -51,10 +51,10 @@
       adoption_(adoption),
       kv_unavailable_(std::move(kv_unavailable)) {}
 
-// ---- submissions ----
+// Submissions.
 
 void UserRequests::submit(PeerCall& call, ReplyPromise& reply) {
-    if (!context_.lease_valid()) return reply.set(undecided(context_));
+    if (!context_.lease_valid()) return reply.set(leadership_unconfirmed(context_));
     auto [spec, malformed] = parse(call);
     if (malformed && spec.id.empty()) return reply.set(std::move(*malformed));
     if (answer_duplicate(spec.id, call, reply)) return;
@@ -88,7 +88,7 @@
         if (has_confirmed_state(*job))
             reply.set(job_reply(*job, PeerOp::Submit, 200));
         else if (job->record_revision != 0 || kv_unavailable_())
-            reply.set(undecided(context_));
+            reply.set(leadership_unconfirmed(context_));
         else
             waiters_[id].push_back({PeerOp::Submit, reply});
         return true;
@@ -106,7 +106,7 @@
     // If the key-value store can't record the job now, the user is answered at once, because a
     // standby controller may reach the store.
     if (kv_unavailable_()) {
-        reply.set(undecided(context_));
+        reply.set(leadership_unconfirmed(context_));
         return true;
     }
     if (static_cast<double>(context_.state_log.queued_new_jobs()) >
@@ -128,7 +128,7 @@
         refuse_unless_ended(call, reply, spec.id, kCannotRun);
         return {};
     }
-    if (out.undecided) {
+    if (out.has_unrecorded) {
         reply.set(retry_later(context_));
         return {};
     }
@@ -173,7 +173,7 @@
     start_read(std::move(call), reply, std::move(refusal));
 }
 
-// ---- status and cancellation ----
+// Status and cancellation.
 
 // The leader reports a job's state only if it is recorded and no transaction that changes it is in
 // flight, because standby controllers answer from the records. Otherwise a standby controller could
@@ -186,13 +186,13 @@
 
 void UserRequests::status(PeerCall& call, ReplyPromise& reply) {
     if (!valid_job_id(call.subject)) return reply.set(kNotFound);
-    if (!context_.lease_valid()) return reply.set(undecided(context_));
+    if (!context_.lease_valid()) return reply.set(leadership_unconfirmed(context_));
     if (auto* job = context_.cluster.find_job(call.subject)) {
         // A standby controller reads the records and may answer while a transaction is in flight.
         // Without that, all status queries of a job with a pending cancellation fail for as long as
         // transactions are not answered.
         return reply.set(has_confirmed_state(*job) ? job_reply(*job, PeerOp::Status, 200)
-                                                   : undecided(context_));
+                                                   : leadership_unconfirmed(context_));
     }
     if (auto* ended = final_states_.find(call.subject))
         return reply.set(final_reply(call.subject, *ended, PeerOp::Status));
@@ -203,7 +203,7 @@
 
 void UserRequests::cancel(PeerCall& call, ReplyPromise& reply) {
     if (!valid_job_id(call.subject)) return reply.set(kNotFound);
-    if (!context_.lease_valid()) return reply.set(undecided(context_));
+    if (!context_.lease_valid()) return reply.set(leadership_unconfirmed(context_));
     auto it = context_.cluster.job_index.find(call.subject);
     if (it == context_.cluster.job_index.end()) {
         if (auto* ended = final_states_.find(call.subject))
@@ -220,7 +220,7 @@
     admission_.request_cancellation(it->second);
 }
 
-// ---- final states ----
+// Final states.
 
 void UserRequests::start_read(PeerCall call, const ReplyPromise& reply, PeerReply refusal) {
     asio::co_spawn(
@@ -253,7 +253,7 @@
     read.reply.set(retry_later(context_));
 }
 
-// ---- outcomes of transactions ----
+// Outcomes of transactions.
 
 void UserRequests::answer_waiters(const std::string& id, const PeerReply& reply) {
     auto it = waiters_.find(id);
@@ -281,7 +281,7 @@
 
 void UserRequests::outcome_unknown() {
     for (auto& [id, waiters] : waiters_)
-        for (auto& waiter : waiters) waiter.reply.set(undecided(context_));
+        for (auto& waiter : waiters) waiter.reply.set(leadership_unconfirmed(context_));
 }
 
 std::vector<UserRequests::Waiter> UserRequests::take_waiters(const std::string& id) {
--- a/src/leadership/election.cpp
+++ b/src/leadership/election.cpp
@@ -76,12 +76,12 @@
 
 asio::awaitable<void> Election::lead() {
     spdlog::info("election: won token={}", term_->fencing_token);
-    events_.won(term_);
+    events_.on_elected(term_);
     co_await renewal_.renew_loop(term_);
     spdlog::info("election: lost token={}", term_->fencing_token);
-    events_.lost();
+    events_.on_term_ended();
     set_leader("", 0);
-    // The term ends before the transfer is sent to the state service and is never resumed.
+    // The term ends before the transfer is sent to the key-value store and is never resumed.
     auto term = std::exchange(term_, nullptr);
     if (auto transfer = term->transferred_to)
         co_await release_leadership(term->fencing_token, *transfer);
--- a/src/leadership/election.h
+++ b/src/leadership/election.h
@@ -1,7 +1,7 @@
-// Leader election. The leader holds a lease of the state service, and the key `leader` is attached
-// to that lease, so at most one controller leads at a time. The version of the key at which a term
-// was won is the fencing token that every response and transaction of that term carries. Election
-// runs on the single thread of the io_context.
+// Leader election. The leader holds a lease of the key-value store, and the key `leader` is
+// attached to that lease, so at most one controller leads at a time. The version of the key at
+// which a term was won is the fencing token that every response and transaction of that term
+// carries. Election runs on the single thread of the io_context.
 #pragma once
 #include <cmath>
 #include <functional>
@@ -30,9 +30,9 @@
   public:
     struct Events {
         // This controller has won an election and leads until the term has `ended`.
-        std::function<void(std::shared_ptr<LeadershipTerm>)> won;
+        std::function<void(std::shared_ptr<LeadershipTerm>)> on_elected;
         // The term has ended, and nothing may be done with its fencing token any more.
-        std::function<void()> lost;
+        std::function<void()> on_term_ended;
         // Returns how long this controller lets other candidates go first, in seconds. A negative
         // value means that it campaigns at once because it is the successor of a transfer.
         std::function<boost::asio::awaitable<double>()> campaign_wait;
@@ -47,7 +47,7 @@
     // there is none.
     const std::string& leader() const { return leader_; }
     uint64_t fencing_token() const { return fencing_token_; }
-    // Returns the latest revision of the state service that leader() and fencing_token() reflect.
+    // Returns the latest revision of the key-value store that leader() and fencing_token() reflect.
     uint64_t observed_revision() const { return std::max(revision_, fencing_token_); }
 
   private:
@@ -56,7 +56,7 @@
     boost::asio::awaitable<double> run_round();
     // Leads until the term has ended.
     boost::asio::awaitable<void> lead();
-    // Waits for a change of the leader key. Returns false if the state service did not respond.
+    // Waits for a change of the leader key. Returns false if the key-value store did not respond.
     boost::asio::awaitable<bool> watch_leader();
     // Reads the leader key. Returns false if the leader could not be determined.
     boost::asio::awaitable<bool> observe_leader();
--- a/src/leadership/leadership_term.h
+++ b/src/leadership/leadership_term.h
@@ -22,8 +22,8 @@
 };
 
 // Returns until when the holder may rely on a lease of `lease_s`. The time counts from the start of
-// the request that confirmed the lease, as the state service may have executed that request at any
-// moment since. It allows for the drift between the two clocks.
+// the request that confirmed the lease, as the key-value store may have executed that request at
+// any moment since. It allows for the drift between the two clocks.
 inline double lease_valid_until(double requested_at, double lease_s) {
     return requested_at + lease_s * (1 - kMaxClockDrift) - kTimerMargin_s;
 }
--- a/src/leadership/leadership_transfer.cpp
+++ b/src/leadership/leadership_transfer.cpp
@@ -32,20 +32,20 @@
 bool may_transfer(const TransferRecord& last, double min_pause_s, double max_clock_error_s,
                   double wall_time) {
     return last.count == 0 ||
-           wall_time - last.at > pause_after(last, min_pause_s) + 2 * max_clock_error_s;
+           wall_time - last.time_wall > pause_after(last, min_pause_s) + 2 * max_clock_error_s;
 }
 
 TransferRecord next_transfer(const TransferRecord& last, double min_pause_s, std::string from,
                              std::string to, double wall_time) {
     // After several pauses without a transfer, the links count as stable again.
-    bool stable = wall_time - last.at > kPausesUntilReset * pause_after(last, min_pause_s);
+    bool stable = wall_time - last.time_wall > kPausesUntilReset * pause_after(last, min_pause_s);
     return {std::move(from), std::move(to), stable ? 1 : last.count + 1, wall_time};
 }
 
 double transfer_campaign_wait(const std::string& self, const TransferRecord& last,
                               double max_clock_error_s, double wall_time) {
     bool recent = last.count > 0 &&
-                  std::abs(wall_time - last.at) < kSuccessorWindow_s + 2 * max_clock_error_s;
+                  std::abs(wall_time - last.time_wall) < kSuccessorWindow_s + 2 * max_clock_error_s;
     if (!recent) return 0;
     if (last.to == self) return -1;
     return last.from == self ? 2 * kSuccessorHeadStart_s : kSuccessorHeadStart_s;
@@ -53,8 +53,10 @@
 
 CasTransaction transfer_transaction(const std::string& leader_key, uint64_t fencing_token,
                                     const TransferRecord& record) {
-    json::object o{
-        {"from", record.from}, {"to", record.to}, {"count", record.count}, {"at", record.at}};
+    json::object o{{"from", record.from},
+                   {"to", record.to},
+                   {"count", record.count},
+                   {"at", record.time_wall}};
     return {{{leader_key, fencing_token}},
             {{leader_key, "", 0}, {kTransferKey, json::serialize(o), 0}}};
 }
@@ -66,7 +68,7 @@
     record.to = read::text(o, "to");
     record.count =
         static_cast<uint32_t>(std::min<uint64_t>(read::count(o, "count", 0), kMaxRecordCount));
-    record.at = read::number(o, "at", {}, kMaxTimeOfDay_s);
+    record.time_wall = read::number(o, "at", {}, kMaxTimeOfDay_s);
     return record;
 }
 
--- a/src/leadership/leadership_transfer.h
+++ b/src/leadership/leadership_transfer.h
@@ -1,5 +1,5 @@
 // Planned transfer of the leadership from one controller to another: the record of a transfer in
-// the state service, the rate limit of transfers, and the delay by which other candidates let the
+// the key-value store, the rate limit of transfers, and the delay by which other candidates let the
 // successor campaign first. Pure functions of the last record and a given wall-clock time.
 // docs/design-membership.md explains why transfers are safe.
 #pragma once
@@ -16,7 +16,7 @@
 struct TransferRecord {
     std::string from, to;  // names of controllers
     uint32_t count = 0;    // number of transfers in short succession, this one included; 0: none
-    double at = 0;         // wall-clock time in seconds
+    double time_wall = 0;  // time of day in seconds
     bool operator==(const TransferRecord&) const = default;
 };
 
--- a/src/leadership/lease_renewal.cpp
+++ b/src/leadership/lease_renewal.cpp
@@ -54,9 +54,9 @@
             pause = interval;
             continue;
         }
-        // The state service is down or slow. The renewal is retried soon, at a random time so that
-        // the controllers do not send their retries at once. The lease may become valid again, as
-        // the state service restarts each lease with its full duration after an outage.
+        // The key-value store is down or slow. The renewal is retried soon, at a random time so
+        // that the controllers do not send their retries at once. The lease may become valid again,
+        // as the key-value store restarts each lease with its full duration after an outage.
         pause = jitter(0.2, 0.5);
         if (steady_now() >
             term->lease_valid_until + leader_grace_period(settings_) + kMaxLeaseUnconfirmed_s)
--- a/src/liveness/downlink.cpp
+++ b/src/liveness/downlink.cpp
@@ -31,7 +31,7 @@
 }
 
 // Classifies a new epoch of a worker that was answered in an earlier one. The answered heartbeat
-// was sent at most `worker_patience_s` before the response. If the worker had received the
+// was sent at most `worker_response_timeout_s` before the response. If the worker had received the
 // response, its lease would be valid until `valid_until` or later, and no new epoch could have
 // started before.
 DownlinkEvidence new_epoch_evidence(const DownlinkState& state, const Settings& s, double now) {
@@ -129,9 +129,9 @@
     state.last_before_expiry = last_before_expiry;
 }
 
-bool should_replace_unreachable(const DownlinkState& state, double replacement_s,
-                                size_t downlink_lost, size_t machines_up, const Settings& s,
-                                double now) {
+bool should_replace_without_downlink(const DownlinkState& state, double replacement_s,
+                                     size_t downlink_lost, size_t machines_up, const Settings& s,
+                                     double now) {
     if (!state.downlink_lost() || 2 * downlink_lost > machines_up) return false;
     return now - state.lost_since > s.lease_s + replacement_s;
 }
--- a/src/liveness/downlink.h
+++ b/src/liveness/downlink.h
@@ -86,8 +86,8 @@
 // much as a replacement would. It is not if more than half of the machines have lost their
 // downlinks, as the link of this controller has then probably failed. `replacement_s` is how long a
 // new machine takes. `downlink_lost` and `machines_up` are numbers of machines.
-[[nodiscard]] bool should_replace_unreachable(const DownlinkState& state, double replacement_s,
-                                              size_t downlink_lost, size_t machines_up,
-                                              const Settings& s, double now);
+[[nodiscard]] bool should_replace_without_downlink(const DownlinkState& state, double replacement_s,
+                                                   size_t downlink_lost, size_t machines_up,
+                                                   const Settings& s, double now);
 
 }  // namespace weirmill
--- a/src/membership/link_policy.h
+++ b/src/membership/link_policy.h
@@ -49,7 +49,7 @@
 // Returns a peer that can relay to a leader that this controller can't reach, or nothing.
 [[nodiscard]] std::optional<std::string> relay_to_leader(const std::string& leader,
                                                          std::span<const PeerView> others);
-// Returns a reachable peer that reaches the state service, for a controller that does not, or
+// Returns a reachable peer that reaches the key-value store, for a controller that does not, or
 // nothing.
 [[nodiscard]] std::optional<std::string> relay_to_kv(std::span<const PeerView> others);
 
--- a/src/membership/link_records.h
+++ b/src/membership/link_records.h
@@ -1,4 +1,4 @@
-// Link records in the state service. A controller stores the links that it reports under
+// Link records in the key-value store. A controller stores the links that it reports under
 // `m/c/<controller>`, attached to a lease of its own, while it can't reach one of its peers. The
 // records are hints: they only influence which controller should lead.
 #pragma once
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -176,7 +176,7 @@
     for (;;) {
         co_await sleep_s(settings_.ping_interval_s / kRoundsPerPing);
         double now = steady_now();
-        // This read also shows whether the state service answers this controller.
+        // This read also shows whether the key-value store answers this controller.
         if (now - kv_.answered_at() > settings_.ping_interval_s)
             co_await read_transfer_record(kRequestTimeout_s);
         now = steady_now();
@@ -243,7 +243,7 @@
                                       last_transfer_, settings_.clock_off_ms / 1000, wall_now());
 }
 
-void Membership::gauges(std::map<std::string, double>& out) const {
+void Membership::add_gauges(std::map<std::string, double>& out) const {
     double now = steady_now();
     auto own = own_links(now);
     out["link_state"] = own.reaches_kv;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,10 +1,10 @@
-// Tracks the links between the controllers, the state service and the workers. Membership owns the
-// last reported links of each peer and the time of the last contact. It reports this controller's
-// own links to the peers with pings or, while a peer is out of reach, with a record under a lease.
-// On the leader it starts a transfer of the leadership when another controller would serve the
-// workers better. docs/design-membership.md explains why this cannot violate an invariant;
-// docs/operations.md, "Links", describes what operators see. Membership runs on the single thread
-// of the io_context.
+// Tracks the links between the controllers, the key-value store and the workers. Membership owns
+// the last reported links of each peer and the time of the last contact. It reports this
+// controller's own links to the peers with pings or, while a peer is out of reach, with a record
+// under a lease. On the leader it starts a transfer of the leadership when another controller would
+// serve the workers better. docs/design-membership.md explains why this cannot violate an
+// invariant; docs/operations.md, "Links", describes what operators see. Membership runs on the
+// single thread of the io_context.
 #pragma once
 #include <functional>
 #include <map>
@@ -52,12 +52,12 @@
     // see campaign_wait() in link_policy.h.
     boost::asio::awaitable<double> campaign_wait();
     // Adds the gauges of links and worker counts to `out`.
-    void gauges(std::map<std::string, double>& out) const;
+    void add_gauges(std::map<std::string, double>& out) const;
 
   private:
     struct Peer {
         LinkStatus reported;  // by the peer itself
-        LinkStatus recorded;  // in the state service
+        LinkStatus recorded;  // in the key-value store
         double contact_at = -1e9, recorded_at = -1e9;
         uint64_t timeouts = 0;  // calls without an answer
     };
@@ -85,7 +85,7 @@
     Metrics& metrics_;
     Hooks hooks_;
     std::map<std::string, Peer> peers_;
-    TransferRecord last_transfer_;  // as last read from the state service
+    TransferRecord last_transfer_;  // as last read from the key-value store
     uint64_t record_lease_ = 0;     // lease of this controller's link record; 0: none
     LinkStatus published_;          // contents of the link record as last written
     std::string candidate_;         // the preferred leader; empty: none
--- a/src/membership/worker_roster.cpp
+++ b/src/membership/worker_roster.cpp
@@ -8,8 +8,8 @@
 
 constexpr size_t kMaxWorkers = 20000;
 constexpr double kMinRelay_s = 10, kMaxRelay_s = 300;
-// A redirect is recent for this multiple of a worker's patience.
-constexpr double kRecentRedirectPatiences = 5;
+// A redirect is recent for this multiple of a worker's response timeout.
+constexpr double kRecentRedirectTimeouts = 5;
 // Redirects in short succession before the heartbeats of a worker are relayed.
 constexpr int kMaxRedirects = 3;
 // A relay that starts within this multiple of a lease after the previous one continues that one.
@@ -23,20 +23,22 @@
                                        double now) const {
     return worker.redirected_to_token == leader_token &&
            now - worker.redirected_at <
-               kRecentRedirectPatiences * settings_.worker_response_timeout_s;
+               kRecentRedirectTimeouts * settings_.worker_response_timeout_s;
 }
 
-// Returns whether the worker came back because it can't use the leader. A worker that comes back
-// after its own patience got no response from the leader. A worker that comes back sooner was
-// refused, for example by a leader that is not ready yet, and is redirected a few more times.
-bool WorkerRoster::came_back(const Worker& worker, uint64_t leader_token, double now) const {
+// Returns whether the worker reports here again because it can't use the leader. If it does so
+// after its response timeout or later, the leader did not respond to it. If it does so sooner, the
+// leader refused it, for example because the leader was not ready yet; such a worker is redirected
+// a few more times.
+bool WorkerRoster::returned_after_redirect(const Worker& worker, uint64_t leader_token,
+                                           double now) const {
     if (!recently_redirected(worker, leader_token, now)) return false;
     return now - worker.redirected_at >= settings_.worker_response_timeout_s ||
            worker.redirects >= kMaxRedirects;
 }
 
 // Starts a relay of limited duration, after which the worker is redirected to the leader again. The
-// duration doubles each time that the worker comes back.
+// duration doubles each time that the worker reports here again.
 void WorkerRoster::begin_relay(Worker& worker, double now) const {
     bool continued = worker.relay_until > 0 &&
                      now - worker.relay_until < kRelayRenewalLeases * settings_.lease_s;
@@ -57,10 +59,11 @@
     auto& worker = workers_[machine];
     bool relayed = now < worker.relay_until;
     // The worker can't use the leader if it knows the leader and still reports here, or if it was
-    // redirected and came back. If such a worker were redirected again, it would reach no leader
+    // redirected and returned. If such a worker were redirected again, it would reach no leader
     // until its lease had expired.
     bool knows_leader = worker_token != 0 && worker_token >= leader_token;
-    bool leader_unreachable = relayed || knows_leader || came_back(worker, leader_token, now);
+    bool leader_unreachable =
+        relayed || knows_leader || returned_after_redirect(worker, leader_token, now);
     if (leader_unreachable) {
         worker.leader_unreachable_at = now;
         worker.unreachable_leader_token = leader_token;
--- a/src/membership/worker_roster.h
+++ b/src/membership/worker_roster.h
@@ -1,5 +1,5 @@
 // Tracks the workers that report to a controller that does not lead. For each worker it records
-// when the worker was redirected to the leader, whether it came back, and for how long its
+// when the worker was redirected to the leader, whether it returned, and for how long its
 // heartbeats are relayed to the leader. Times are in seconds of the steady clock. Not thread-safe:
 // to be used on the thread of the io_context.
 #pragma once
@@ -21,8 +21,8 @@
     // worker is to be redirected to the leader.
     [[nodiscard]] bool should_relay(const std::string& machine, uint64_t worker_token,
                                     uint64_t leader_token, double now);
-    // Ends the relay after a relayed heartbeat got no answer and the worker was told to try another
-    // controller.
+    // Ends the relay after a relayed heartbeat got no answer and the worker was redirected to
+    // another controller.
     void end_relay(const std::string& machine);
     // Returns the number of workers that reported within the last `window_s` and can't use the
     // leader with this fencing token. A token of 0 counts the workers of every leader.
@@ -41,7 +41,7 @@
         double leader_unreachable_at = -1e9;
         uint64_t unreachable_leader_token = 0;  // fencing token of the leader that it can't use
     };
-    bool came_back(const Worker& worker, uint64_t leader_token, double now) const;
+    bool returned_after_redirect(const Worker& worker, uint64_t leader_token, double now) const;
     bool recently_redirected(const Worker& worker, uint64_t leader_token, double now) const;
     void begin_relay(Worker& worker, double now) const;
     void redirect(Worker& worker, uint64_t leader_token, double now) const;
--- a/src/protocol/links.h
+++ b/src/protocol/links.h
@@ -9,7 +9,7 @@
 
 struct LinkStatus {
     bool reports_links = false;  // false: the controller runs a version that does not report links
-    bool reaches_kv = false;     // the state service answered this controller recently
+    bool reaches_kv = false;     // the key-value store answered this controller recently
     // Workers that send heartbeats directly to this controller. A follower counts only workers that
     // can't reach the leader.
     uint32_t direct_workers = 0;
--- a/src/protocol/peer.capnp
+++ b/src/protocol/peer.capnp
@@ -32,7 +32,7 @@
 
 # The connectivity of a controller (LinkStatus in protocol/links.h).
 struct Links {
-  state @0 :Bool;         # it reaches the state service
+  state @0 :Bool;         # it reaches the key-value store
   direct @1 :UInt32;      # workers that send heartbeats directly to it
   reach @2 :UInt32;       # workers that it reaches directly or through a peer
   known @3 :UInt32;       # at a leader: workers that should send heartbeats
--- a/src/protocol/user_codec.h
+++ b/src/protocol/user_codec.h
@@ -20,7 +20,7 @@
 // Returns the job id in a submission, even if the rest of the submission is malformed. Returns an
 // empty string if there is no valid job id, so that no such job can have been accepted.
 std::string parse_submission_id(std::string_view body);
-// Returns the fields that parse_submission reads, for storage in the state service.
+// Returns the fields that parse_submission reads, for storage in the key-value store.
 boost::json::object submission_json(const JobSpec& spec, const Names& names);
 // Appends the same fields as JSON text without building a document: trace files have millions of
 // submissions, for which building a document is too slow.
--- a/src/scheduler/capacity_breakdown.h
+++ b/src/scheduler/capacity_breakdown.h
@@ -1,5 +1,5 @@
-// Breakdown of the fleet's capacity: what each CPU and GPU of the rented machines is used for at
-// one moment. For monitoring only. Pure functions of the cluster state and a given time (steady
+// Breakdown of the fleet's capacity: what each CPU and GPU of the machines is used for at one
+// moment. For monitoring only. Pure functions of the cluster state and a given time (steady
 // clock, seconds).
 #pragma once
 #include <array>
--- a/src/scheduler/deadline_feasibility.cpp
+++ b/src/scheduler/deadline_feasibility.cpp
@@ -45,7 +45,7 @@
         double run_s = cluster.expected_run_s(job.spec);
         int missed = 0;
         double due = cluster.due_time(job, now + run_s, missed);
-        if (due > kNoDueTime_s || missed != static_cast<int>(position)) continue;
+        if (due > kLatestTime || missed != static_cast<int>(position)) continue;
         out.push_back({j, waiting_work(cluster, job), due - run_s - now});
     }
     return out;
--- a/src/scheduler/deadline_feasibility.h
+++ b/src/scheduler/deadline_feasibility.h
@@ -8,9 +8,6 @@
 
 namespace weirmill {
 
-// A due time at or above this value means that the job has none. Steady clock, seconds.
-inline constexpr double kNoDueTime_s = 1e17;
-
 struct DeadlineCandidate {
     Index job = kNone;
     double work = 0;            // pending work in unit-seconds (overload_forecast.h)
--- a/src/scheduler/job_order.cpp
+++ b/src/scheduler/job_order.cpp
@@ -43,7 +43,7 @@
     // finish in time. The due time counts from the job's arrival, so that its wait is bounded in
     // proportion to its work. A job with dependants keeps the time by which these need it.
     double slowdown = cluster.slowdown(job.spec);
-    if (slowdown > 0 && job.needed_by > kNoDueTime_s) {
+    if (slowdown > 0 && job.needed_by > kLatestTime) {
         due.missed = 0;
         due.at_s = job.schedulable_since_steady() + slowdown * waiting_work(cluster, job);
     }
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -52,7 +52,8 @@
     // and without inheritance, so the victim counts with its inherited priority and the preemptor
     // only with its own.
     if (victim.effective_priority < preemptor.spec.priority) return true;
-    // Work beyond its team's guarantee yields to a job within the guarantee of another team.
+    // A job within its team's guarantee may preempt work that exceeds the guarantee of another
+    // team.
     auto& preemptor_team = cluster.teams[preemptor.spec.team];
     auto& victim_team = cluster.teams[victim.spec.team];
     return victim.spec.team != preemptor.spec.team &&
--- a/src/standby/standby_service.cpp
+++ b/src/standby/standby_service.cpp
@@ -68,7 +68,7 @@
            steady_now() - kv_responses_.last_response_at() < kMaxKvSilence_s;
 }
 
-// ---- background reads that serving requests depends on ----
+// Background reads that serving requests depends on.
 
 // Writes the adopter record even if the standby service is disabled on this controller: as leader,
 // it adopts the jobs that other controllers accept.
@@ -118,7 +118,7 @@
     }
 }
 
-// ---- where a job is recorded ----
+// Where a job is recorded.
 
 StandbyService::JobLookup StandbyService::look_up_in_log(const std::string& id) const {
     JobLookup result;
@@ -182,7 +182,7 @@
     co_return result;
 }
 
-// ---- requests ----
+// Requests.
 
 asio::awaitable<PeerReply> StandbyService::serve(PeerCall call) {
     if (call.op != PeerOp::Submit && !valid_job_id(call.subject)) co_return PeerReply{404, "{}"};
--- a/src/state/job_requirements.cpp
+++ b/src/state/job_requirements.cpp
@@ -27,8 +27,8 @@
 
 bool ClusterState::leaves_gpus_usable(const JobSpec& spec, const Machine& m) const {
     if (!must_leave_room_for_gpus(spec, m.type)) return true;
-    // Only machines whose GPUs are at least half used take such tasks. This way they do not keep an
-    // expensive machine from being returned to the cloud.
+    // Only machines whose GPUs are at least half used take such tasks. Otherwise such
+    // a task would keep an expensive machine from being terminated.
     if (m.used.gpu * 2 < m.size.gpu) return false;
     auto remaining = m.free_resources() - spec.demand;
     int64_t gpus = remaining.gpu / 1000;
--- a/src/state/machine.h
+++ b/src/state/machine.h
@@ -43,9 +43,9 @@
 
     // Decided by this leader.
     bool provisioned_here = false;  // This leader requested the machine.
-    bool terminating = false;       // The machine is being returned to the cloud.
+    bool terminating = false;       // The machine is being terminated.
     bool abandoned = false;         // Its boot failed or its lease expired; it is not used again.
-    bool draining = false;          // Its tasks are moved elsewhere, then it is returned.
+    bool draining = false;          // Its tasks are moved to others, then it is terminated.
     Index reserved_for = kNone;     // index of a job
     double reserved_until = 0;
 
--- a/src/state/task.h
+++ b/src/state/task.h
@@ -4,8 +4,8 @@
 // recorded in the state log:
 //
 //   Pending --place--> Placed         the start command may be sent once this is recorded
-//   Placed --unassign--> Pending      the task has certainly ended on the machine and must run
-//   again Placed, Pending --finish--> Done  final
+//   Placed --unassign--> Pending      the task has certainly ended on the machine; it runs again
+//   Pending, Placed --finish--> Done  final
 //
 // A placed task is assumed to be on its machine until the worker reports its exit or the worker's
 // lease ends.
--- a/tests/cancel_model_test.cpp
+++ b/tests/cancel_model_test.cpp
@@ -1,13 +1,13 @@
-// Model check of cancellations in discrete time steps: a leader that the state service refuses, the
-// next leader, a standby controller, and a worker that runs a task of the job. The model explores
-// every schedule of refusals, one outage of the state service (leases have their full duration
-// again afterwards), renewals that are answered late or never, a transaction that is executed late,
-// reports to either leader, and the time at which the user gets the confirmation. The grace period,
-// the lease validity and the margins come from the production functions. The tests check two
-// things. In no schedule does the task stay on its machine for longer than cancel_s after the
-// confirmation. With a grace period one step longer than the longest that holds, or with any one
-// guard disabled at that length, some schedule breaks this bound (docs/design.md, "Cancellations
-// and the grace").
+// Model check of cancellations in discrete time steps: a leader that the key-value store refuses,
+// the next leader, a standby controller, and a worker that runs a task of the job. The model
+// explores every schedule of refusals, one outage of the key-value store (leases have their full
+// duration again afterwards), renewals that are answered late or never, a transaction that is
+// executed late, reports to either leader, and the time at which the user gets the confirmation.
+// The grace period, the lease validity and the margins come from the production functions. The
+// tests check two things. In no schedule does the task stay on its machine for longer than cancel_s
+// after the confirmation. With a grace period one step longer than the longest that holds, or with
+// any one guard disabled at that length, some schedule breaks this bound (docs/design.md,
+// "Cancellations and the grace").
 #include <gtest/gtest.h>
 
 #include <array>
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -82,7 +82,7 @@
         Priority victim, waiting;
         const char *victim_team, *waiting_team;
         double waiting_cpus;
-        size_t clearings;
+        size_t evictions;
     };
     const Row rows[] = {
         {"equal priority", Priority::High, Priority::High, "blue", "blue", 7, 0},
@@ -100,12 +100,12 @@
         w.running(w.spec("req-1", JobKind::Array, 1, 8, 0, row.victim, row.victim_team), {machine});
         w.job(
             w.spec("req-2", JobKind::Array, 1, row.waiting_cpus, 0, row.waiting, row.waiting_team));
-        EXPECT_EQ(plan_preemption(w.cluster, any_machine, w.now).evictions.size(), row.clearings)
+        EXPECT_EQ(plan_preemption(w.cluster, any_machine, w.now).evictions.size(), row.evictions)
             << row.description;
     }
 }
 
-TEST(Preemption, DoesNotClearTwiceForTheSameJob) {
+TEST(Preemption, EvictsMachinesOnlyOnceForAJob) {
     World w;
     auto m0 = w.machine("m0"), m1 = w.machine("m1");
     w.running(w.spec("req-1", JobKind::Array, 2, 4, 0, Priority::Low), {m0, m1});
@@ -117,7 +117,7 @@
 
 TEST(Preemption, JobsOfARoundDoNotShareFreeMachines) {
     // If each of eight gangs of 32 tasks counted on the same 13 free machines, 19 machines would be
-    // cleared for each of them and none could start.
+    // evicted for each of them and none could start.
     World w;
     auto free = w.machine("free");
     std::vector<Index> busy;
@@ -419,7 +419,8 @@
     size_t placed = 0;
     for (unsigned seed = 1; seed <= 600; ++seed) {
         auto actual = random_cluster(seed, seed % 2), expected = random_cluster(seed, seed % 2);
-        // The reference does not hold back shares of team limits; LimitHold tests cover these.
+        // The reference does not hold back shares of team limits; TeamLimitReservations tests cover
+        // these.
         for (auto* w : {&actual, &expected}) w->cluster.teams[0].limit = {};
         auto placements = place_waiting_jobs(actual.cluster, any_machine, actual.now);
         test::ReferencePlacement reference{expected.cluster, any_machine, expected.now, {}};
@@ -501,7 +502,7 @@
     }
 }
 
-TEST(LimitHold, HoldsNoMoreThanMachinesCanProvide) {
+TEST(TeamLimitReservations, HoldsNoMoreThanMachinesCanProvide) {
     // If the whole rest of a team's limit were held for its large jobs while machines for them are
     // missing, the team's small tasks would wait for minutes beside idle machines.
     struct Row {
@@ -650,7 +651,7 @@
     EXPECT_EQ(w.cluster.teams[0].used, (Resources{32000, 0, 4000}));
 }
 
-TEST(LimitHold, KeepsShareForLargeHigherPriorityJob) {
+TEST(TeamLimitReservations, KeepsShareForLargeHigherPriorityJob) {
     // If a small task takes the place of each one that ends, the team's limit never has enough left
     // for a large job.
     World w;
@@ -836,7 +837,7 @@
         double cpus;
         Priority priority;
         const char* team;
-        size_t cleared;
+        size_t evicted;
     };
     // Three machines run tasks of low priority. A gang of four tasks, which needs one machine more,
     // is considered before the second job.
@@ -857,10 +858,10 @@
         auto second =
             w.job(w.spec("req-11", JobKind::Gang, row.tasks, row.cpus, 0, row.priority, row.team));
         auto round = plan_preemption(w.cluster, test::any_machine, w.now);
-        size_t cleared = 0;
-        for (auto& clearing : round.evictions)
-            if (clearing.job == second) cleared = clearing.machines.size();
-        EXPECT_EQ(cleared, row.cleared) << row.description;
+        size_t evicted = 0;
+        for (auto& eviction : round.evictions)
+            if (eviction.job == second) evicted = eviction.machines.size();
+        EXPECT_EQ(evicted, row.evicted) << row.description;
     }
 }
 
--- a/tests/downlink_test.cpp
+++ b/tests/downlink_test.cpp
@@ -122,11 +122,11 @@
     // The lease is 18 s and a replacement takes 30 s.
     for (auto& row : {Row{147, 1, 10, false}, Row{149, 1, 10, true}, Row{149, 5, 10, true},
                       Row{149, 6, 10, false}})
-        EXPECT_EQ(should_replace_unreachable(f.downlink, 30, row.downlink_lost, row.up, f.settings,
-                                             row.now),
+        EXPECT_EQ(should_replace_without_downlink(f.downlink, 30, row.downlink_lost, row.up,
+                                                  f.settings, row.now),
                   row.replaced)
             << row.downlink_lost;
-    EXPECT_FALSE(should_replace_unreachable({}, 30, 0, 10, f.settings, 1e6));
+    EXPECT_FALSE(should_replace_without_downlink({}, 30, 0, 10, f.settings, 1e6));
 }
 
 TEST(DownlinkState, OnlyLiveWorkerReturnsAfterLease) {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,5 +1,5 @@
 // Tests of decisions that depend on links: tables of cases, and every combination of working and
-// broken links between three controllers, the state service and the workers.
+// broken links between three controllers, the key-value store and the workers.
 #include "membership/membership.h"
 
 #include <gtest/gtest.h>
@@ -236,14 +236,14 @@
         EXPECT_THROW((void)parse_transfer_record(read::parse(text)), BadMessage) << text;
 }
 
-// ---- every combination of links ----
+// Every combination of links.
 
 constexpr int kNodes = 3;
 constexpr uint32_t kWorkers = 100;
 const std::array<std::string, kNodes> kNames{"a", "b", "c"};
 
 struct LinkMap {
-    // Whether each controller reaches the state service, and whether the workers reach it.
+    // Whether each controller reaches the key-value store, and whether the workers reach it.
     std::array<bool, kNodes> kv, workers;
     std::array<std::array<bool, kNodes>, kNodes> peer{};
     static LinkMap from_bits(int bits) {
@@ -255,7 +255,7 @@
         }
         return c;
     }
-    // Returns whether any path of links leads from the workers to the state service, through any
+    // Returns whether any path of links leads from the workers to the key-value store, through any
     // number of controllers.
     bool path_exists() const {
         auto reached = workers;
@@ -323,7 +323,7 @@
         }
         return out;
     }
-    // Returns the next leader by the decisions of the controllers that reach the state service.
+    // Returns the next leader by the decisions of the controllers that reach the key-value store.
     // `tie_winner` wins a campaign with equal waits.
     int next_leader(int tie_winner) const {
         if (leader >= 0 && map.kv[leader]) {
@@ -349,7 +349,7 @@
     int served = 0, direct = 0, no_path = 0, most_changes = 0;
     for (int bits = 0; bits < 512; ++bits) {
         auto map = LinkMap::from_bits(bits);
-        int best = 0;  // least hops to a controller that reaches the state service; 0: none
+        int best = 0;  // least hops to a controller that reaches the key-value store; 0: none
         bool kv_reachable = false;
         for (int i = 0; i < kNodes; ++i) {
             if (!map.kv[i]) continue;
@@ -382,9 +382,9 @@
         ++(best == 0 ? no_path : served);
         direct += best == 1;
     }
-    // In 448 combinations a controller reaches the state service. In 56 of these the workers reach
-    // no controller. In 30 more they reach only controllers without a path to one that reaches the
-    // state service. The tasks can't be kept in these 86 combinations.
+    // In 448 combinations a controller reaches the key-value store. In 56 of these the workers
+    // reach no controller. In 30 more they reach only controllers without a path to one that
+    // reaches the key-value store. The tasks can't be kept in these 86 combinations.
     EXPECT_EQ(served, 362);
     EXPECT_EQ(no_path, 86);
     EXPECT_EQ(direct, 296);
--- a/tests/placement_reference.h
+++ b/tests/placement_reference.h
@@ -1,6 +1,6 @@
 // A reference implementation of best-fit decreasing placement, without the queues and caches of
-// place_waiting: each task considers every machine. Tests compare the two, which must choose the
-// same machines.
+// place_waiting_jobs: each task considers every machine. Tests compare the two, which must choose
+// the same machines.
 #pragma once
 #include <algorithm>
 #include <map>
@@ -48,14 +48,14 @@
     }
     // Returns the best machine in the zone (kNone: any zone), or kNone. `image_only`: only machines
     // that have the job's image or are fetching it.
-    Index best_machine(Index job_index, const ZoneConstraint& zone_rule, Index zone,
+    Index best_machine(Index job_index, const ZoneConstraint& zone_constraint, Index zone,
                        bool image_only = false) const {
         auto& job = *cluster.jobs[job_index];
         Index best = kNone;
         for (Index i = 0; i < cluster.machines.size(); ++i) {
             if (!is_candidate(job_index, i)) continue;
             auto& machine = *cluster.machines[i];
-            if (!zone_rule.allows(machine.zone) || (zone != kNone && machine.zone != zone) ||
+            if (!zone_constraint.allows(machine.zone) || (zone != kNone && machine.zone != zone) ||
                 !cluster.leaves_gpus_usable(job.spec, machine) ||
                 (image_only && !has_or_fetches_image(cluster, machine, job.spec.image)))
                 continue;
@@ -65,14 +65,14 @@
     }
     void place_array(Index job_index, bool image_only) {
         auto& job = *cluster.jobs[job_index];
-        ZoneConstraint zone_rule(cluster, job);
+        ZoneConstraint zone_constraint(cluster, job);
         for (uint32_t t = 0; t < job.tasks.size(); ++t) {
             if (job.tasks[t].state != TaskState::Pending) continue;
             if (!cluster.within_limit(cluster.teams[job.spec.team], job.spec.demand)) return;
-            auto chosen = best_machine(job_index, zone_rule, kNone, image_only);
+            auto chosen = best_machine(job_index, zone_constraint, kNone, image_only);
             if (chosen == kNone) return;
             cluster.place(job_index, t, chosen, job.tasks[t].attempt + 1, now);
-            zone_rule.add(cluster.machines[chosen]->zone);
+            zone_constraint.add(cluster.machines[chosen]->zone);
             placements.push_back({job_index, t, chosen, job.tasks[t].attempt});
         }
     }
@@ -103,13 +103,13 @@
             });
         }
         for (auto zone : zones) {
-            ZoneConstraint zone_rule(cluster, job);
+            ZoneConstraint zone_constraint(cluster, job);
             std::vector<Index> chosen;
             for (uint32_t n = 0; n < job.pending; ++n) {
-                auto best = best_machine(job_index, zone_rule, zone);
+                auto best = best_machine(job_index, zone_constraint, zone);
                 if (best == kNone) break;
                 chosen.push_back(best);
-                zone_rule.add(cluster.machines[best]->zone);
+                zone_constraint.add(cluster.machines[best]->zone);
                 cluster.machines[best]->used += job.spec.demand;
             }
             for (auto i : chosen) cluster.machines[i]->used -= job.spec.demand;
--- a/tests/standby_model_test.cpp
+++ b/tests/standby_model_test.cpp
@@ -294,7 +294,7 @@
         }
     }
 
-    // ---- standby controllers ----
+    // Standby controllers.
 
     void start_lookup(StandbyNode& node) { node.step = kReadPending; }
     void finish_request(StandbyNode& node) {
@@ -437,7 +437,7 @@
         finish_request(node);
     }
 
-    // ---- leaders ----
+    // Leaders.
 
     Txn leader_transaction(const State& state, int index, TxnKind kind) const {
         Txn txn = empty_transaction();
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -33,7 +33,7 @@
     return store;
 }
 
-// Repeats with this version the changes that the old version recorded in kOldShort.
+// Repeats with this version the changes that the old version recorded in kOldRecords.
 void record_short_history(World& world, StateLog& state_log, Store& store) {
     constexpr StateLogLimits limits{12, 4};
     auto flush = [&] { test::flush(state_log, world.cluster, store, limits, world.now); };
@@ -322,7 +322,7 @@
 }
 
 TEST(StateLogLimits, SplitsTransactionRejectedAsTooLarge) {
-    // The state service lowers its limits without an announcement. The log once repeated the
+    // The key-value store lowers its limits without an announcement. The log once repeated the
     // rejected transaction forever, and all later changes waited behind it.
     World world;
     Store store;
