--- a/src/autoscaler/expected_capacity.cpp
+++ b/src/autoscaler/expected_capacity.cpp
@@ -12,7 +12,7 @@
 // A machine that a previous leader requested should send its first heartbeat to this leader within
 // this time after it has been discovered.
 constexpr double kFirstHeartbeat_s = 15;
-// A task that has been told to stop is assumed to end after this time.
+// A task that is being stopped is assumed to end after this time.
 constexpr double kStopDuration_s = 3;
 // The minimum remaining run time of a task, as a share of its expected run time, or of the elapsed
 // one if that is longer.
--- a/src/autoscaler/offers.cpp
+++ b/src/autoscaler/offers.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // Offers whose costs differ by less than this count as equally cheap. Of these, the one considered
-// first wins: the earlier machine type, then the earlier zone, then the spot instance.
+// first is chosen: the earlier machine type, then the earlier zone, then the spot instance.
 constexpr double kCostTolerance = 1e-12;
 
 struct BestOffer {
--- a/src/autoscaler/scale_out.cpp
+++ b/src/autoscaler/scale_out.cpp
@@ -85,7 +85,7 @@
     return tasks;
 }
 
-// Returns the zones that the rule allows, the one with the most available capacity first.
+// Returns the zones that the constraint allows, the one with the most available capacity first.
 std::vector<Index> ScaleOutPlanner::zones_by_capacity(const ShapeIndex& index,
                                                       const ZoneConstraint& zone_constraint) const {
     std::vector<Index> zones;
--- a/src/autoscaler/start_slot_list.h
+++ b/src/autoscaler/start_slot_list.h
@@ -46,7 +46,7 @@
     }
 
     // Removes stale slots from the front of the main list, and all of them once the second list is
-    // full. `is_stale` tells whether a slot is stale.
+    // full. `is_stale` returns whether a slot is stale.
     template <class IsStale>
     void compact(const IsStale& is_stale) {
         while (begin_ < merged_.size() && is_stale(merged_[begin_])) ++begin_;
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -155,7 +155,7 @@
     if (mailbox_.try_send(boost::system::error_code(), std::move(message))) return;
     // This leader would wait forever for the outcome that is lost here. The next leader reads the
     // records again.
-    spdlog::error("leader: mailbox full, leadership given up");
+    spdlog::error("leader: mailbox full, stepping down");
     context_.term->ended = true;
 }
 
@@ -284,7 +284,7 @@
     ready_ = false;
 }
 
-// Hands over the leadership once all queued records are written, or at the deadline. The next
+// Transfers the leadership once all queued records are written, or at the deadline. The next
 // leader would have to repeat the work behind records that are not written.
 void Leader::finish_transfer_if_quiesced() {
     if (log_writer_.busy() && context_.now < quiesce_deadline_) return;
--- a/src/controller/request_router_peers.cpp
+++ b/src/controller/request_router_peers.cpp
@@ -91,8 +91,8 @@
             // Another controller leads by now, and the key-value store refuses only this node.
             // Without this check the node would stay a leader without a valid lease and refuse its
             // users for as long as the key-value store refuses it.
-            spdlog::info("node: gives up the leadership with token={}, {} leads",
-                         term_->fencing_token, leader_tracker_->reported_leader());
+            spdlog::info("node: stepping down with token={}, {} leads", term_->fencing_token,
+                         leader_tracker_->reported_leader());
             term_->ended = true;
             continue;
         }
--- a/src/leadership/lease_renewal.cpp
+++ b/src/leadership/lease_renewal.cpp
@@ -22,9 +22,9 @@
     : io_(io), settings_(settings), lease_s_(lease_s), kv_(kv), timer_(io) {}
 
 // The timeout is the whole lease, as the lease counts from the request and a late response is still
-// useful while the next renewals are in flight. With a timeout of a quarter of the lease, a state
-// service that took 0.7 s for each response would leave the leader without a confirmed lease, while
-// no other controller could lead.
+// useful while the next renewals are in flight. With a timeout of a quarter of the lease, a
+// key-value store that took 0.7 s for each response would leave the leader without a confirmed
+// lease, while no other controller could lead.
 asio::awaitable<void> LeaseRenewal::renew(std::shared_ptr<LeadershipTerm> term,
                                           OneShot<bool> renewed) {
     double requested_at = steady_now();
--- a/src/liveness/worker_lease.h
+++ b/src/liveness/worker_lease.h
@@ -40,8 +40,8 @@
 };
 
 // Returns when every task on the machine has ended unless its worker sends another heartbeat. A
-// heartbeat whose response is still held back counts as answered: without that, a machine could be
-// taken for gone while its first heartbeat was waiting for its response.
+// heartbeat whose response is still held back counts as answered: without that, a machine could
+// count as gone while its first heartbeat was waiting for its response.
 double worker_lease_expiry(const Settings& s, const WorkerContact& contact, double won_at);
 
 }  // namespace weirmill
--- a/src/membership/link_policy.h
+++ b/src/membership/link_policy.h
@@ -37,7 +37,7 @@
 // that leader should stay. A peer is preferred if it reaches far more of the workers. A peer is
 // also preferred if far more workers report to it directly and the leader has lost most of its own
 // direct workers. If no controller reaches the workers, the leader stays. Ties are broken by name,
-// so that every controller decides alike.
+// so that every controller makes the same decision.
 [[nodiscard]] std::optional<std::string> preferred_leader(const LinkStatus& mine,
                                                           std::span<const PeerView> others);
 
--- a/src/scheduler/deadline_feasibility.h
+++ b/src/scheduler/deadline_feasibility.h
@@ -22,7 +22,7 @@
 std::vector<Index> select_late_jobs(std::vector<DeadlineCandidate> jobs, double units,
                                     double earlier_work);
 
-// Sets Job::abandoned_deadlines, the number of due times that the job has given up, for each
+// Sets Job::abandoned_deadlines, the number of due times that the job abandons, for each
 // waiting array job of the queue.
 void update_abandoned_deadlines(ClusterState& cluster, const std::vector<Index>& queue,
                                 double units, double now);
--- a/src/scheduler/fit_queues.cpp
+++ b/src/scheduler/fit_queues.cpp
@@ -122,7 +122,7 @@
 }
 
 void FitQueues::apply_log(FitQueue& queue, const Job& job) const {
-    // Applying more log entries than there are machines costs more than building the queue anew.
+    // Applying more log entries than there are machines costs more than building the queue again.
     if (log_.size() - queue.log_position_ > open_machines_.size()) return build(queue, job);
     for (; queue.log_position_ < log_.size(); ++queue.log_position_) {
         auto i = log_[queue.log_position_];
--- a/src/scheduler/gang_launch.h
+++ b/src/scheduler/gang_launch.h
@@ -6,7 +6,7 @@
 namespace weirmill {
 
 // Returns whether the task, which must be placed, may be launched now. A task whose machine has the
-// image waits for its gang from its launch on and gives up after `gang_wait_s`. Tasks on machines
+// image waits for its gang from its launch on and exits after `gang_wait_s`. Tasks on machines
 // that still have to fetch the image are therefore launched first, and the others once the slowest
 // fetch is certain to end in time. `gang_wait_s` and `heartbeat_interval_s`: as in the settings.
 bool may_launch(const ClusterState& cluster, const Job& job, uint32_t task, double gang_wait_s,
--- a/src/scheduler/overload_forecast.h
+++ b/src/scheduler/overload_forecast.h
@@ -24,7 +24,7 @@
     double used_units = 0;      // of placed tasks
     double demanded_units = 0;  // of placed and pending tasks together
     uint32_t waiting_jobs = 0;
-    uint32_t jobs_abandoning_deadline = 0;  // waiting jobs that gave up at least one due time
+    uint32_t jobs_abandoning_deadline = 0;  // waiting jobs that abandon at least one due time
     double mean_work = 0;                   // mean pending work of a waiting job
     // Seconds within which users expect a job to be done: the longest objective of the class, or
     // the mean deadline of the waiting jobs if the class has none.
--- a/src/scheduler/placement_pass.h
+++ b/src/scheduler/placement_pass.h
@@ -51,7 +51,7 @@
     std::vector<Index> zone_order(Index index);
 
     // Holds partly free machines that are too full for a task of the job, which found no room: jobs
-    // of lower priority may not use them until enough capacity comes free for the task. Without
+    // of lower priority may not use them until enough capacity becomes free for the task. Without
     // that, smaller tasks take the capacity again whenever one of them ends: 2-CPU tasks of high
     // priority waited minutes behind 1-CPU tasks of lower priority. Does nothing for tasks that
     // need a whole machine, because preemption evicts machines for those (preemption.h).
--- a/src/scheduler/start_deadline.cpp
+++ b/src/scheduler/start_deadline.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 // Share of the bound after which a job is near its start deadline. The rest is left for machines to
-// come free, heartbeats and image fetches. With a share of 0.5, gangs that would have started in
+// become free, heartbeats and image fetches. With a share of 0.5, gangs that would have started in
 // time anyway delayed other jobs: on a day with the loss of a zone, 0.83 of the jobs started in
 // time instead of 0.92.
 constexpr double kNearDeadlineShare = 0.7;
--- a/src/standby/kv_response_tracker.h
+++ b/src/standby/kv_response_tracker.h
@@ -7,8 +7,8 @@
 
 class KvResponseTracker {
   public:
-    // Returns whether the result tells what is stored, and if so notes the current time. A refusal,
-    // a malformed answer or a missing answer does not tell.
+    // Returns whether the result shows what is stored, and if so records the current time. A
+    // refusal, a malformed answer or a missing answer does not show it.
     template <class T>
     bool record(const KvResult<T>& result) {
         bool answered =
--- a/src/state/cluster_state.h
+++ b/src/state/cluster_state.h
@@ -54,8 +54,8 @@
     uint64_t last_change_number = 0, recorded_through = 0;
 };
 
-// In all functions `now` is the steady clock in seconds, `index` is the index of a job, and `t` is
-// the index of a task of that job.
+// In all functions `now` is the steady clock in seconds, `index` is the index of a job, and
+// `task_index` is the index of a task of that job.
 class ClusterState : public ClusterTables {
   public:
     explicit ClusterState(const Settings& settings);
@@ -107,14 +107,14 @@
     double next_heartbeat_in_s(const Machine& m, double now) const;
 
     // The three state transitions of a task (state/task.h). Each queues the change for recording.
-    void place(Index index, uint32_t t, Index machine, uint32_t attempt, double now);
-    void unassign(Index index, uint32_t t, double now);
-    void finish(Index index, uint32_t t, double now);
+    void place(Index index, uint32_t task_index, Index machine, uint32_t attempt, double now);
+    void unassign(Index index, uint32_t task_index, double now);
+    void finish(Index index, uint32_t task_index, double now);
     // Used while a new leader loads the state log; these queue no changes. restore_task_counts
     // derives a job's counts from the states of its tasks. restore_placement sets a pending task to
     // placed.
     void restore_task_counts(Index index);
-    void restore_placement(Index index, uint32_t t, Index machine, uint32_t attempt,
+    void restore_placement(Index index, uint32_t task_index, Index machine, uint32_t attempt,
                            uint32_t agent_epoch);
     void set_phase(Job& job, Task& task, TaskPhase phase);
     // Returns whether the last change of the task is recorded.
@@ -183,8 +183,8 @@
         return spec.job_class < classes.size() ? &classes[spec.job_class] : nullptr;
     }
     bool offered(Index type) const { return type < types.size() && types[type].offered; }
-    void queue_task_change(Index index, uint32_t t);
-    void remove_from_machine(Index index, uint32_t t, double now);
+    void queue_task_change(Index index, uint32_t task_index);
+    void remove_from_machine(Index index, uint32_t task_index, double now);
 
     DependencyGraph dependencies_;
     double heartbeat_interval_s_;
--- a/src/state/job.h
+++ b/src/state/job.h
@@ -59,7 +59,7 @@
 
     uint32_t failures = 0;
     std::set<Index> failed_machines;  // machines on which tasks of the job failed
-    // The number of due times that the job could meet but gives up in favour of other jobs, the
+    // The number of due times that the job could meet but abandons in favour of other jobs, the
     // earliest first (scheduler/overload_forecast.h).
     uint32_t abandoned_deadlines = 0;
 
--- a/src/state/task_placement.cpp
+++ b/src/state/task_placement.cpp
@@ -10,9 +10,9 @@
 constexpr std::ptrdiff_t kMaxCachedImages = 64;
 }  // namespace
 
-void ClusterState::queue_task_change(Index index, uint32_t t) {
-    jobs[index]->tasks[t].change_number = ++last_change_number;
-    task_changes.push_back({{index, t}, last_change_number});
+void ClusterState::queue_task_change(Index index, uint32_t task_index) {
+    jobs[index]->tasks[task_index].change_number = ++last_change_number;
+    task_changes.push_back({{index, task_index}, last_change_number});
 }
 
 bool ClusterState::is_latest_change(const TaskChange& c) const {
@@ -27,10 +27,10 @@
     task.phase = phase;
 }
 
-void ClusterState::restore_placement(Index index, uint32_t t, Index machine, uint32_t attempt,
-                                     uint32_t agent_epoch) {
+void ClusterState::restore_placement(Index index, uint32_t task_index, Index machine,
+                                     uint32_t attempt, uint32_t agent_epoch) {
     auto& job = *jobs[index];
-    auto& task = job.tasks[t];
+    auto& task = job.tasks[task_index];
     task.state = TaskState::Placed;
     task.machine = machine;
     task.attempt = attempt;
@@ -39,7 +39,7 @@
     ++job.placed;
     auto& m = *machines[machine];
     m.used += job.spec.demand;
-    m.tasks.push_back({index, t});
+    m.tasks.push_back({index, task_index});
     teams[job.spec.team].used += job.spec.demand;
 }
 
@@ -55,25 +55,26 @@
     }
 }
 
-void ClusterState::place(Index index, uint32_t t, Index machine, uint32_t attempt, double now) {
-    restore_placement(index, t, machine, attempt,
+void ClusterState::place(Index index, uint32_t task_index, Index machine, uint32_t attempt,
+                         double now) {
+    restore_placement(index, task_index, machine, attempt,
                       static_cast<uint32_t>(machines[machine]->agent_epoch));
-    auto& task = jobs[index]->tasks[t];
+    auto& task = jobs[index]->tasks[task_index];
     task.start_seq = 0;
     task.placed_at = static_cast<float>(now);
     task.running_at = 0;
     task.stopping = task.graceful = false;
     task.placed_this_term = true;
-    queue_task_change(index, t);
+    queue_task_change(index, task_index);
 }
 
 // Removes the task from its machine. The caller sets its next state.
-void ClusterState::remove_from_machine(Index index, uint32_t t, double now) {
+void ClusterState::remove_from_machine(Index index, uint32_t task_index, double now) {
     auto& job = *jobs[index];
-    auto& task = job.tasks[t];
+    auto& task = job.tasks[task_index];
     auto& m = *machines[task.machine];
     m.used -= job.spec.demand;
-    std::erase(m.tasks, TaskRef{index, t});
+    std::erase(m.tasks, TaskRef{index, task_index});
     if (m.tasks.empty()) m.empty_since = now;
     teams[job.spec.team].used -= job.spec.demand;
     set_phase(job, task, TaskPhase::NotReported);
@@ -82,26 +83,26 @@
     --job.placed;
 }
 
-void ClusterState::unassign(Index index, uint32_t t, double now) {
-    remove_from_machine(index, t, now);
+void ClusterState::unassign(Index index, uint32_t task_index, double now) {
+    remove_from_machine(index, task_index, now);
     auto& job = *jobs[index];
-    job.tasks[t].state = TaskState::Pending;
+    job.tasks[task_index].state = TaskState::Pending;
     ++job.pending;
-    job.first_pending = std::min(job.first_pending, t);
-    queue_task_change(index, t);
+    job.first_pending = std::min(job.first_pending, task_index);
+    queue_task_change(index, task_index);
 }
 
-void ClusterState::finish(Index index, uint32_t t, double now) {
+void ClusterState::finish(Index index, uint32_t task_index, double now) {
     auto& job = *jobs[index];
-    auto& task = job.tasks[t];
+    auto& task = job.tasks[task_index];
     if (task.state == TaskState::Done) return;
     if (task.state == TaskState::Placed)
-        remove_from_machine(index, t, now);
+        remove_from_machine(index, task_index, now);
     else
         --job.pending;
     task.state = TaskState::Done;
     ++job.done;
-    queue_task_change(index, t);
+    queue_task_change(index, task_index);
 }
 
 void ClusterState::mark_image_used(Machine& m, const JobSpec& spec) const {
--- a/src/traces/import.cpp
+++ b/src/traces/import.cpp
@@ -294,12 +294,12 @@
         std::unordered_map<std::string, size_t> index_of_key;
         for (size_t i = 0; i < deferred_jobs_.size(); ++i)
             index_of_key.emplace(deferred_jobs_[i].key, i);
-        std::vector<std::vector<size_t>> dependents(deferred_jobs_.size());
+        std::vector<std::vector<size_t>> dependants(deferred_jobs_.size());
         std::vector<size_t> open_dependencies(deferred_jobs_.size(), 0);
         for (size_t i = 0; i < deferred_jobs_.size(); ++i)
             for (auto& key : deferred_jobs_[i].attributes.dependencies)
                 if (auto it = index_of_key.find(key); it != index_of_key.end()) {
-                    dependents[it->second].push_back(i);
+                    dependants[it->second].push_back(i);
                     ++open_dependencies[i];
                 }
         std::queue<size_t> ready;
@@ -310,7 +310,7 @@
             auto i = ready.front();
             written[i] = true;
             write_job(deferred_jobs_[i]);
-            for (auto next : dependents[i])
+            for (auto next : dependants[i])
                 if (--open_dependencies[next] == 0) ready.push(next);
         }
         for (size_t i = 0; i < deferred_jobs_.size(); ++i) {
--- a/tests/cancel_model_test.cpp
+++ b/tests/cancel_model_test.cpp
@@ -2,7 +2,7 @@
 // the next leader, a standby controller, and a worker that runs a task of the job. The model
 // explores every schedule of refusals, one outage of the key-value store (leases have their full
 // duration again afterwards), renewals that are answered late or never, a transaction that is
-// executed late, reports to either leader, and the time at which the user gets the confirmation.
+// executed late, heartbeats to either leader, and the time at which the user gets the confirmation.
 // The grace period, the lease validity and the margins come from the production functions. The
 // tests check two things. In no schedule does the task stay on its machine for longer than cancel_s
 // after the confirmation. With a grace period one step longer than the longest that holds, or with
@@ -66,7 +66,8 @@
     // Next leader: request time that its lease counts from; it leads; it knows the cancellation.
     uint8_t next_confirmed_from, next_leads, next_knows;
     uint8_t recorded, confirmed;  // the cancellation; `confirmed` is the time plus 1
-    // Worker: its last answered report, its highest fencing token, and whether the task is there.
+    // Worker: its last answered heartbeat, its highest fencing token, and whether the task is
+    // there.
     uint8_t last_report, fencing_token, task;
     uint8_t padding[6];  // up to a whole number of 64-bit words
 };
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -204,7 +204,7 @@
 
 TEST(GangLaunch, LaunchesFetchingTasksFirst) {
     // If an image takes longer to fetch than tasks wait for each other, the tasks on machines with
-    // the image give up before the fetch ends, which aborts it, and the gang restarts forever.
+    // the image exit before the fetch ends, which aborts it, and the gang restarts forever.
     struct Row {
         const char* description;
         double image_gb;  // fetched at 1 GB/s; the protocol allows 1.5 times the nominal fetch time
@@ -643,7 +643,7 @@
     auto job = w.job(w.spec("req-1", JobKind::Array, 6, 8, 0, Priority::Normal, "red"));
     EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now).size(),
               4u);  // the limit is 32 CPUs
-    // A task that has been told to stop counts until it has ended.
+    // A task that is being stopped counts until it has ended.
     w.cluster.jobs[job]->tasks[0].stopping = true;
     EXPECT_TRUE(place_waiting_jobs(w.cluster, any_machine, w.now).empty());
     w.cluster.finish(job, 0, w.now);
@@ -701,7 +701,7 @@
     w.job(spec);
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_a, true, 3}}));
-    // A booting machine counts, whether the cloud'spec list includes it or not.
+    // A booting machine counts, whether the cloud's list includes it or not.
     auto& machine = *w.cluster.machines[w.machine("m0", "std", "a", true)];
     machine.up = false;
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
@@ -756,12 +756,12 @@
         size_t requests;
         double ran_s = 0;  // since the running task started
     };
-    // A std machine boots in 30 spec.
+    // A std machine boots in 30 s.
     const Row rows[] = {
         {"capacity is free before a boot", 1, 20, 60, 0},
         {"capacity is free after a boot", 1, 60, 60, 1},
         {"job has slack", 1, 60, 600, 0},
-        // On a fleet that is always busy, tasks must not wait as long as a boot for each other'spec
+        // On a fleet that is always busy, tasks must not wait as long as a boot for each other's
         // resources when new machines are cheap.
         {"cheap offer: capacity is free shortly before a boot", 10, 20, 60, 1},
         {"cheap offer: capacity is free long before a boot", 10, 10, 60, 0},
--- a/tests/downlink_test.cpp
+++ b/tests/downlink_test.cpp
@@ -13,8 +13,8 @@
 namespace json = boost::json;
 using test::Service;
 
-// The downlink state of one worker. The heartbeat interval is 2 s, the lease 18 s, and the worker's
-// patience 4 s, with 1 s more until it tries the other one of two controllers.
+// The downlink state of one worker. The heartbeat interval is 2 s, the lease 18 s, and the
+// worker waits 4 s for a response and tries the other one of two controllers 1 s later.
 struct DownlinkFixture {
     Settings settings = test::small_settings();
     DownlinkState downlink;
--- a/tests/membership_model_test.cpp
+++ b/tests/membership_model_test.cpp
@@ -27,7 +27,7 @@
     kTermEndsFirst,         // the term has ended before the transfer is sent
     kTermNeverResumed,      // the term stays ended whatever the response to the transfer
     kPlacementChecksToken,  // a placement is conditional on the version of the leader key
-    kProofWithOurToken,     // a report proves an end only if the worker has seen our token
+    kProofWithOurToken,     // a heartbeat proves an end only if the worker has seen our token
     kProofAfterOurLaunch,   // and only if it was sent after the response with our own launch
     kRecordedBeforeLaunch,  // a launch is sent only for a recorded placement
 };
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -39,7 +39,7 @@
          link_status(true, 0, 1000, 1000),
          {{"b", link_status(true, 950, 950), true}},
          "b"},
-        {"no workers, and the peer lacks the state service",
+        {"no workers, and the peer lacks the key-value store",
          link_status(true, 0, 0, 1000),
          {{"b", link_status(false, 900, 900), true}},
          nullptr},
@@ -161,10 +161,10 @@
     const Row rows[] = {
         {"it does not know the leader and stays there", {{0, 3, 7, false}}, 0},
         {"it knows the leader and still reports here", {{0, 7, 7, true}, {5, 7, 7, true}}, 1},
-        {"it comes back after its patience without the leader's token",
+        {"it returns after its response timeout without the leader's token",
          {{0, 3, 7, false}, {6, 3, 7, true}},
          1},
-        {"a new worker comes back after its patience", {{0, 0, 7, false}, {6, 0, 7, true}}, 1},
+        {"a new worker returns after its response timeout", {{0, 0, 7, false}, {6, 0, 7, true}}, 1},
         {"refused by a leader that is not ready yet",
          {{0, 3, 7, false}, {1.5, 3, 7, false}, {3, 3, 7, false}},
          0},
@@ -267,8 +267,8 @@
             if (reached[i] && kv[i]) return true;
         return false;
     }
-    // Returns how many hops the relay decisions take to bring a worker's report to this controller:
-    // 1: direct, 2: through one peer, 3: through two peers, 0: not possible.
+    // Returns how many hops the relay decisions take to bring a worker's heartbeat to this
+    // controller: 1: direct, 2: through one peer, 3: through two peers, 0: not possible.
     int hops(int leader) const {
         if (workers[leader]) return 1;
         int best = 0;
--- a/tests/play_test.cpp
+++ b/tests/play_test.cpp
@@ -197,16 +197,16 @@
     EXPECT_EQ(read_play_log(fixture.options.log_path).size(), 30u);
 }
 
-TEST(TracePlay, DependentsOfARefusedJobAreNotSent) {
+TEST(TracePlay, DependantsOfARefusedJobAreNotSent) {
     PlayFixture fixture(0);
     auto refused =
         test::Service::with(test::Service::submission("req-1", "array", 1), "consignor", "nobody");
-    auto dependent = test::Service::with(test::Service::submission("req-2", "array", 1), "awaits",
+    auto dependant = test::Service::with(test::Service::submission("req-2", "array", 1), "awaits",
                                          json::array{"req-1"});
     auto unknown_dependency = test::Service::with(test::Service::submission("req-3", "array", 1),
                                                   "awaits", json::array{"req-9"});
     fixture.jobs = {{0, "req-3", unknown_dependency, {"req-9"}},
-                    {0, "req-2", dependent, {"req-1"}},
+                    {0, "req-2", dependant, {"req-1"}},
                     {1, "req-1", refused, {}}};
     fixture.options.max_in_flight = 1;  // jobs that wait for dependencies do not count
     auto player = fixture.play();
--- a/tests/standby_service_test.cpp
+++ b/tests/standby_service_test.cpp
@@ -104,9 +104,9 @@
         EXPECT_TRUE(status == 201 || status == 200) << status;
     }
     // A job may depend on one that the leader may not have adopted yet.
-    fakes::Job dependent;
-    dependent.awaits = {"req-2"};
-    EXPECT_EQ(cluster.submit_at(followers[0], cluster.upload("req-3", 2, dependent)), 201);
+    fakes::Job dependant;
+    dependant.awaits = {"req-2"};
+    EXPECT_EQ(cluster.submit_at(followers[0], cluster.upload("req-3", 2, dependant)), 201);
     EXPECT_TRUE(cluster.done("req-2"));
     EXPECT_TRUE(cluster.done("req-3"));
     for (int node : followers) {
--- a/tests/start_deadline_test.cpp
+++ b/tests/start_deadline_test.cpp
@@ -17,14 +17,14 @@
     auto old = w.job(w.spec("req-1", JobKind::Array, 3, 1));
     auto older = w.job(w.spec("req-2", JobKind::Gang, 2, 1));
     auto started = w.running(w.spec("req-3", JobKind::Array, 2, 1), {m});
-    auto dependent = w.job(w.spec("req-4", JobKind::Array, 1, 1));
+    auto dependant = w.job(w.spec("req-4", JobKind::Array, 1, 1));
     auto cancelled = w.job(w.spec("req-5", JobKind::Array, 1, 1));
     auto fresh = w.job(w.spec("req-6", JobKind::Array, 1, 1));
-    for (auto j : {old, older, started, dependent, cancelled, fresh})
+    for (auto j : {old, older, started, dependant, cancelled, fresh})
         w.cluster.jobs[j]->submitted_steady = w.now - 169;
     w.cluster.jobs[older]->submitted_steady = w.now - 200;
     w.cluster.jobs[fresh]->submitted_steady = w.now - 167;
-    w.cluster.jobs[dependent]->waits_for_dependencies = true;
+    w.cluster.jobs[dependant]->waits_for_dependencies = true;
     w.cluster.jobs[cancelled]->cancelled = true;
     EXPECT_EQ(jobs_near_start_deadline(w.cluster, 240, w.now), (std::vector<Index>{older, old}));
     EXPECT_TRUE(jobs_near_start_deadline(w.cluster, 0, w.now).empty());
@@ -57,8 +57,8 @@
 }
 
 TEST(StartDeadline, ReservesMachinesForLateGang) {
-    // Guards against starvation of a wide gang: each machine that came free was given to a gang of
-    // one task, so three machines were never free at the same time.
+    // Guards against starvation of a wide gang: each machine that became free was given to a gang
+    // of one task, so three machines were never free at the same time.
     World w;
     std::vector<Index> machines;
     for (auto* name : {"a0", "a1", "b0", "b1", "b2"})
