--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -61,7 +61,7 @@
         double contact_at = -1e9, recorded_at = -1e9;
         uint64_t timeouts = 0;  // calls without an answer
     };
-    bool is_recent(double at, double now) const { return now - at < times_.view_expiry_s; }
+    bool is_recent(double time, double now) const { return now - time < times_.view_expiry_s; }
     std::vector<std::string> reachable_peers(double now) const;
     // Returns null if the settings name no such peer.
     Peer* configured_peer(const std::string& name);
--- a/src/protocol/cloud_codec.cpp
+++ b/src/protocol/cloud_codec.cpp
@@ -121,10 +121,10 @@
 }
 
 std::string machine_list_target(const std::string& after, int limit) {
-    std::string t = paths::kMachines;
-    t += "?most=" + std::to_string(limit);
-    if (!after.empty()) t += "&from=" + after;
-    return t;
+    std::string target = paths::kMachines;
+    target += "?most=" + std::to_string(limit);
+    if (!after.empty()) target += "&from=" + after;
+    return target;
 }
 
 }  // namespace weirmill
--- a/src/protocol/kv_codec.cpp
+++ b/src/protocol/kv_codec.cpp
@@ -98,9 +98,9 @@
 std::string kv_key_target(const std::string& key) { return "/keys/" + key; }
 
 std::string kv_list_target(const std::string& prefix, const std::string& after, int limit) {
-    std::string t = "/keys?starts=" + prefix + "&most=" + std::to_string(limit);
-    if (!after.empty()) t += "&from=" + after;
-    return t;
+    std::string target = "/keys?starts=" + prefix + "&most=" + std::to_string(limit);
+    if (!after.empty()) target += "&from=" + after;
+    return target;
 }
 
 std::string kv_watch_target(const std::string& prefix, uint64_t after, int wait_ms) {
--- a/src/state/pending_records.h
+++ b/src/state/pending_records.h
@@ -1,11 +1,11 @@
 // Pending records: submissions and cancellations that a standby controller accepts from users and
 // writes to the key-value store while it can't reach a leader.
 //
-// Keys: `d/<id>` holds a submission or cancellation that a standby accepted and no leader has
-// adopted yet; `v/<name>` states that a controller's version adopts pending records. A controller
-// that is not the leader writes no other transactions than these. docs/design-standby.md explains
-// why each of their conditions is needed, and tests/standby_model_test.cpp removes them one by one.
-// Pure functions.
+// Keys: `d/<id>` holds a submission or cancellation that a standby controller accepted and no
+// leader has adopted yet; `v/<name>` states that a controller's version adopts pending records. A
+// controller that is not the leader writes no other transactions than these. docs/design-standby.md
+// explains why each of their conditions is needed, and tests/standby_model_test.cpp removes them
+// one by one. Pure functions.
 #pragma once
 #include <boost/json.hpp>
 #include <string>
@@ -30,7 +30,8 @@
 std::string pending_record(const PendingRecord& r);
 PendingRecord parse_pending_record(const boost::json::value& v);  // throws BadMessage
 
-// Accepts a job, on condition that no standby has accepted it before and that it has not ended.
+// Accepts a job, on condition that no standby controller has accepted it before and that it has not
+// ended.
 CasTransaction accept_transaction(const std::string& id, const PendingRecord& r);
 // Cancels a job, on condition that its pending record still has the version that was read (0: there
 // is none). The caller must read afterwards whether the cancellation takes effect: the job may have
--- a/src/state/state_log.cpp
+++ b/src/state/state_log.cpp
@@ -119,8 +119,8 @@
         it = new_jobs_.erase(it);
         const auto& job = *cluster_.jobs[index];
         builder.add_condition(final_key(job.spec.id), 0);
-        // Fails the transaction if a standby has accepted or cancelled the job without this
-        // leader's knowledge.
+        // Fails the transaction if a standby controller has accepted or cancelled the job without
+        // this leader's knowledge.
         auto pending = pending_versions_.find(index);
         builder.add_condition(pending_key(job.spec.id),
                               pending == pending_versions_.end() ? 0 : pending->second);
--- a/src/state/state_log.h
+++ b/src/state/state_log.h
@@ -115,7 +115,7 @@
 
     // Queued entries.
     std::deque<Index> new_jobs_, cancellations_, job_ends_;
-    std::map<Index, uint64_t> pending_versions_;  // for new jobs that a standby accepted
+    std::map<Index, uint64_t> pending_versions_;  // for new jobs that a standby controller accepted
     std::map<Index, PartialRecord> partial_records_;
     std::deque<std::pair<std::string, uint64_t>> pending_deletions_;  // key and version
     std::map<std::string, SingleRecord> single_records_;
--- a/src/transport/peer_codec.cpp
+++ b/src/transport/peer_codec.cpp
@@ -35,9 +35,9 @@
     out.setDirect(links.direct_workers);
     out.setReach(links.reachable_workers);
     out.setKnown(links.known_workers);
-    auto hears = out.initHears(static_cast<unsigned>(links.reachable_peers.size()));
+    auto names = out.initHears(static_cast<unsigned>(links.reachable_peers.size()));
     for (unsigned i = 0; i < links.reachable_peers.size(); ++i)
-        hears.set(i, links.reachable_peers[i]);
+        names.set(i, links.reachable_peers[i]);
 }
 
 // Controllers of a version without link reports leave out the field.
