--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -31,8 +31,8 @@
 }  // namespace
 
 Leader::Leader(asio::io_context& io, const Settings& settings, const Properties& properties,
-               KvClient& state, Metrics& metrics, std::shared_ptr<LeadershipTerm> term)
-    : context_(io, settings, properties, state, metrics, std::move(term)),
+               KvClient& kv, Metrics& metrics, std::shared_ptr<LeadershipTerm> term)
+    : context_(io, settings, properties, kv, metrics, std::move(term)),
       stop_sender_(context_),
       task_lifecycle_(context_, stop_sender_),
       scheduling_loop_(context_, task_lifecycle_, [this] { return may_decide(); }),
@@ -41,7 +41,7 @@
           [this](const std::string& name) { return instance_manager_.is_terminated(name); }),
       instance_manager_(context_, task_lifecycle_, stop_sender_, heartbeat_handler_,
                         [this] { return may_decide(); }),
-      final_states_(state),
+      final_states_(kv),
       admission_(context_, final_states_, job_callbacks(),
                  [this](const std::string& id) { return adoption_.is_pending(id); }),
       adoption_(context_, final_states_, admission_),
--- a/src/controller/leader.h
+++ b/src/controller/leader.h
@@ -28,7 +28,7 @@
 class Leader : public std::enable_shared_from_this<Leader> {
   public:
     Leader(boost::asio::io_context& io, const Settings& settings, const Properties& properties,
-           KvClient& state, Metrics& metrics, std::shared_ptr<LeadershipTerm> term);
+           KvClient& kv, Metrics& metrics, std::shared_ptr<LeadershipTerm> term);
     void start();
     // Ends the term: the leader answers and sends nothing any more.
     void stop();
--- a/src/scheduler/eligibility.h
+++ b/src/scheduler/eligibility.h
@@ -7,8 +7,8 @@
 
 namespace weirmill {
 
-// Returns whether tasks of this spec may run on the machine: its type, zone and kind (spot or not)
-// are allowed, and its capacity is not reserved for tasks with GPUs.
+// Returns whether tasks of this spec may run on the machine: its type, zone and market (spot or on
+// demand) are allowed, and its capacity is not reserved for tasks with GPUs.
 inline bool machine_eligible(const ClusterState& cluster, const JobSpec& spec, const Machine& m) {
     return cluster.machine_allowed(spec, m) && !cluster.must_leave_room_for_gpus(spec, m.type);
 }
--- a/src/state/machine.h
+++ b/src/state/machine.h
@@ -62,10 +62,10 @@
 };
 
 // Returns when all tasks that may be on the machine have certainly ended
-// (liveness/worker_lease.h). `term_start`: when this leader was elected.
-inline double worker_lease_expiry(const Settings& s, const Machine& m, double term_start) {
+// (liveness/worker_lease.h). `won_at`: when this leader won its term.
+inline double worker_lease_expiry(const Settings& s, const Machine& m, double won_at) {
     return worker_lease_expiry(
-        s, WorkerContact{m.last_heartbeat, m.last_answer, m.saw_fencing_token}, term_start);
+        s, WorkerContact{m.last_heartbeat, m.last_answer, m.saw_fencing_token}, won_at);
 }
 
 }  // namespace weirmill
