--- a/src/autoscaler/expected_capacity.cpp
+++ b/src/autoscaler/expected_capacity.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "autoscaler/autoscaler.h"
-#include "autoscaler/suitability.h"
+#include "autoscaler/machine_eligibility.h"
 
 namespace weirmill {
 
@@ -12,7 +12,7 @@
 // A machine that a previous leader requested should send its first heartbeat to this leader within
 // this time after it has been discovered.
 constexpr double kFirstHeartbeat_s = 15;
-// A task that has been told to stop is assumed to end after this time.
+// A task that is being stopped is assumed to end after this time.
 constexpr double kStopDuration_s = 3;
 // The minimum remaining run time of a task, as a share of its expected run time, or of the elapsed
 // one if that is longer.
@@ -84,10 +84,10 @@
     task_ends.insert(std::ranges::upper_bound(task_ends, end, ends_before), end);
 }
 
-bool capacity_suits(const ClusterState& cluster, const JobSpec& spec,
-                    const ExpectedCapacity& capacity) {
-    return market_suits(spec, capacity.spot, capacity.zone) &&
-           type_suits(cluster, spec, capacity.type);
+bool capacity_eligible(const ClusterState& cluster, const JobSpec& spec,
+                       const ExpectedCapacity& capacity) {
+    return market_eligible(spec, capacity.spot, capacity.zone) &&
+           type_eligible(cluster, spec, capacity.type);
 }
 
 double remaining_run_s(double expected_s, double ran_s) {
--- a/src/controller/leader.cpp
+++ b/src/controller/leader.cpp
@@ -31,8 +31,8 @@
 }  // namespace
 
 Leader::Leader(asio::io_context& io, const Settings& settings, const Properties& properties,
-               KvClient& state, Metrics& metrics, std::shared_ptr<LeadershipTerm> term)
-    : context_(io, settings, properties, state, metrics, std::move(term)),
+               KvClient& kv, Metrics& metrics, std::shared_ptr<LeadershipTerm> term)
+    : context_(io, settings, properties, kv, metrics, std::move(term)),
       stop_sender_(context_),
       task_lifecycle_(context_, stop_sender_),
       scheduling_loop_(context_, task_lifecycle_, [this] { return may_decide(); }),
@@ -41,7 +41,7 @@
           [this](const std::string& name) { return instance_manager_.is_terminated(name); }),
       instance_manager_(context_, task_lifecycle_, stop_sender_, heartbeat_handler_,
                         [this] { return may_decide(); }),
-      final_states_(state),
+      final_states_(kv),
       admission_(context_, final_states_, job_callbacks(),
                  [this](const std::string& id) { return adoption_.is_pending(id); }),
       adoption_(context_, final_states_, admission_),
@@ -55,8 +55,9 @@
 }
 
 JobCallbacks Leader::job_callbacks() {
-    return {[this](Index job) { task_lifecycle_.check_job(job); },
-            [this](const std::vector<Index>& jobs) { task_lifecycle_.check_cancelled(jobs); }};
+    return {
+        [this](Index job) { task_lifecycle_.reconcile_job(job); },
+        [this](const std::vector<Index>& jobs) { task_lifecycle_.reconcile_cancelled_jobs(jobs); }};
 }
 
 void Leader::start() {
@@ -74,7 +75,7 @@
 }
 
 asio::awaitable<PeerReply> Leader::request(PeerCall call) {
-    if (!ready_) co_return undecided(context_);
+    if (!ready_) co_return leadership_unconfirmed(context_);
     size_t bytes = call.body.size();
     if (queued_requests_ >= kMaxQueuedRequests ||
         queued_bytes_ + bytes > max_queued_request_bytes(context_.settings))
@@ -121,7 +122,7 @@
         users_.dependencies_read(message);
 }
 
-void Leader::gauges(std::map<std::string, double>& out) const {
+void Leader::add_gauges(std::map<std::string, double>& out) const {
     size_t machines_up = 0, downlinks_lost = 0, tasks_placed = 0, tasks_pending = 0;
     for (auto& machine : context_.cluster.machines) {
         machines_up += machine && machine->up;
@@ -154,7 +155,7 @@
     if (mailbox_.try_send(boost::system::error_code(), std::move(message))) return;
     // This leader would wait forever for the outcome that is lost here. The next leader reads the
     // records again.
-    spdlog::error("leader: mailbox full, leadership given up");
+    spdlog::error("leader: mailbox full, stepping down");
     context_.term->ended = true;
 }
 
@@ -182,10 +183,10 @@
     StateLoader loader(context_);
     std::optional<PendingRecordsChanged> pending;
     while (!context_.stopped) {
-        auto notes = co_await loader.load();
-        if (notes) {
-            scheduling_loop_.set_last_preemption_round(notes->preemption_rounds);
-            instance_manager_.set_recorded_types(notes->machine_types);
+        auto metadata = co_await loader.load();
+        if (metadata) {
+            scheduling_loop_.set_last_preemption_round(metadata->preemption_rounds);
+            instance_manager_.set_recorded_types(metadata->machine_types);
             pending = co_await adoption_.read_all();
         }
         if (pending) break;
@@ -209,7 +210,7 @@
         auto& job = *context_.cluster.jobs[job_index];
         job.submitted_steady = context_.now - std::max(0.0, wall_now() - job.submitted_wall);
         job.ready_steady = context_.now - std::max(0.0, wall_now() - job.ready_wall);
-        task_lifecycle_.check_job(job_index);
+        task_lifecycle_.reconcile_job(job_index);
     }
     context_.cluster.propagate_priorities_and_deadlines();
     if (!pending.events.empty())
@@ -268,7 +269,7 @@
     next_autoscale_at_ = std::min(next_autoscale_at_, context_.now + kAutoscaleRepeatDelay_s);
 }
 
-// ---- leadership transfer ----
+// Leadership transfer.
 
 void Leader::transfer_leadership(std::function<void()> on_quiesced) {
     if (!ready_) return on_quiesced();
@@ -283,7 +284,7 @@
     ready_ = false;
 }
 
-// Hands over the leadership once all queued records are written, or at the deadline. The next
+// Transfers the leadership once all queued records are written, or at the deadline. The next
 // leader would have to repeat the work behind records that are not written.
 void Leader::finish_transfer_if_quiesced() {
     if (log_writer_.busy() && context_.now < quiesce_deadline_) return;
--- a/src/scheduler/deadline_feasibility.h
+++ b/src/scheduler/deadline_feasibility.h
@@ -8,9 +8,6 @@
 
 namespace weirmill {
 
-// A due time at or above this value means that the job has none. Steady clock, seconds.
-inline constexpr double kNoDueTime_s = 1e17;
-
 struct DeadlineCandidate {
     Index job = kNone;
     double work = 0;            // pending work in unit-seconds (overload_forecast.h)
@@ -25,7 +22,7 @@
 std::vector<Index> select_late_jobs(std::vector<DeadlineCandidate> jobs, double units,
                                     double earlier_work);
 
-// Sets Job::abandoned_deadlines, the number of due times that the job has given up, for each
+// Sets Job::abandoned_deadlines, the number of due times that the job abandons, for each
 // waiting array job of the queue.
 void update_abandoned_deadlines(ClusterState& cluster, const std::vector<Index>& queue,
                                 double units, double now);
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -82,7 +82,7 @@
         Priority victim, waiting;
         const char *victim_team, *waiting_team;
         double waiting_cpus;
-        size_t clearings;
+        size_t evictions;
     };
     const Row rows[] = {
         {"equal priority", Priority::High, Priority::High, "blue", "blue", 7, 0},
@@ -100,12 +100,12 @@
         w.running(w.spec("req-1", JobKind::Array, 1, 8, 0, row.victim, row.victim_team), {machine});
         w.job(
             w.spec("req-2", JobKind::Array, 1, row.waiting_cpus, 0, row.waiting, row.waiting_team));
-        EXPECT_EQ(plan_preemption(w.cluster, any_machine, w.now).evictions.size(), row.clearings)
+        EXPECT_EQ(plan_preemption(w.cluster, any_machine, w.now).evictions.size(), row.evictions)
             << row.description;
     }
 }
 
-TEST(Preemption, DoesNotClearTwiceForTheSameJob) {
+TEST(Preemption, EvictsMachinesOnlyOnceForAJob) {
     World w;
     auto m0 = w.machine("m0"), m1 = w.machine("m1");
     w.running(w.spec("req-1", JobKind::Array, 2, 4, 0, Priority::Low), {m0, m1});
@@ -117,7 +117,7 @@
 
 TEST(Preemption, JobsOfARoundDoNotShareFreeMachines) {
     // If each of eight gangs of 32 tasks counted on the same 13 free machines, 19 machines would be
-    // cleared for each of them and none could start.
+    // evicted for each of them and none could start.
     World w;
     auto free = w.machine("free");
     std::vector<Index> busy;
@@ -204,7 +204,7 @@
 
 TEST(GangLaunch, LaunchesFetchingTasksFirst) {
     // If an image takes longer to fetch than tasks wait for each other, the tasks on machines with
-    // the image give up before the fetch ends, which aborts it, and the gang restarts forever.
+    // the image exit before the fetch ends, which aborts it, and the gang restarts forever.
     struct Row {
         const char* description;
         double image_gb;  // fetched at 1 GB/s; the protocol allows 1.5 times the nominal fetch time
@@ -419,7 +419,8 @@
     size_t placed = 0;
     for (unsigned seed = 1; seed <= 600; ++seed) {
         auto actual = random_cluster(seed, seed % 2), expected = random_cluster(seed, seed % 2);
-        // The reference does not hold back shares of team limits; LimitHold tests cover these.
+        // The reference does not hold back shares of team limits; TeamLimitReservations tests cover
+        // these.
         for (auto* w : {&actual, &expected}) w->cluster.teams[0].limit = {};
         auto placements = place_waiting_jobs(actual.cluster, any_machine, actual.now);
         test::ReferencePlacement reference{expected.cluster, any_machine, expected.now, {}};
@@ -501,7 +502,7 @@
     }
 }
 
-TEST(LimitHold, HoldsNoMoreThanMachinesCanProvide) {
+TEST(TeamLimitReservations, HoldsNoMoreThanMachinesCanProvide) {
     // If the whole rest of a team's limit were held for its large jobs while machines for them are
     // missing, the team's small tasks would wait for minutes beside idle machines.
     struct Row {
@@ -642,7 +643,7 @@
     auto job = w.job(w.spec("req-1", JobKind::Array, 6, 8, 0, Priority::Normal, "red"));
     EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now).size(),
               4u);  // the limit is 32 CPUs
-    // A task that has been told to stop counts until it has ended.
+    // A task that is being stopped counts until it has ended.
     w.cluster.jobs[job]->tasks[0].stopping = true;
     EXPECT_TRUE(place_waiting_jobs(w.cluster, any_machine, w.now).empty());
     w.cluster.finish(job, 0, w.now);
@@ -650,7 +651,7 @@
     EXPECT_EQ(w.cluster.teams[0].used, (Resources{32000, 0, 4000}));
 }
 
-TEST(LimitHold, KeepsShareForLargeHigherPriorityJob) {
+TEST(TeamLimitReservations, KeepsShareForLargeHigherPriorityJob) {
     // If a small task takes the place of each one that ends, the team's limit never has enough left
     // for a large job.
     World w;
@@ -700,7 +701,7 @@
     w.job(spec);
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_a, true, 3}}));
-    // A booting machine counts, whether the cloud'spec list includes it or not.
+    // A booting machine counts, whether the cloud's list includes it or not.
     auto& machine = *w.cluster.machines[w.machine("m0", "std", "a", true)];
     machine.up = false;
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
@@ -755,12 +756,12 @@
         size_t requests;
         double ran_s = 0;  // since the running task started
     };
-    // A std machine boots in 30 spec.
+    // A std machine boots in 30 s.
     const Row rows[] = {
         {"capacity is free before a boot", 1, 20, 60, 0},
         {"capacity is free after a boot", 1, 60, 60, 1},
         {"job has slack", 1, 60, 600, 0},
-        // On a fleet that is always busy, tasks must not wait as long as a boot for each other'spec
+        // On a fleet that is always busy, tasks must not wait as long as a boot for each other's
         // resources when new machines are cheap.
         {"cheap offer: capacity is free shortly before a boot", 10, 20, 60, 1},
         {"cheap offer: capacity is free long before a boot", 10, 10, 60, 0},
@@ -836,7 +837,7 @@
         double cpus;
         Priority priority;
         const char* team;
-        size_t cleared;
+        size_t evicted;
     };
     // Three machines run tasks of low priority. A gang of four tasks, which needs one machine more,
     // is considered before the second job.
@@ -857,10 +858,10 @@
         auto second =
             w.job(w.spec("req-11", JobKind::Gang, row.tasks, row.cpus, 0, row.priority, row.team));
         auto round = plan_preemption(w.cluster, test::any_machine, w.now);
-        size_t cleared = 0;
-        for (auto& clearing : round.evictions)
-            if (clearing.job == second) cleared = clearing.machines.size();
-        EXPECT_EQ(cleared, row.cleared) << row.description;
+        size_t evicted = 0;
+        for (auto& eviction : round.evictions)
+            if (eviction.job == second) evicted = eviction.machines.size();
+        EXPECT_EQ(evicted, row.evicted) << row.description;
     }
 }
 
--- a/tests/downlink_test.cpp
+++ b/tests/downlink_test.cpp
@@ -13,8 +13,8 @@
 namespace json = boost::json;
 using test::Service;
 
-// The downlink state of one worker. The heartbeat interval is 2 s, the lease 18 s, and the worker's
-// patience 4 s, with 1 s more until it tries the other one of two controllers.
+// The downlink state of one worker. The heartbeat interval is 2 s, the lease 18 s, and the
+// worker waits 4 s for a response and tries the other one of two controllers 1 s later.
 struct DownlinkFixture {
     Settings settings = test::small_settings();
     DownlinkState downlink;
@@ -122,11 +122,11 @@
     // The lease is 18 s and a replacement takes 30 s.
     for (auto& row : {Row{147, 1, 10, false}, Row{149, 1, 10, true}, Row{149, 5, 10, true},
                       Row{149, 6, 10, false}})
-        EXPECT_EQ(should_replace_unreachable(f.downlink, 30, row.downlink_lost, row.up, f.settings,
-                                             row.now),
+        EXPECT_EQ(should_replace_without_downlink(f.downlink, 30, row.downlink_lost, row.up,
+                                                  f.settings, row.now),
                   row.replaced)
             << row.downlink_lost;
-    EXPECT_FALSE(should_replace_unreachable({}, 30, 0, 10, f.settings, 1e6));
+    EXPECT_FALSE(should_replace_without_downlink({}, 30, 0, 10, f.settings, 1e6));
 }
 
 TEST(DownlinkState, OnlyLiveWorkerReturnsAfterLease) {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,5 +1,5 @@
 // Tests of decisions that depend on links: tables of cases, and every combination of working and
-// broken links between three controllers, the state service and the workers.
+// broken links between three controllers, the key-value store and the workers.
 #include "membership/membership.h"
 
 #include <gtest/gtest.h>
@@ -39,7 +39,7 @@
          link_status(true, 0, 1000, 1000),
          {{"b", link_status(true, 950, 950), true}},
          "b"},
-        {"no workers, and the peer lacks the state service",
+        {"no workers, and the peer lacks the key-value store",
          link_status(true, 0, 0, 1000),
          {{"b", link_status(false, 900, 900), true}},
          nullptr},
@@ -161,10 +161,10 @@
     const Row rows[] = {
         {"it does not know the leader and stays there", {{0, 3, 7, false}}, 0},
         {"it knows the leader and still reports here", {{0, 7, 7, true}, {5, 7, 7, true}}, 1},
-        {"it comes back after its patience without the leader's token",
+        {"it returns after its response timeout without the leader's token",
          {{0, 3, 7, false}, {6, 3, 7, true}},
          1},
-        {"a new worker comes back after its patience", {{0, 0, 7, false}, {6, 0, 7, true}}, 1},
+        {"a new worker returns after its response timeout", {{0, 0, 7, false}, {6, 0, 7, true}}, 1},
         {"refused by a leader that is not ready yet",
          {{0, 3, 7, false}, {1.5, 3, 7, false}, {3, 3, 7, false}},
          0},
@@ -236,14 +236,14 @@
         EXPECT_THROW((void)parse_transfer_record(read::parse(text)), BadMessage) << text;
 }
 
-// ---- every combination of links ----
+// Every combination of links.
 
 constexpr int kNodes = 3;
 constexpr uint32_t kWorkers = 100;
 const std::array<std::string, kNodes> kNames{"a", "b", "c"};
 
 struct LinkMap {
-    // Whether each controller reaches the state service, and whether the workers reach it.
+    // Whether each controller reaches the key-value store, and whether the workers reach it.
     std::array<bool, kNodes> kv, workers;
     std::array<std::array<bool, kNodes>, kNodes> peer{};
     static LinkMap from_bits(int bits) {
@@ -255,7 +255,7 @@
         }
         return c;
     }
-    // Returns whether any path of links leads from the workers to the state service, through any
+    // Returns whether any path of links leads from the workers to the key-value store, through any
     // number of controllers.
     bool path_exists() const {
         auto reached = workers;
@@ -267,8 +267,8 @@
             if (reached[i] && kv[i]) return true;
         return false;
     }
-    // Returns how many hops the relay decisions take to bring a worker's report to this controller:
-    // 1: direct, 2: through one peer, 3: through two peers, 0: not possible.
+    // Returns how many hops the relay decisions take to bring a worker's heartbeat to this
+    // controller: 1: direct, 2: through one peer, 3: through two peers, 0: not possible.
     int hops(int leader) const {
         if (workers[leader]) return 1;
         int best = 0;
@@ -323,7 +323,7 @@
         }
         return out;
     }
-    // Returns the next leader by the decisions of the controllers that reach the state service.
+    // Returns the next leader by the decisions of the controllers that reach the key-value store.
     // `tie_winner` wins a campaign with equal waits.
     int next_leader(int tie_winner) const {
         if (leader >= 0 && map.kv[leader]) {
@@ -349,7 +349,7 @@
     int served = 0, direct = 0, no_path = 0, most_changes = 0;
     for (int bits = 0; bits < 512; ++bits) {
         auto map = LinkMap::from_bits(bits);
-        int best = 0;  // least hops to a controller that reaches the state service; 0: none
+        int best = 0;  // least hops to a controller that reaches the key-value store; 0: none
         bool kv_reachable = false;
         for (int i = 0; i < kNodes; ++i) {
             if (!map.kv[i]) continue;
@@ -382,9 +382,9 @@
         ++(best == 0 ? no_path : served);
         direct += best == 1;
     }
-    // In 448 combinations a controller reaches the state service. In 56 of these the workers reach
-    // no controller. In 30 more they reach only controllers without a path to one that reaches the
-    // state service. The tasks can't be kept in these 86 combinations.
+    // In 448 combinations a controller reaches the key-value store. In 56 of these the workers
+    // reach no controller. In 30 more they reach only controllers without a path to one that
+    // reaches the key-value store. The tasks can't be kept in these 86 combinations.
     EXPECT_EQ(served, 362);
     EXPECT_EQ(no_path, 86);
     EXPECT_EQ(direct, 296);
