--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -21,7 +21,7 @@
 }
 
 TEST(UserCodec, ReadsAndWritesTheSameJob) {
-    test::World w;
+    test::ClusterFixture w;
     auto first = parse_submission(json::serialize(sound_submission()), w.cluster.names);
     EXPECT_EQ(first.id, "req-000412");
     EXPECT_EQ(first.kind, JobKind::Gang);
@@ -57,13 +57,13 @@
         {"expected_s", nullptr}, {"consignor", nullptr},
     };
     for (auto& row : rows) {
-        test::World w;
+        test::ClusterFixture w;
         auto o = sound_submission();
         row.value.is_null() ? (void)o.erase(row.field) : (void)(o[row.field] = row.value);
         EXPECT_THROW(parse_submission(json::serialize(o), w.cluster.names), BadMessage)
             << row.field << " " << row.value;
     }
-    test::World w;
+    test::ClusterFixture w;
     for (const char* text : {"", "{", "[]", "7", "null", "{\"name_id\":1e999}"})
         EXPECT_THROW(parse_submission(std::string_view(text), w.cluster.names), BadMessage) << text;
     std::string deep(5000, '[');
@@ -79,7 +79,7 @@
                         {json::array{}, {}},
                         {json::array{"req-2", "req-1", "req-2"}, {"req-1", "req-2"}}};
     for (auto& row : rows) {
-        test::World w;
+        test::ClusterFixture w;
         auto o = sound_submission();
         o["awaits"] = row.awaits;
         auto spec = parse_submission(json::serialize(o), w.cluster.names);
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 using test::any_machine;
-using test::World;
+using test::ClusterFixture;
 
 // Figure 5 of the Aryl paper: a on servers 1 and 2, b on 3, c on 4 and 5, d on 5 and 6.
 struct Figure5 {
@@ -49,10 +49,11 @@
 }
 
 TEST(Preemption, ClearsTheCheapestMachineAndStopsOnlyThere) {
-    World w;
-    auto m0 = w.machine("m0"), m1 = w.machine("m1");
-    auto many = w.running(w.spec("req-1", JobKind::Array, 3, 2, 0, Priority::Low), {m0, m0, m1});
-    auto big = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
+    ClusterFixture w;
+    auto m0 = w.add_machine("m0"), m1 = w.add_machine("m1");
+    auto many = w.add_running_job(w.job_spec("req-1", JobKind::Array, 3, 2, 0, Priority::Low),
+                                  {m0, m0, m1});
+    auto big = w.add_job(w.job_spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
     auto round = plan_preemption(w.cluster, any_machine, w.now);
     ASSERT_EQ(round.clearings.size(), 1u);
     EXPECT_EQ(round.clearings[0].job, big);
@@ -61,11 +62,12 @@
 }
 
 TEST(Preemption, StopsGangsEverywhereAndCountsTheirOtherMachinesAsFree) {
-    World w;
-    auto m0 = w.machine("m0"), m1 = w.machine("m1"), m2 = w.machine("m2");
-    w.running(w.spec("req-1", JobKind::Array, 1, 4, 0, Priority::Low), {m0});
-    auto gang = w.running(w.spec("req-2", JobKind::Gang, 2, 4, 0, Priority::Low), {m1, m2});
-    w.job(w.spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High));
+    ClusterFixture w;
+    auto m0 = w.add_machine("m0"), m1 = w.add_machine("m1"), m2 = w.add_machine("m2");
+    w.add_running_job(w.job_spec("req-1", JobKind::Array, 1, 4, 0, Priority::Low), {m0});
+    auto gang =
+        w.add_running_job(w.job_spec("req-2", JobKind::Gang, 2, 4, 0, Priority::Low), {m1, m2});
+    w.add_job(w.job_spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High));
     auto round = plan_preemption(w.cluster, any_machine, w.now);
     ASSERT_EQ(round.clearings.size(), 1u);
     EXPECT_EQ(round.clearings[0].machines, (std::vector<Index>{m1, m2}));
@@ -91,21 +93,22 @@
          2, 0},
     };
     for (auto& row : rows) {
-        World w;
-        auto m = w.machine("m0");
-        w.running(w.spec("req-1", JobKind::Array, 1, 8, 0, row.victim, row.victim_team), {m});
-        w.job(
-            w.spec("req-2", JobKind::Array, 1, row.waiting_cpus, 0, row.waiting, row.waiting_team));
+        ClusterFixture w;
+        auto m = w.add_machine("m0");
+        w.add_running_job(w.job_spec("req-1", JobKind::Array, 1, 8, 0, row.victim, row.victim_team),
+                          {m});
+        w.add_job(w.job_spec("req-2", JobKind::Array, 1, row.waiting_cpus, 0, row.waiting,
+                             row.waiting_team));
         EXPECT_EQ(plan_preemption(w.cluster, any_machine, w.now).clearings.size(), row.clearings)
             << row.why;
     }
 }
 
 TEST(Preemption, DoesNotClearTwiceForTheSameJob) {
-    World w;
-    auto m0 = w.machine("m0"), m1 = w.machine("m1");
-    w.running(w.spec("req-1", JobKind::Array, 2, 4, 0, Priority::Low), {m0, m1});
-    auto big = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
+    ClusterFixture w;
+    auto m0 = w.add_machine("m0"), m1 = w.add_machine("m1");
+    w.add_running_job(w.job_spec("req-1", JobKind::Array, 2, 4, 0, Priority::Low), {m0, m1});
+    auto big = w.add_job(w.job_spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
     w.cluster.machines[m0]->reserved_for = big;
     w.cluster.machines[m0]->reserved_until = w.now + 10;
     EXPECT_TRUE(plan_preemption(w.cluster, any_machine, w.now).clearings.empty());
@@ -114,16 +117,17 @@
 TEST(Preemption, JobsOfARoundDoNotCountOnTheSameFreeRoom) {
     // Eight gangs of 32 once counted on the same 13 free machines each: all had 19 cleared, and
     // none began.
-    World w;
-    auto free = w.machine("free");
+    ClusterFixture w;
+    auto free = w.add_machine("free");
     std::vector<Index> busy;
     for (int i = 0; i < 3; ++i) {
-        busy.push_back(w.machine("m" + std::to_string(i)));
-        w.running(w.spec("req-1" + std::to_string(i), JobKind::Array, 1, 8, 0, Priority::Low),
-                  {busy.back()});
+        busy.push_back(w.add_machine("m" + std::to_string(i)));
+        w.add_running_job(
+            w.job_spec("req-1" + std::to_string(i), JobKind::Array, 1, 8, 0, Priority::Low),
+            {busy.back()});
     }
-    auto first = w.job(w.spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
-    auto second = w.job(w.spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High));
+    auto first = w.add_job(w.job_spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
+    auto second = w.add_job(w.job_spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High));
     w.cluster.jobs[first]->submitted = 1;
     auto round = plan_preemption(w.cluster, any_machine, w.now);
     ASSERT_EQ(round.clearings.size(), 2u);
@@ -136,15 +140,15 @@
 }
 
 TEST(Placement, WhatWasKeptForAJobIsFreeOnceItHasItsPlaces) {
-    World w;
-    auto m0 = w.machine("m0"), m1 = w.machine("m1");
-    auto gang = w.job(w.spec("req-1", JobKind::Gang, 1, 7, 0, Priority::High));
+    ClusterFixture w;
+    auto m0 = w.add_machine("m0"), m1 = w.add_machine("m1");
+    auto gang = w.add_job(w.job_spec("req-1", JobKind::Gang, 1, 7, 0, Priority::High));
     for (auto i : {m0, m1}) {
         w.cluster.machines[i]->reserved_for = gang;
         w.cluster.machines[i]->reserved_until = w.now + 50;
     }
     place_waiting(w.cluster, any_machine, w.now);
-    auto next = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
+    auto next = w.add_job(w.job_spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
     EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now),
               (std::vector<Placement>{{next, 0, m1, 1}}));
 }
@@ -166,16 +170,16 @@
         {"more than its tasks counts no more", 1, {"a2", "b0", "b1"}, {"a2"}},
     };
     for (auto& row : rows) {
-        World w;
+        ClusterFixture w;
         for (auto* name : {"a0", "a1", "a2", "b0", "b1", "b2"})
-            w.machine(name, "std", std::string(1, name[0]));
-        w.machine("as", "std", "a", true);
-        auto spec = w.spec("req-1", JobKind::Gang, row.tasks, 7);
+            w.add_machine(name, "std", std::string(1, name[0]));
+        w.add_machine("as", "std", "a", true);
+        auto spec = w.job_spec("req-1", JobKind::Gang, row.tasks, 7);
         spec.one_zone = true;
         spec.image_gb = 6;
         for (auto& name : row.image_on)
             w.cluster.machines[w.cluster.find_machine(name)]->images = {spec.image};
-        w.job(spec);
+        w.add_job(spec);
         std::vector<std::string> on;
         for (auto& p : place_waiting(w.cluster, any_machine, w.now))
             on.push_back(w.cluster.machines[p.machine]->name);
@@ -184,14 +188,14 @@
 }
 
 TEST(ClusterState, ImagesOfAMachineAreThoseThatItsCacheHolds) {
-    World w;
-    auto m = w.machine("m0");  // of 50 GB
+    ClusterFixture w;
+    auto m = w.add_machine("m0");  // of 50 GB
     std::vector<JobSpec> specs;
     for (int i = 0; i < 4; ++i) {
-        specs.push_back(w.spec("req-" + std::to_string(i), JobKind::Array, 1, 1));
+        specs.push_back(w.job_spec("req-" + std::to_string(i), JobKind::Array, 1, 1));
         specs.back().image = w.cluster.names.images.intern("i" + std::to_string(i));
         specs.back().image_gb = 20;
-        w.job(specs.back());
+        w.add_job(specs.back());
     }
     auto& machine = *w.cluster.machines[m];
     for (int i : {0, 1, 0, 2}) w.cluster.saw_image(machine, specs[i]);
@@ -225,11 +229,11 @@
         {"nobody has it", 30, false, 0, {false, false, false}, {true, true, true}},
     };
     for (auto& row : rows) {
-        World w;
-        std::vector<Index> on{w.machine("m0"), w.machine("m1"), w.machine("m2")};
-        auto spec = w.spec("req-1", JobKind::Gang, 3, 7);
+        ClusterFixture w;
+        std::vector<Index> on{w.add_machine("m0"), w.add_machine("m1"), w.add_machine("m2")};
+        auto spec = w.job_spec("req-1", JobKind::Gang, 3, 7);
         spec.image_gb = row.gb;
-        auto j = w.running(spec, on);
+        auto j = w.add_running_job(spec, on);
         auto& job = *w.cluster.jobs[j];
         for (uint32_t t = 0; t < 3; ++t)
             if (row.has[t]) w.cluster.machines[on[t]]->images = {spec.image};
@@ -246,17 +250,17 @@
 TEST(Placement, LowerWorkLeavesMachinesEmptyForGangsThatComeOften) {
     // Each machine that a gang left was filled by small tasks and cleared for the next gang seconds
     // later.
-    World w;
-    auto partly = w.machine("m0");
-    for (auto* name : {"m1", "m2", "m3"}) w.machine(name);
-    w.running(w.spec("req-9", JobKind::Array, 1, 4), {partly});
-    auto gang = w.spec("req-8", JobKind::Gang, 1, 7, 0, Priority::High);
+    ClusterFixture w;
+    auto partly = w.add_machine("m0");
+    for (auto* name : {"m1", "m2", "m3"}) w.add_machine(name);
+    w.add_running_job(w.job_spec("req-9", JobKind::Array, 1, 4), {partly});
+    auto gang = w.job_spec("req-8", JobKind::Gang, 1, 7, 0, Priority::High);
     std::vector<Headroom> headroom{{&gang, 2, 2}};
-    w.job(w.spec("req-1", JobKind::Array, 20, 4, 0, Priority::Low));
+    w.add_job(w.job_spec("req-1", JobKind::Array, 20, 4, 0, Priority::Low));
     auto placed = place_waiting(w.cluster, any_machine, w.now, 100, headroom);
     EXPECT_EQ(placed.size(),
               3u);  // one beside the other, two on the one empty machine that is not kept
-    auto first = w.job(w.spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
+    auto first = w.add_job(w.job_spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
     place_waiting(w.cluster, any_machine, w.now, 100, headroom);
     EXPECT_EQ(w.cluster.jobs[first]->placed, 2u);
 }
@@ -280,12 +284,13 @@
         {"a fleet of three lets lower work run", JobKind::Gang, 7, 25, 10, 3, {{6, 0}}},
     };
     for (auto& row : rows) {
-        World w;
+        ClusterFixture w;
         w.cluster.classes.resize(w.cluster.names.classes.intern("class") + 1);
         w.cluster.classes.back().start_within_s = row.start_within_s;
-        for (int i = 0; i < row.machines; ++i) w.machine("m" + std::to_string(i));
+        for (int i = 0; i < row.machines; ++i) w.add_machine("m" + std::to_string(i));
         for (int i = 0; i < 6; ++i)
-            w.job(w.spec("req-" + std::to_string(i), row.kind, 2, row.cpus, 0, Priority::High));
+            w.add_job(
+                w.job_spec("req-" + std::to_string(i), row.kind, 2, row.cpus, 0, Priority::High));
         AutoscalerSettings settings;
         settings.heartbeat_interval_s = 2;
         settings.clear_s = row.clear_s;
@@ -314,13 +319,14 @@
         {"a limit below the guarantee", {"t", 16, 6, 4, 0}, 4, 1, false, false, true},
     };
     for (auto& row : rows) {
-        World w;
+        ClusterFixture w;
         w.settings.teams = {row.team};
         ClusterState cluster(w.settings);
         cluster.set_types({w.cluster.types[0].type, w.cluster.types[1].type});
         std::swap(w.cluster, cluster);
-        auto spec = w.spec("req-1", JobKind::Array, 2, row.cpus, row.gpus, Priority::Normal, "t");
-        auto j = w.running(spec, {w.machine("m0", "gpu"), w.machine("m1", "gpu")});
+        auto spec =
+            w.job_spec("req-1", JobKind::Array, 2, row.cpus, row.gpus, Priority::Normal, "t");
+        auto j = w.add_running_job(spec, {w.add_machine("m0", "gpu"), w.add_machine("m1", "gpu")});
         auto& team = w.cluster.teams[0];
         EXPECT_EQ(w.cluster.jobs[j]->guaranteed, row.guaranteed) << row.why;
         EXPECT_EQ(w.cluster.over_guarantee(team, spec.demand), row.over) << row.why;
@@ -330,37 +336,37 @@
 }
 
 TEST(Placement, FitsBestAndSparesGpus) {
-    World w;
-    auto gpu = w.machine("gpu", "gpu");
-    auto empty = w.machine("empty"), fuller = w.machine("fuller");
-    w.running(w.spec("req-1", JobKind::Array, 1, 5), {fuller});
-    auto small = w.job(w.spec("req-2", JobKind::Array, 2, 3));
-    auto needs_gpu = w.job(w.spec("req-3", JobKind::Array, 1, 1, 1, Priority::Low));
+    ClusterFixture w;
+    auto gpu = w.add_machine("gpu", "gpu");
+    auto empty = w.add_machine("empty"), fuller = w.add_machine("fuller");
+    w.add_running_job(w.job_spec("req-1", JobKind::Array, 1, 5), {fuller});
+    auto small = w.add_job(w.job_spec("req-2", JobKind::Array, 2, 3));
+    auto needs_gpu = w.add_job(w.job_spec("req-3", JobKind::Array, 1, 1, 1, Priority::Low));
     auto placed = place_waiting(w.cluster, any_machine, w.now);
     EXPECT_EQ(placed, (std::vector<Placement>{
                           {small, 0, fuller, 1}, {small, 1, empty, 1}, {needs_gpu, 0, gpu, 1}}));
 }
 
 TEST(Placement, PrefersTheMachineThatHasTheImage) {
-    World w;
-    w.machine("m0");
-    auto m1 = w.machine("m1");
-    auto j = w.job(w.spec("req-1", JobKind::Array, 1, 3));
+    ClusterFixture w;
+    w.add_machine("m0");
+    auto m1 = w.add_machine("m1");
+    auto j = w.add_job(w.job_spec("req-1", JobKind::Array, 1, 3));
     w.cluster.machines[m1]->images = {w.cluster.jobs[j]->spec.image};
     EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now)[0].machine, m1);
 }
 
 // A cluster and its jobs drawn from a seed. `alike`: the tasks of many jobs are of the same few
 // kinds, as one queue of machines serves them then; otherwise hardly any two are.
-World drawn(unsigned seed, bool alike = false) {
+ClusterFixture drawn(unsigned seed, bool alike = false) {
     std::mt19937 random(seed);
     auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
-    World w;
+    ClusterFixture w;
     auto& names = w.cluster.names;
     std::vector<Index> machines;
     for (uint32_t i = 0, n = 5 + below(60); i < n; ++i) {
-        machines.push_back(w.machine("m" + std::to_string(i), below(3) ? "std" : "gpu",
-                                     below(2) ? "a" : "b", below(3) == 0));
+        machines.push_back(w.add_machine("m" + std::to_string(i), below(3) ? "std" : "gpu",
+                                         below(2) ? "a" : "b", below(3) == 0));
         auto& m = *w.cluster.machines[machines.back()];
         for (uint32_t k = below(3); k > 0; --k)
             m.images.push_back(names.images.intern("i" + std::to_string(below(4))));
@@ -370,9 +376,9 @@
     std::vector<Index> waiting;
     for (uint32_t n = 1; n <= 30; ++n) {
         auto kind = below(3) ? JobKind::Array : JobKind::Gang;
-        auto s = w.spec("req-" + std::to_string(n), kind, 1 + below(12),
-                        0.5 * (1 + below(alike ? 2 : 9)), below(3) ? 0 : 1,
-                        static_cast<Priority>(below(4)), below(4) ? "blue" : "red");
+        auto s = w.job_spec("req-" + std::to_string(n), kind, 1 + below(12),
+                            0.5 * (1 + below(alike ? 2 : 9)), below(3) ? 0 : 1,
+                            static_cast<Priority>(below(4)), below(4) ? "blue" : "red");
         s.demand.mem = 1000 * (1 + below(alike ? 1 : 12));
         s.image = names.images.intern("i" + std::to_string(below(alike ? 2 : 4)));
         s.image_gb = below(2);
@@ -381,7 +387,7 @@
         s.spread = !s.one_zone && below(5) == 0;
         if (below(6) == 0) s.zone = names.zones.find("b");
         if (below(6) == 0) s.types = {names.types.find("gpu")};
-        auto j = w.job(s);
+        auto j = w.add_job(s);
         auto& job = *w.cluster.jobs[j];
         if (below(4) == 0) job.failed_on = {machines[below(machines.size())]};
         if (kind == JobKind::Array && !s.spread && below(2)) {
@@ -417,35 +423,35 @@
 }
 
 TEST(Placement, RanksGuaranteesThenTimesToStart) {
-    World w;
+    ClusterFixture w;
     // Team red is owed 16 CPUs: req-1 fits them, req-2 does not beside it.
-    auto small = w.job(w.spec("req-1", JobKind::Array, 4, 2, 0, Priority::Low, "red"));
-    auto beyond = w.job(w.spec("req-2", JobKind::Array, 8, 2, 0, Priority::Low, "red"));
-    auto high = w.job(w.spec("req-3", JobKind::Array, 1, 1, 0, Priority::High, "blue"));
+    auto small = w.add_job(w.job_spec("req-1", JobKind::Array, 4, 2, 0, Priority::Low, "red"));
+    auto beyond = w.add_job(w.job_spec("req-2", JobKind::Array, 8, 2, 0, Priority::Low, "red"));
+    auto high = w.add_job(w.job_spec("req-3", JobKind::Array, 1, 1, 0, Priority::High, "blue"));
     EXPECT_TRUE(w.cluster.jobs[small]->guaranteed);
     EXPECT_FALSE(w.cluster.jobs[beyond]->guaranteed);
     EXPECT_EQ(waiting_jobs(w.cluster, w.now), (std::vector<Index>{small, high, beyond}));
     // Of two jobs of a class that should start within 30 s, one is late already: it no longer holds
     // up the other.
-    World late;
+    ClusterFixture late;
     late.cluster.classes.resize(late.cluster.names.classes.intern("class") + 1);
     late.cluster.classes.back().start_within_s = 30;
     late.cluster.classes.back().done_within_s = {250};
-    auto old = late.job(late.spec("req-1", JobKind::Array, 1, 1));
+    auto old = late.add_job(late.job_spec("req-1", JobKind::Array, 1, 1));
     late.now += 40;
-    auto fresh = late.job(late.spec("req-2", JobKind::Array, 1, 1));
+    auto fresh = late.add_job(late.job_spec("req-2", JobKind::Array, 1, 1));
     EXPECT_EQ(waiting_jobs(late.cluster, late.now), (std::vector<Index>{fresh, old}));
 }
 
 TEST(Placement, GivesAMachineToAnEqualJobWhoseImageItHas) {
-    World w;
-    auto m = w.machine("m0");
-    auto other = w.spec("req-1", JobKind::Array, 1, 5),
-         near = w.spec("req-2", JobKind::Array, 1, 5);
+    ClusterFixture w;
+    auto m = w.add_machine("m0");
+    auto other = w.job_spec("req-1", JobKind::Array, 1, 5),
+         near = w.job_spec("req-2", JobKind::Array, 1, 5);
     other.image = w.cluster.names.images.intern("other");
     other.image_gb = near.image_gb = 4;
-    w.job(other);
-    auto j = w.job(near);
+    w.add_job(other);
+    auto j = w.add_job(near);
     w.cluster.machines[m]->images = {near.image};
     EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now), (std::vector<Placement>{{j, 0, m, 1}}));
 }
@@ -467,15 +473,16 @@
          3},
     };
     for (auto& row : rows) {
-        World w;
+        ClusterFixture w;
         std::vector<Index> on;
         for (double left : {1.0, 1.0, 3.0}) {
-            on.push_back(w.machine("m" + std::to_string(on.size())));
-            w.running(w.spec("req-9" + std::to_string(on.size()), JobKind::Array, 1, 8 - left),
-                      {on.back()});
+            on.push_back(w.add_machine("m" + std::to_string(on.size())));
+            w.add_running_job(
+                w.job_spec("req-9" + std::to_string(on.size()), JobKind::Array, 1, 8 - left),
+                {on.back()});
         }
-        auto big = w.job(w.spec("req-1", JobKind::Array, 2, row.cpus, 0, row.priority));
-        auto small = w.job(w.spec("req-2", JobKind::Array, 3, 1));
+        auto big = w.add_job(w.job_spec("req-1", JobKind::Array, 2, row.cpus, 0, row.priority));
+        auto small = w.add_job(w.job_spec("req-2", JobKind::Array, 3, 1));
         w.cluster.jobs[small]->submitted = 1;
         place_waiting(w.cluster, any_machine, w.now);
         if (row.priority == Priority::High && row.cpus == 2) {
@@ -497,13 +504,15 @@
     const Row rows[] = {{"four machines can hold both gangs: their share is held", 4, 4},
                         {"three can't: the rest of the limit is for the others", 3, 8}};
     for (auto& row : rows) {
-        World w;
+        ClusterFixture w;
         std::vector<Index> m;
-        for (int i = 0; i < row.machines; ++i) m.push_back(w.machine("m" + std::to_string(i)));
-        w.running(w.spec("req-1", JobKind::Gang, 2, 7, 0, Priority::High, "red"), {m[0], m[1]});
-        w.running(w.spec("req-2", JobKind::Array, 1, 2, 0, Priority::High, "blue"), {m[2]});
-        w.job(w.spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High, "red"));
-        auto small = w.job(w.spec("req-4", JobKind::Array, 20, 1, 0, Priority::Low, "red"));
+        for (int i = 0; i < row.machines; ++i) m.push_back(w.add_machine("m" + std::to_string(i)));
+        w.add_running_job(w.job_spec("req-1", JobKind::Gang, 2, 7, 0, Priority::High, "red"),
+                          {m[0], m[1]});
+        w.add_running_job(w.job_spec("req-2", JobKind::Array, 1, 2, 0, Priority::High, "blue"),
+                          {m[2]});
+        w.add_job(w.job_spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High, "red"));
+        auto small = w.add_job(w.job_spec("req-4", JobKind::Array, 20, 1, 0, Priority::Low, "red"));
         place_waiting(w.cluster, any_machine, w.now);
         EXPECT_EQ(w.cluster.jobs[small]->placed, row.small_placed) << row.why;
     }
@@ -512,15 +521,16 @@
 TEST(Autoscaler, RentsNothingInAZoneThatFellSilent) {
     // During a cut of a zone, machines used to be rented there, and paid for, that nobody could
     // reach.
-    World w;
+    ClusterFixture w;
     for (int i = 0; i < 6; ++i) {
-        auto& m = *w.cluster.machines[w.machine("m" + std::to_string(i), "std", i < 3 ? "a" : "b")];
+        auto& m =
+            *w.cluster.machines[w.add_machine("m" + std::to_string(i), "std", i < 3 ? "a" : "b")];
         m.status = MachineStatus::Running;
         m.up = i >= 3;
     }
-    auto s = w.spec("req-1", JobKind::Array, 40, 8);
+    auto s = w.job_spec("req-1", JobKind::Array, 40, 8);
     s.estimate_s = 100;
-    w.job(s);
+    w.add_job(s);
     auto rentals = plan_scale_out(w.cluster, any_machine, {0.3, 1}, w.now);
     ASSERT_FALSE(rentals.empty());
     for (auto& r : rentals) EXPECT_EQ(w.cluster.names.zones.name(r.zone), "b");
@@ -534,9 +544,9 @@
         size_t returned;
     };
     for (auto& row : {Row{JobKind::Gang, 0}, Row{JobKind::Array, 1}}) {
-        World w;
-        w.machine("m0");
-        w.job(w.spec("req-1", row.kind, 2, 7));
+        ClusterFixture w;
+        w.add_machine("m0");
+        w.add_job(w.job_spec("req-1", row.kind, 2, 7));
         EXPECT_EQ(plan_scale_in(w.cluster, {0.3, 1}, w.now + 200).size(), row.returned);
     }
 }
@@ -553,37 +563,37 @@
                         {"other zone", "std", "b", false, 0},
                         {"spot", "std", "a", true, 0}};
     for (auto& row : rows) {
-        World w;
-        w.machine("m0", row.type, row.zone, row.spot);
-        auto s = w.spec("req-1", JobKind::Array, 1, 1);
+        ClusterFixture w;
+        w.add_machine("m0", row.type, row.zone, row.spot);
+        auto s = w.job_spec("req-1", JobKind::Array, 1, 1);
         s.types = {w.cluster.names.types.find("std")};
         s.zone = w.cluster.names.zones.find("a");
         s.spot = false;
-        w.job(s);
+        w.add_job(s);
         EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), row.placed) << row.why;
     }
 }
 
 TEST(Placement, GangsGoWholeOrNotAtAllAndInOneZone) {
-    World w;
-    w.machine("a0", "std", "a");
-    auto b0 = w.machine("b0", "std", "b"), b1 = w.machine("b1", "std", "b");
-    auto s = w.spec("req-1", JobKind::Gang, 2, 7);
+    ClusterFixture w;
+    w.add_machine("a0", "std", "a");
+    auto b0 = w.add_machine("b0", "std", "b"), b1 = w.add_machine("b1", "std", "b");
+    auto s = w.job_spec("req-1", JobKind::Gang, 2, 7);
     s.one_zone = true;
-    auto j = w.job(s);
+    auto j = w.add_job(s);
     EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now),
               (std::vector<Placement>{{j, 0, b0, 1}, {j, 1, b1, 1}}));
     s.id = "req-2";
-    w.job(s);
+    w.add_job(s);
     EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
 }
 
 TEST(Placement, AGangWaitsForTheLastTaskOfItsOldAttempt) {
     // A task of the old attempt that is on its machine still would be started twice.
-    World w;
-    auto m0 = w.machine("m0"), m1 = w.machine("m1");
-    w.machine("m2");
-    auto j = w.running(w.spec("req-1", JobKind::Gang, 2, 4), {m0, m1});
+    ClusterFixture w;
+    auto m0 = w.add_machine("m0"), m1 = w.add_machine("m1");
+    w.add_machine("m2");
+    auto j = w.add_running_job(w.job_spec("req-1", JobKind::Gang, 2, 4), {m0, m1});
     w.cluster.jobs[j]->gang_attempt = 1;
     w.cluster.unassign(j, 0, w.now);
     EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
@@ -594,32 +604,32 @@
 }
 
 TEST(Placement, SpreadsAtMostHalfOfTheTasksOverOneZone) {
-    World w;
-    w.machine("a0", "std", "a");
-    auto s = w.spec("req-1", JobKind::Array, 5, 1);
+    ClusterFixture w;
+    w.add_machine("a0", "std", "a");
+    auto s = w.job_spec("req-1", JobKind::Array, 5, 1);
     s.spread = true;
-    auto j = w.job(s);
+    auto j = w.add_job(s);
     EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 3u);
-    w.machine("b0", "std", "b");
+    w.add_machine("b0", "std", "b");
     EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 2u);
     EXPECT_EQ(w.cluster.jobs[j]->placed, 5u);
 }
 
 TEST(Placement, AnUnknownZoneHoldsBackWhatIsBoundToOne) {
     // After a change of leader a task may be on a machine that nobody has described yet.
-    World w;
-    w.machine("m0");
-    auto s = w.spec("req-1", JobKind::Array, 2, 1);
+    ClusterFixture w;
+    w.add_machine("m0");
+    auto s = w.job_spec("req-1", JobKind::Array, 2, 1);
     s.one_zone = true;
-    auto j = w.job(s);
+    auto j = w.add_job(s);
     w.cluster.restore_placed(j, 0, w.cluster.add_machine("unheard", w.now), 1, 1);
     EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
 }
 
 TEST(Quota, CountsEveryTaskThatMayBeThere) {
-    World w;
-    for (int i = 0; i < 6; ++i) w.machine("m" + std::to_string(i));
-    auto j = w.job(w.spec("req-1", JobKind::Array, 6, 8, 0, Priority::Normal, "red"));
+    ClusterFixture w;
+    for (int i = 0; i < 6; ++i) w.add_machine("m" + std::to_string(i));
+    auto j = w.add_job(w.job_spec("req-1", JobKind::Array, 6, 8, 0, Priority::Normal, "red"));
     EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 4u);  // 32 CPUs at most
     w.cluster.jobs[j]->tasks[0].stopping = true;                         // told to stop is not gone
     EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
@@ -631,11 +641,11 @@
 TEST(Quota, ALargeJobsShareIsNotFilledByLaterTasksOfItsTeam) {
     // Small tasks used to fill the limit whenever one ended: a large job of the same team never
     // fitted.
-    World w;
-    for (int i = 0; i < 6; ++i) w.machine("m" + std::to_string(i));
-    auto small = w.job(w.spec("req-1", JobKind::Array, 40, 1, 0, Priority::Low, "red"));
+    ClusterFixture w;
+    for (int i = 0; i < 6; ++i) w.add_machine("m" + std::to_string(i));
+    auto small = w.add_job(w.job_spec("req-1", JobKind::Array, 40, 1, 0, Priority::Low, "red"));
     EXPECT_EQ(place_waiting(w.cluster, any_machine, w.now).size(), 32u);
-    auto large = w.job(w.spec("req-2", JobKind::Array, 1, 7, 0, Priority::High, "red"));
+    auto large = w.add_job(w.job_spec("req-2", JobKind::Array, 1, 7, 0, Priority::High, "red"));
     for (uint32_t t = 0; t < 6; ++t) w.cluster.finish(small, t, w.now);
     EXPECT_TRUE(place_waiting(w.cluster, any_machine, w.now).empty());
     w.cluster.finish(small, 6, w.now);
@@ -644,10 +654,10 @@
 
 TEST(Placement, CpuTasksLeaveWhatTheFreeGpusNeed) {
     // GPU machines stood full of CPU tasks, at their full price, while GPU jobs waited.
-    World w;
-    w.machine("gpu", "gpu");  // 8 CPUs, 4 GPUs
-    auto cpu_job = w.job(w.spec("req-2", JobKind::Array, 8, 1, 0, Priority::High));
-    auto gpu_job = w.job(w.spec("req-1", JobKind::Array, 2, 1.5, 1, Priority::Low));
+    ClusterFixture w;
+    w.add_machine("gpu", "gpu");  // 8 CPUs, 4 GPUs
+    auto cpu_job = w.add_job(w.job_spec("req-2", JobKind::Array, 8, 1, 0, Priority::High));
+    auto gpu_job = w.add_job(w.job_spec("req-1", JobKind::Array, 2, 1.5, 1, Priority::Low));
     place_waiting(w.cluster, any_machine, w.now);
     EXPECT_EQ(w.cluster.jobs[cpu_job]->placed, 0u);  // they would keep it from going back
     EXPECT_EQ(w.cluster.jobs[gpu_job]->placed, 2u);
@@ -656,28 +666,28 @@
 }
 
 TEST(Order, GuaranteeThenPriorityThenDeadline) {
-    World w;
-    auto late = w.job(w.spec("req-1", JobKind::Array, 1, 1, 0, Priority::Low));
-    auto due_spec = w.spec("req-2", JobKind::Array, 1, 1, 0, Priority::Low);
+    ClusterFixture w;
+    auto late = w.add_job(w.job_spec("req-1", JobKind::Array, 1, 1, 0, Priority::Low));
+    auto due_spec = w.job_spec("req-2", JobKind::Array, 1, 1, 0, Priority::Low);
     due_spec.deadline_s = 50;
-    auto due = w.job(due_spec);
-    auto owed = w.job(w.spec("req-3", JobKind::Array, 1, 1, 0, Priority::Low, "red"));
-    auto high = w.job(w.spec("req-4", JobKind::Array, 1, 1, 0, Priority::High));
+    auto due = w.add_job(due_spec);
+    auto owed = w.add_job(w.job_spec("req-3", JobKind::Array, 1, 1, 0, Priority::Low, "red"));
+    auto high = w.add_job(w.job_spec("req-4", JobKind::Array, 1, 1, 0, Priority::High));
     EXPECT_EQ(waiting_jobs(w.cluster, w.now), (std::vector<Index>{owed, high, due, late}));
 }
 
 TEST(Autoscaler, RentsForWhatNeitherFitsNorIsComing) {
-    World w;
+    ClusterFixture w;
     auto std_type = w.cluster.names.types.find("std");
     auto zone_a = w.cluster.names.zones.find("a"), zone_b = w.cluster.names.zones.find("b");
-    auto s = w.spec("req-1", JobKind::Array, 17, 1);
+    auto s = w.job_spec("req-1", JobKind::Array, 17, 1);
     s.estimate_s = 300;
     s.deadline_s = 330;  // too long, and too urgent, to be run one after the other
-    w.job(s);
+    w.add_job(s);
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_a, true, 3}}));
     // A machine that is coming up already counts, whether the list shows it or not.
-    auto& m = *w.cluster.machines[w.machine("m0", "std", "a", true)];
+    auto& m = *w.cluster.machines[w.add_machine("m0", "std", "a", true)];
     m.up = false;
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_a, true, 2}}));
@@ -690,18 +700,18 @@
 TEST(Autoscaler, AJobBoundToOneZoneIsNotKeptInAZoneThatIsFull) {
     // With one machine in zone a and no more to be had there, jobs queued for it while zone b was
     // empty.
-    World w;
+    ClusterFixture w;
     auto std_type = w.cluster.names.types.find("std");
     auto zone_a = w.cluster.names.zones.find("a"), zone_b = w.cluster.names.zones.find("b");
-    auto m = w.machine("m0");
-    auto s = w.spec("req-1", JobKind::Gang, 1, 7);
+    auto m = w.add_machine("m0");
+    auto s = w.job_spec("req-1", JobKind::Gang, 1, 7);
     s.one_zone = true;
     s.spot = false;
     s.types = {std_type};
     s.estimate_s = 300;
-    w.running(s, {m});
+    w.add_running_job(s, {m});
     s.id = "req-2";
-    w.job(s);
+    w.add_job(s);
     w.cluster.refusals.push_back({w.now + 10, {std_type, zone_a, false}});
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_b, false, 1}}));
@@ -709,12 +719,12 @@
 
 TEST(Autoscaler, AMachineJustRentedIsNotRentedAgain) {
     // One that is coming up was taken to be later than a new one, and rented again at each pass.
-    World w;
-    auto s = w.spec("req-1", JobKind::Array, 1, 8);
+    ClusterFixture w;
+    auto s = w.job_spec("req-1", JobKind::Array, 1, 8);
     s.deadline_s = 1;
-    w.job(s);
+    w.add_job(s);
     ASSERT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now).size(), 1u);
-    auto& m = *w.cluster.machines[w.machine("m0", "std", "a", true)];
+    auto& m = *w.cluster.machines[w.add_machine("m0", "std", "a", true)];
     m.up = false;
     m.requested_at = w.now;
     for (double later : {0.0, 0.5, 10.0, 29.0, 40.0})
@@ -744,19 +754,19 @@
         {"overdue by far", 1, 20, 60, 1, 400},
     };
     for (auto& row : rows) {
-        World w;
+        ClusterFixture w;
         auto types = std::vector<MachineType>{w.cluster.types[0].type, w.cluster.types[1].type};
         types[1].price = row.price;
         w.cluster.set_types(types);
-        auto m = w.machine("m0");
-        auto s = w.spec("req-1", JobKind::Array, 1, 8);
+        auto m = w.add_machine("m0");
+        auto s = w.job_spec("req-1", JobKind::Array, 1, 8);
         s.estimate_s = row.left_s;
-        auto j = w.running(s, {m});
+        auto j = w.add_running_job(s, {m});
         w.cluster.jobs[j]->tasks[0].running_at = static_cast<float>(w.now);
         w.now += row.ran_s;
         s.id = "req-2";
         s.deadline_s = row.deadline_s;
-        w.job(s);
+        w.add_job(s);
         EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now).size(), row.rentals) << row.why;
         // What is coming up already is not rented again.
         auto coming = w.cluster.add_machine("m1", w.now);
@@ -769,19 +779,19 @@
 }
 
 TEST(Autoscaler, KeepsRoomForJobsThatShouldStartSoonerThanANewMachine) {
-    World w;
-    auto s = w.spec("req-1", JobKind::Gang, 2, 7);
+    ClusterFixture w;
+    auto s = w.job_spec("req-1", JobKind::Gang, 2, 7);
     w.cluster.classes.resize(s.job_class + 1);
     w.cluster.classes[s.job_class].start_within_s = 15;
-    auto m0 = w.machine("m0"), m1 = w.machine("m1");
-    w.running(s, {m0, m1});
+    auto m0 = w.add_machine("m0"), m1 = w.add_machine("m1");
+    w.add_running_job(s, {m0, m1});
     // Both machines are taken: room for another job of two is rented before it comes.
     int requested_at = 0;
     for (auto& r : plan_scale_out(w.cluster, any_machine, {}, w.now)) requested_at += r.count;
     EXPECT_EQ(requested_at, 2);
     // Idle ones are kept for it, until no such job has come for a while.
-    w.machine("m2");
-    w.machine("m3");
+    w.add_machine("m2");
+    w.add_machine("m3");
     w.now += 100;
     EXPECT_TRUE(plan_scale_out(w.cluster, any_machine, {}, w.now).empty());
     EXPECT_TRUE(plan_scale_in(w.cluster, {0.3, 1}, w.now).empty());
@@ -790,10 +800,10 @@
 }
 
 TEST(Autoscaler, ReturnsIdleGivenUpAndFailedMachines) {
-    World w;
-    auto idle = w.machine("idle"), busy = w.machine("busy"), abandoned = w.machine("doomed"),
-         fresh = w.machine("fresh");
-    w.running(w.spec("req-1", JobKind::Array, 1, 1), {busy});
+    ClusterFixture w;
+    auto idle = w.add_machine("idle"), busy = w.add_machine("busy"),
+         abandoned = w.add_machine("doomed"), fresh = w.add_machine("fresh");
+    w.add_running_job(w.job_spec("req-1", JobKind::Array, 1, 1), {busy});
     w.cluster.machines[abandoned]->abandoned = true;
     w.now += 61;
     w.cluster.machines[fresh]->up_at = w.now;
@@ -820,13 +830,14 @@
         {"of another team", 2, 8, Priority::Normal, "red", 2},
     };
     for (auto& row : rows) {
-        World w;
+        ClusterFixture w;
         for (int i = 0; i < 3; ++i)
-            w.running(w.spec("req-" + std::to_string(i), JobKind::Array, 1, 8, 0, Priority::Low),
-                      {w.machine("m" + std::to_string(i))});
-        w.job(w.spec("req-10", JobKind::Gang, 4, 8));
-        auto second =
-            w.job(w.spec("req-11", JobKind::Gang, row.tasks, row.cpus, 0, row.priority, row.team));
+            w.add_running_job(
+                w.job_spec("req-" + std::to_string(i), JobKind::Array, 1, 8, 0, Priority::Low),
+                {w.add_machine("m" + std::to_string(i))});
+        w.add_job(w.job_spec("req-10", JobKind::Gang, 4, 8));
+        auto second = w.add_job(
+            w.job_spec("req-11", JobKind::Gang, row.tasks, row.cpus, 0, row.priority, row.team));
         auto round = plan_preemption(w.cluster, test::any_machine, w.now);
         size_t cleared = 0;
         for (auto& c : round.clearings)
@@ -842,11 +853,12 @@
     for (unsigned seed = 1; seed <= 150; ++seed) {
         std::mt19937 random(seed);
         auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
-        World w;
+        ClusterFixture w;
         for (uint32_t i = 0, n = 10 + below(80); i < n; ++i) {
             auto& m =
-                *w.cluster.machines[w.machine("vm-" + std::to_string(i), below(3) ? "std" : "gpu",
-                                              below(2) ? "a" : "b", below(3) == 0)];
+                *w.cluster
+                     .machines[w.add_machine("vm-" + std::to_string(i), below(3) ? "std" : "gpu",
+                                             below(2) ? "a" : "b", below(3) == 0)];
             m.up = below(4) > 0;
             m.status = m.up ? MachineStatus::Running : MachineStatus::Booting;
             m.requested_at = w.now - below(30);
@@ -854,16 +866,16 @@
         uint32_t jobs = 5 + below(40), kinds = below(2) ? 3 : 30;
         for (uint32_t j = 0; j < jobs; ++j) {
             uint32_t k = below(kinds);
-            auto s = w.spec("req-" + std::to_string(j), below(2) ? JobKind::Gang : JobKind::Array,
-                            1 + below(20), 1 + 0.2 * k, k % 3 == 0 ? 1 : 0,
-                            static_cast<Priority>(below(4)));
+            auto s = w.job_spec("req-" + std::to_string(j),
+                                below(2) ? JobKind::Gang : JobKind::Array, 1 + below(20),
+                                1 + 0.2 * k, k % 3 == 0 ? 1 : 0, static_cast<Priority>(below(4)));
             s.spot = k % 2;
             s.one_zone = below(3) == 0;
             s.spread = !s.one_zone && below(4) == 0;
             s.estimate_s = 10 + below(90);
             s.deadline_s = below(2) ? -1 : below(200);
             if (below(5) == 0) s.zone = w.cluster.names.zones.find("b");
-            w.job(std::move(s));
+            w.add_job(std::move(s));
             if (j == jobs / 2) place_waiting(w.cluster, test::any_machine, w.now, 1000);
         }
         auto kept = plan_scale_out(w.cluster, test::any_machine, {0.3, 2, 8}, w.now);
--- a/tests/downlink_test.cpp
+++ b/tests/downlink_test.cpp
@@ -4,13 +4,13 @@
 
 #include <random>
 
-#include "service.h"
+#include "service_fixture.h"
 
 namespace weirmill {
 namespace {
 
 namespace json = boost::json;
-using test::Service;
+using test::ServiceFixture;
 
 // Report interval 2 s, lease 18 s, a worker's patience 4 s and 1 s more to the next of two
 // controllers.
@@ -164,10 +164,10 @@
 }
 
 // Summed over the controllers that are there.
-double figure(Service& s, const std::string& name) {
+double figure(ServiceFixture& s, const std::string& name) {
     double sum = 0;
     for (size_t i = 0; i < s.nodes.size(); ++i) {
-        auto page = s.alive[i] ? s.ask_node(i, "GET", "/metrics", "") : std::nullopt;
+        auto page = s.alive[i] ? s.request_node(i, "GET", "/metrics", "") : std::nullopt;
         auto at = page ? page->body.find("\nweirmill_" + name + " ") : std::string::npos;
         if (at != std::string::npos) sum += std::stod(page->body.substr(at + name.size() + 11));
     }
@@ -175,82 +175,83 @@
 }
 
 // The machine on which a task of the job runs.
-std::shared_ptr<fakes::Worker> machine_of(Service& s, const std::string& job) {
+std::shared_ptr<fakes::Worker> machine_of(ServiceFixture& s, const std::string& job) {
     for (auto& [name, w] : s.cloud->workers)
-        if (!w->dead() && w->runs(job)) return w;
+        if (!w->dead() && w->is_running(job)) return w;
     return nullptr;
 }
 
 TEST(DownlinkService, WorkGoesElsewhereFromAMachineThatHearsNothingAndItIsGivenBack) {
     // It was heard, and so it kept its tasks, got new ones at each of its sessions and was never
     // given back.
-    Service s(1);
+    ServiceFixture s(1);
     EXPECT_EQ(s.submit("req-1", "array", 1, {1.0}), 201);
-    ASSERT_TRUE(s.until([&] { return s.cloud->on_some_machine("req-1"); }));
+    ASSERT_TRUE(s.wait_until([&] { return s.cloud->is_running("req-1"); }));
     auto downlink_lost = machine_of(s, "req-1");
     downlink_lost->downlink_lost = true;
     s.cloud->jobs["req-1"].run_s = 3;
     EXPECT_EQ(s.submit("req-2", "array", 3, {0.2}), 201);
-    EXPECT_TRUE(s.done("req-1"));
-    EXPECT_TRUE(s.done("req-2"));
-    EXPECT_TRUE(s.until([&] { return figure(s, "machines_deaf_total") > 0; }));
+    EXPECT_TRUE(s.wait_until_done("req-1"));
+    EXPECT_TRUE(s.wait_until_done("req-2"));
+    EXPECT_TRUE(s.wait_until([&] { return figure(s, "machines_deaf_total") > 0; }));
     // A job that fills a machine each: none of its tasks is sent to the one without a downlink any
     // more.
-    auto body = Service::with(Service::submission("req-3", "array", 4, 8), "expected_s", 1.0);
+    auto body = ServiceFixture::with_field(ServiceFixture::submission_body("req-3", "array", 4, 8),
+                                           "expected_s", 1.0);
     s.cloud->jobs["req-3"] = {0.2, false, 4, false, {}};
-    EXPECT_EQ(s.ask("POST", "/v2/runs", body).status, 201);
-    EXPECT_TRUE(s.done("req-3"));
-    EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
+    EXPECT_EQ(s.request_any_node("POST", "/v2/runs", body).status, 201);
+    EXPECT_TRUE(s.wait_until_done("req-3"));
+    EXPECT_TRUE(s.cloud->violations.empty()) << s.cloud->violations[0];
 }
 
 TEST(DownlinkService, AMachineThatHearsAgainIsUsedAgain) {
-    Service s(1);
+    ServiceFixture s(1);
     EXPECT_EQ(s.submit("req-1", "array", 1, {0.2}), 201);
-    EXPECT_TRUE(s.done("req-1"));
+    EXPECT_TRUE(s.wait_until_done("req-1"));
     for (auto& [name, w] : s.cloud->workers) w->downlink_lost = true;
     EXPECT_EQ(s.submit("req-2", "array", 1, {0.2}), 201);
-    EXPECT_TRUE(s.until([&] { return figure(s, "machines_deaf") > 0; }));
+    EXPECT_TRUE(s.wait_until([&] { return figure(s, "machines_deaf") > 0; }));
     for (auto& [name, w] : s.cloud->workers) w->downlink_lost = false;
-    EXPECT_TRUE(s.until([&] { return figure(s, "machines_deaf") == 0; }));
-    EXPECT_TRUE(s.done("req-2"));
-    EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
+    EXPECT_TRUE(s.wait_until([&] { return figure(s, "machines_deaf") == 0; }));
+    EXPECT_TRUE(s.wait_until_done("req-2"));
+    EXPECT_TRUE(s.cloud->violations.empty()) << s.cloud->violations[0];
 }
 
 TEST(DownlinkService, CopiesOfReportsChangeNothing) {
     // Of each report five old ones come again, to any controller, while jobs run, the leader ends
     // and machines go silent: each task starts once on a sound machine, and no lease is kept from
     // running out.
-    Service s(3);
+    ServiceFixture s(3);
     EXPECT_EQ(s.submit("req-1", "array", 6, {2.0}), 201);
-    ASSERT_TRUE(s.until([&] { return s.cloud->starts.size() == 6; }));
+    ASSERT_TRUE(s.wait_until([&] { return s.cloud->task_starts.size() == 6; }));
     auto copies = [&] {
-        for (auto& [name, w] : s.cloud->workers) w->copies = 5;
+        for (auto& [name, w] : s.cloud->workers) w->stale_copies = 5;
     };
     copies();
     EXPECT_EQ(s.submit("req-2", "ensemble", 3, {0.5}), 201);
-    EXPECT_TRUE(s.done("req-2"));
+    EXPECT_TRUE(s.wait_until_done("req-2"));
     copies();
     s.crash_leader();
     EXPECT_EQ(s.submit("req-3", "array", 6, {0.2}), 201);
-    EXPECT_TRUE(s.done("req-1"));
-    EXPECT_TRUE(s.done("req-3"));
-    for (auto& [task, n] : s.cloud->starts) EXPECT_EQ(n, 1) << task;
+    EXPECT_TRUE(s.wait_until_done("req-1"));
+    EXPECT_TRUE(s.wait_until_done("req-3"));
+    for (auto& [task, n] : s.cloud->task_starts) EXPECT_EQ(n, 1) << task;
     EXPECT_GT(figure(s, "report_copies_total"), 0);
-    EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
+    EXPECT_TRUE(s.cloud->violations.empty()) << s.cloud->violations[0];
 }
 
 TEST(DownlinkService, AMachineThatIsBackAtOnceLosesItsTasksAndIsUsedAgain) {
     // Its counts begin anew: taken for copies, its reports were answered without an end, and what
     // had been there was believed to run.
-    Service s(1);
+    ServiceFixture s(1);
     EXPECT_EQ(s.submit("req-1", "array", 1, {1.5}), 201);
-    ASSERT_TRUE(s.until([&] { return s.cloud->on_some_machine("req-1"); }));
+    ASSERT_TRUE(s.wait_until([&] { return s.cloud->is_running("req-1"); }));
     auto w = machine_of(s, "req-1");
-    ASSERT_TRUE(s.until([&] { return s.status("req-1") == "running"; }));
-    w->begin_anew();
-    EXPECT_TRUE(s.done("req-1"));
-    EXPECT_EQ(s.cloud->starts["req-1/0"], 2);
-    EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
+    ASSERT_TRUE(s.wait_until([&] { return s.job_status("req-1") == "running"; }));
+    w->restart();
+    EXPECT_TRUE(s.wait_until_done("req-1"));
+    EXPECT_EQ(s.cloud->task_starts["req-1/0"], 2);
+    EXPECT_TRUE(s.cloud->violations.empty()) << s.cloud->violations[0];
 }
 
 // Every interleaving of a small world, drawn: one worker, its reports and copies of them in any
--- a/tests/fakes/fakes.cpp
+++ b/tests/fakes/fakes.cpp
@@ -17,9 +17,9 @@
 
 }  // namespace
 
-State::State(asio::io_context& io) : io_(io) {}
+StateService::StateService(asio::io_context& io) : io_(io) {}
 
-Endpoint State::endpoint_for(int controller) {
+Endpoint StateService::endpoint_for(int controller) {
     auto& endpoint_for = servers_[controller];
     if (!endpoint_for)
         endpoint_for = std::make_unique<HttpServer>(
@@ -28,33 +28,33 @@
     return {"127.0.0.1", endpoint_for->port()};
 }
 
-std::map<std::string, json::value> State::keys() const {
+std::map<std::string, json::value> StateService::snapshot() const {
     std::map<std::string, json::value> out;
     for (auto& [k, i] : items_) out[k] = i.value;
     return out;
 }
 
-size_t State::count(const std::string& prefix) const {
+size_t StateService::count_keys(const std::string& prefix) const {
     return static_cast<size_t>(std::count_if(items_.begin(), items_.end(),
                                              [&](auto& i) { return i.first.starts_with(prefix); }));
 }
 
-void State::put(const std::string& key, json::value value) {
+void StateService::put(const std::string& key, json::value value) {
     ++revision_;
-    history_.push_back({revision_, key, value});
+    changes_.push_back({revision_, key, value});
     items_[key] = {std::move(value), revision_, 0};
 }
 
-void State::drop(const std::string& key) {
+void StateService::erase(const std::string& key) {
     ++revision_;
-    if (items_.erase(key)) history_.push_back({revision_, key, {}});
+    if (items_.erase(key)) changes_.push_back({revision_, key, {}});
 }
 
-json::array State::events(const std::string& prefix, uint64_t after) const {
+json::array StateService::events_since(const std::string& prefix, uint64_t after) const {
     json::array out;
-    auto first = std::upper_bound(history_.begin(), history_.end(), after,
+    auto first = std::upper_bound(changes_.begin(), changes_.end(), after,
                                   [](uint64_t r, auto& change) { return r < change.revision; });
-    for (auto it = first; it != history_.end(); ++it) {
+    for (auto it = first; it != changes_.end(); ++it) {
         if (!it->key.starts_with(prefix)) continue;
         if (it->value)
             out.push_back(
@@ -65,15 +65,15 @@
     return out;
 }
 
-void State::end_outage() {
-    down = false;
-    for (auto& [id, lease] : leases_) lease.until = steady_now() + lease.ttl;
+void StateService::end_outage() {
+    unavailable = false;
+    for (auto& [id, lease] : leases_) lease.expires_at = steady_now() + lease.ttl_s;
 }
 
-void State::expire() {
-    if (down) return;
+void StateService::expire_leases() {
+    if (unavailable) return;
     for (auto it = leases_.begin(); it != leases_.end();) {
-        if (steady_now() < it->second.until) {
+        if (steady_now() < it->second.expires_at) {
             ++it;
             continue;
         }
@@ -84,28 +84,28 @@
                 continue;
             }
             revision_ += !std::exchange(any, true);
-            history_.push_back({revision_, i->first, {}});
+            changes_.push_back({revision_, i->first, {}});
             i = items_.erase(i);
         }
         it = leases_.erase(it);
     }
 }
 
-json::object State::item_json(const std::string& key, const Item& i) const {
+json::object StateService::item_json(const std::string& key, const Item& i) const {
     json::object o{{"path", key}, {"value", i.value}, {"stamp", i.version}};
     if (i.lease) o["permit"] = i.lease;
     return o;
 }
 
-bool State::takes(const json::object& txn) const {
+bool StateService::accepts(const json::object& txn) const {
     return std::none_of(txn.at("then").as_array().begin(), txn.at("then").as_array().end(),
                         [&](auto& c) {
                             auto* value = c.as_object().if_contains("value");
-                            return value && json::serialize(*value).size() > value_bytes;
+                            return value && json::serialize(*value).size() > max_value_bytes;
                         });
 }
 
-HttpReply State::apply(const json::object& txn) {
+HttpReply StateService::apply(const json::object& txn) {
     json::array failed;
     for (auto& c : txn.at("when").as_array()) {
         std::string key(c.at("path").as_string());
@@ -120,55 +120,56 @@
         auto& o = c.as_object();
         if (auto* drop = o.if_contains("drop")) {
             std::string key(drop->as_string());
-            if (items_.erase(key)) history_.push_back({revision_, key, {}});
+            if (items_.erase(key)) changes_.push_back({revision_, key, {}});
         } else {
             uint64_t lease = o.contains("permit") ? o.at("permit").to_number<uint64_t>() : 0;
             if (lease && !leases_.count(lease))
                 return answer(400, json::object{{"error", "no such lease"}});
             std::string key(o.at("write").as_string());
             items_[key] = {o.at("value"), revision_, lease};
-            history_.push_back({revision_, key, o.at("value")});
+            changes_.push_back({revision_, key, o.at("value")});
         }
     }
     return answer(200, json::object{{"ledger", revision_}});
 }
 
-asio::awaitable<HttpReply> State::handle(HttpRequest r, int controller) {
-    expire();
+asio::awaitable<HttpReply> StateService::handle(HttpRequest r, int controller) {
+    expire_leases();
     std::string path = r.target.substr(0, r.target.find('?'));
     if (path == "/follow") {
         uint64_t from = std::stoull(query(r.target, "from"));
         auto prefix = query(r.target, "starts");
         for (double until = steady_now() + std::stod(query(r.target, "block_ms")) / 1000;
-             steady_now() < until && (closed(controller) || events(prefix, from).empty());) {
+             steady_now() < until && (refuses(controller) || events_since(prefix, from).empty());) {
             co_await sleep_s(0.02);
-            expire();
+            expire_leases();
         }
-        auto events = this->events(prefix, from);
+        auto events = this->events_since(prefix, from);
         co_return answer(200, json::object{{"ledger", revision_}, {"events", events}});
     }
-    if (closed(controller)) co_return answer(503, json::object{});
+    if (refuses(controller)) co_return answer(503, json::object{});
     if (path == "/multi") {
         auto txn = json::parse(r.body).as_object();
-        if (!takes(txn)) {
-            ++too_large;
+        if (!accepts(txn)) {
+            ++oversized_txns;
             co_return answer(400, json::object{{"error", "too large"}});
         }
         auto& then = txn.at("then").as_array();
-        if (refuse_drops && std::any_of(then.begin(), then.end(),
-                                        [](auto& c) { return c.as_object().contains("drop"); }))
+        if (refuse_deletes && std::any_of(then.begin(), then.end(),
+                                          [](auto& c) { return c.as_object().contains("drop"); }))
             co_return answer(503, json::object{});
-        value_bytes = std::min(value_bytes, std::exchange(next_value_bytes, value_bytes));
+        max_value_bytes =
+            std::min(max_value_bytes, std::exchange(next_max_value_bytes, max_value_bytes));
         if (delay_txns > 0) {
             --delay_txns;
             co_await sleep_s(1.6);
             co_return apply(txn);
         }
         auto reply = apply(txn);
-        bool lost = !lose_answer_of.empty() &&
-                    r.body.find("\"" + lose_answer_of + "\"") != std::string::npos;
-        if (lost || lose_txn_answers > 0) {
-            lose_txn_answers = std::max(0, lose_txn_answers - 1);
+        bool lost = !lose_response_for_key.empty() &&
+                    r.body.find("\"" + lose_response_for_key + "\"") != std::string::npos;
+        if (lost || lose_txn_responses > 0) {
+            lose_txn_responses = std::max(0, lose_txn_responses - 1);
             co_await sleep_s(1.6);
         }
         co_return reply;
@@ -181,8 +182,8 @@
     if (path.starts_with("/leases/")) {
         auto it = leases_.find(std::stoull(path.substr(8)));
         if (it == leases_.end()) co_return answer(404, json::object{});
-        it->second.until = steady_now() + it->second.ttl;
-        if (slow_leases_s > 0) co_await sleep_s(slow_leases_s);
+        it->second.expires_at = steady_now() + it->second.ttl_s;
+        if (lease_response_delay_s > 0) co_await sleep_s(lease_response_delay_s);
         co_return answer(200, json::object{});
     }
     if (path == "/keys") {
@@ -202,7 +203,7 @@
                          json::object{{"pairs", pairs}, {"has_next", more}, {"ledger", revision_}});
     }
     if (path.starts_with("/keys/")) {
-        if (refuse_keys) co_return answer(503, json::object{});
+        if (refuse_key_reads) co_return answer(503, json::object{});
         auto it = items_.find(path.substr(6));
         if (it == items_.end()) co_return answer(404, json::object{{"ledger", revision_}});
         co_return answer(200, item_json(it->first, it->second));
@@ -218,12 +219,12 @@
       spot(spot),
       io_(io),
       cloud_(cloud),
-      lease_from_(steady_now()),
+      lease_started_at_(steady_now()),
       server_(io, kLoopback, 100, [this](HttpRequest r) { return handle(std::move(r)); }) {}
 
-void Worker::start() { asio::co_spawn(io_, live(shared_from_this()), asio::detached); }
+void Worker::start() { asio::co_spawn(io_, heartbeat_loop(shared_from_this()), asio::detached); }
 
-json::object Worker::report() {
+json::object Worker::heartbeat() {
     json::array lots;
     for (auto& [id, t] : tasks_) {
         json::object o{{"lot", id}, {"try", t.attempt}, {"status", t.state}};
@@ -231,32 +232,33 @@
         if (t.saved) o["kept"] = true;
         lots.push_back(std::move(o));
     }
-    return {{"millstone", name},   {"addr", addr()},    {"rig", type},    {"yard", zone},
-            {"loaners", spot},     {"shift", session_}, {"tick", ++seq_}, {"gavel", fencing_token_},
-            {"recall_s", nullptr}, {"lots", lots}};
+    return {{"millstone", name}, {"addr", addr()},          {"rig", type},
+            {"yard", zone},      {"loaners", spot},         {"shift", agent_epoch_},
+            {"tick", ++seq_},    {"gavel", fencing_token_}, {"recall_s", nullptr},
+            {"lots", lots}};
 }
 
-void Worker::step() {
+void Worker::update_tasks() {
     if (hung) return;
     double now = steady_now();
-    if (now - lease_from_ > cloud_.settings.lease_s) {
+    if (now - lease_started_at_ > cloud_.settings.lease_s) {
         tasks_.clear();
-        ++session_;
-        lease_from_ = now;
+        ++agent_epoch_;
+        lease_started_at_ = now;
     }
     for (auto& [id, t] : tasks_) {
         if (t.state != "running") continue;
         auto job = id.substr(0, id.rfind('/'));
-        if (now < t.ends) continue;
+        if (now < t.ends_at) continue;
         t.state = "exited";
         t.cause = cloud_.jobs[job].fails ? "error" : "done";
-        cloud_.ends[job] += t.cause == "done";
-        if (t.cause == "done") cloud_.done_at.emplace(id, now);
+        cloud_.completed_tasks[job] += t.cause == "done";
+        if (t.cause == "done") cloud_.task_completed_at.emplace(id, now);
     }
 }
 
-void Worker::execute(const json::array& orders) {
-    if (cloud_.held_starts) return;
+void Worker::execute_commands(const json::array& orders) {
+    if (cloud_.hold_launches) return;
     for (auto& v : orders) {
         auto& o = v.as_object();
         std::string lot(o.at("lot").as_string()), op(o.at("order").as_string());
@@ -264,12 +266,12 @@
         auto it = tasks_.find(lot);
         if (op == "launch") {
             if (it != tasks_.end()) {
-                if (it->second.attempt != attempt) cloud_.broken.push_back("busy " + lot);
+                if (it->second.attempt != attempt) cloud_.violations.push_back("busy " + lot);
                 continue;
             }
-            cloud_.check_start(*this, lot);
+            cloud_.check_launch(*this, lot);
             auto job = lot.substr(0, lot.rfind('/'));
-            ++cloud_.starts[lot];
+            ++cloud_.task_starts[lot];
             auto& spec = cloud_.jobs[job];
             double run_s = spec.run_s + spec.stagger_s * std::stoi(lot.substr(lot.rfind('/') + 1));
             tasks_[lot] = {attempt, "running", "", steady_now() + run_s};
@@ -289,60 +291,64 @@
 asio::awaitable<HttpReply> Worker::handle(HttpRequest r) {
     auto self = shared_from_this();
     while ((hold_commands || hung) && !dead_) co_await sleep_s(0.01);
-    if (dead_ || silent || downlink_lost || no_commands) co_return HttpReply{500, "{}"};
-    step();
+    if (dead_ || unreachable || downlink_lost || lose_commands) co_return HttpReply{500, "{}"};
+    update_tasks();
     auto v = json::parse(r.body).as_object();
     auto fencing_token = v.at("gavel").to_number<uint64_t>();
-    if (fencing_token < fencing_token_ || v.at("shift").to_number<uint64_t>() != session_)
-        co_return answer(409, report());
+    if (fencing_token < fencing_token_ || v.at("shift").to_number<uint64_t>() != agent_epoch_)
+        co_return answer(409, heartbeat());
     fencing_token_ = fencing_token;
-    execute(v.at("orders").as_array());
-    co_return answer(200, report());
+    execute_commands(v.at("orders").as_array());
+    co_return answer(200, heartbeat());
 }
 
-void Worker::begin_anew() {
+void Worker::restart() {
     tasks_.clear();
-    session_ = 1;
+    agent_epoch_ = 1;
     seq_ = fencing_token_ = 0;
-    lease_from_ = steady_now();
+    lease_started_at_ = steady_now();
 }
 
-asio::awaitable<void> Worker::send_copy(std::shared_ptr<Worker> self, std::string body,
-                                        Endpoint to) {
+asio::awaitable<void> Worker::send_heartbeat_copy(std::shared_ptr<Worker> self, std::string body,
+                                                  Endpoint to) {
     (void)self;
     HttpClient client(io_, to, 1024 * 1024);
     (void)co_await client.request("POST", "/v1/report", std::move(body), 1.0);
 }
 
-void Worker::repeat_report(size_t n) {
-    for (auto& to : cloud_.nodes)
-        asio::co_spawn(io_, send_copy(shared_from_this(), sent_[n], to), asio::detached);
+void Worker::resend_heartbeat(size_t n) {
+    for (auto& to : cloud_.controllers)
+        asio::co_spawn(io_, send_heartbeat_copy(shared_from_this(), sent_heartbeats_[n], to),
+                       asio::detached);
 }
 
-asio::awaitable<void> Worker::live(std::shared_ptr<Worker> self) {
+asio::awaitable<void> Worker::heartbeat_loop(std::shared_ptr<Worker> self) {
     size_t node = 0;
     while (!dead_) {
         co_await sleep_s(cloud_.settings.heartbeat_interval_s);
-        step();
-        if (dead_ || silent || hung || mute || cloud_.nodes.empty()) continue;
-        if (only >= 0) node = static_cast<size_t>(only);
-        if (cut_from >= 0 && static_cast<size_t>(cut_from) == node % cloud_.nodes.size()) ++node;
+        update_tasks();
+        if (dead_ || unreachable || hung || uplink_lost || cloud_.controllers.empty()) continue;
+        if (only_controller >= 0) node = static_cast<size_t>(only_controller);
+        if (unreachable_controller >= 0 &&
+            static_cast<size_t>(unreachable_controller) == node % cloud_.controllers.size())
+            ++node;
         double sent = steady_now();
-        uint64_t agent_epoch = session_;
-        HttpClient client(io_, cloud_.nodes[node % cloud_.nodes.size()], 1024 * 1024);
-        auto body = json::serialize(report());
-        sent_.push_back(body);
-        if (sent_.size() > 400) sent_.pop_front();
-        for (int i = 0; i < copies; ++i) {
-            auto old = sent_[static_cast<size_t>(i) * 7919 % sent_.size()];
-            auto to = cloud_.nodes[(node + static_cast<size_t>(i)) % cloud_.nodes.size()];
-            asio::co_spawn(io_, send_copy(self, std::move(old), to), asio::detached);
+        uint64_t agent_epoch = agent_epoch_;
+        HttpClient client(io_, cloud_.controllers[node % cloud_.controllers.size()], 1024 * 1024);
+        auto body = json::serialize(heartbeat());
+        sent_heartbeats_.push_back(body);
+        if (sent_heartbeats_.size() > 400) sent_heartbeats_.pop_front();
+        for (int i = 0; i < stale_copies; ++i) {
+            auto old = sent_heartbeats_[static_cast<size_t>(i) * 7919 % sent_heartbeats_.size()];
+            auto to =
+                cloud_.controllers[(node + static_cast<size_t>(i)) % cloud_.controllers.size()];
+            asio::co_spawn(io_, send_heartbeat_copy(self, std::move(old), to), asio::detached);
         }
         auto reply =
             co_await client.request("POST", "/v1/report", body, cloud_.settings.worker_patience_s);
-        if (hung || mute) reply.reset();  // given up by the time that it goes on
+        if (hung || uplink_lost) reply.reset();  // given up by the time that it goes on
         while (hung && !dead_) co_await sleep_s(0.01);
-        if (dead_ || silent) continue;
+        if (dead_ || unreachable) continue;
         if (downlink_lost) {
             ++node;
             co_await sleep_s(cloud_.settings.worker_next_s);
@@ -351,44 +357,45 @@
         if (reply && reply->status == 200) {
             auto v = json::parse(reply->body).as_object();
             auto fencing_token = v.at("gavel").to_number<uint64_t>();
-            if (fencing_token < fencing_token_ || agent_epoch != session_) continue;
+            if (fencing_token < fencing_token_ || agent_epoch != agent_epoch_) continue;
             fencing_token_ = fencing_token;
-            lease_from_ = sent;
-            execute(v.at("orders").as_array());
+            lease_started_at_ = sent;
+            execute_commands(v.at("orders").as_array());
             continue;
         }
         ++node;
         if (reply && reply->status == 421) {
             auto v = json::parse(reply->body).as_object();
             if (auto* clerk = v.if_contains("clerk"); clerk && clerk->is_string())
-                for (size_t i = 0; i < cloud_.node_names.size(); ++i)
-                    if (cloud_.node_names[i] == clerk->as_string()) node = i;
+                for (size_t i = 0; i < cloud_.controller_names.size(); ++i)
+                    if (cloud_.controller_names[i] == clerk->as_string()) node = i;
         }
     }
     (void)self;
 }
 
 // What a task's start on this machine breaks, given all that is on the others.
-void Cloud::check_start(const Worker& on, const std::string& task) {
+void Cloud::check_launch(const Worker& on, const std::string& task) {
     auto& job = jobs[task.substr(0, task.rfind('/'))];
     double used = job.cpus;
     for (auto& [name, other] : workers) {
         // What hangs beyond its lease never goes on.
-        bool over = other->hung && steady_now() - other->lease_from_ > settings.lease_s;
+        bool over = other->hung && steady_now() - other->lease_started_at_ > settings.lease_s;
         if (other->dead() || over) continue;
         for (auto& [lot, t] : other->tasks_) {
             if (t.state == "exited") continue;
-            if (other.get() != &on && lot == task) broken.push_back("ran_twice " + task);
+            if (other.get() != &on && lot == task) violations.push_back("ran_twice " + task);
             auto& its = jobs[lot.substr(0, lot.rfind('/'))];
             if (its.team == job.team) used += its.cpus;
         }
     }
-    if (auto limit = limits.find(job.team); limit != limits.end() && used > limit->second)
-        broken.push_back("quota " + task + " " + std::to_string(used));
-    if (!job.zone.empty() && job.zone != on.zone) broken.push_back("wrong_place " + task);
-    for (auto& awaited : job.awaits)
-        if (ends[awaited] < static_cast<int>(jobs[awaited].tasks))
-            broken.push_back("too_early " + task);
+    if (auto limit = team_cpu_limits.find(job.team);
+        limit != team_cpu_limits.end() && used > limit->second)
+        violations.push_back("quota " + task + " " + std::to_string(used));
+    if (!job.zone.empty() && job.zone != on.zone) violations.push_back("wrong_place " + task);
+    for (auto& awaited : job.dependencies)
+        if (completed_tasks[awaited] < static_cast<int>(jobs[awaited].tasks))
+            violations.push_back("too_early " + task);
 }
 
 Cloud::Cloud(asio::io_context& io, const Settings& s)
@@ -396,16 +403,16 @@
       io_(io),
       server_(io, kLoopback, 1000, [this](HttpRequest r) { return handle(std::move(r)); }) {}
 
-int Worker::count(const std::string& job) {
-    step();  // its lease may have run out while it waits for an answer
+int Worker::count_running(const std::string& job) {
+    update_tasks();  // its lease may have run out while it waits for an answer
     return static_cast<int>(std::count_if(tasks_.begin(), tasks_.end(), [&](auto& t) {
         return t.second.state != "exited" && t.first.starts_with(job + "/");
     }));
 }
 
-bool Cloud::on_some_machine(const std::string& job) const {
+bool Cloud::is_running(const std::string& job) const {
     return std::any_of(workers.begin(), workers.end(),
-                       [&](auto& w) { return !w.second->dead() && w.second->runs(job); });
+                       [&](auto& w) { return !w.second->dead() && w.second->is_running(job); });
 }
 
 asio::awaitable<HttpReply> Cloud::handle(HttpRequest r) {
@@ -425,12 +432,12 @@
     if (path == "/machines" && r.method == "POST") {
         auto v = json::parse(r.body).as_object();
         std::string hire(v.at("hire").as_string());
-        if (!hires.insert(hire).second)
-            co_return answer(200, json::object{{"millstones", answers_[hire]}});
+        if (!provision_requests.insert(hire).second)
+            co_return answer(200, json::object{{"millstones", provisioned_names_[hire]}});
         json::array names;
         for (int i = 0; i < v.at("count").to_number<int>(); ++i) {
             char name[16];
-            std::snprintf(name, sizeof name, "vm-%06d", next_++);
+            std::snprintf(name, sizeof name, "vm-%06d", next_machine_++);
             auto w = std::make_shared<Worker>(
                 io_, *this, name, std::string(v.at("rig").as_string()),
                 std::string(v.at("yard").as_string()), v.at("loaners").as_bool());
@@ -438,7 +445,7 @@
             w->start();
             names.emplace_back(name);
         }
-        answers_[hire] = names;
+        provisioned_names_[hire] = names;
         co_return answer(200, json::object{{"millstones", names}});
     }
     json::array list;
--- a/tests/fakes/faulty_link.cpp
+++ b/tests/fakes/faulty_link.cpp
@@ -10,60 +10,60 @@
 using tcp = asio::ip::tcp;
 constexpr auto kQuiet = asio::as_tuple(asio::use_awaitable);
 
-struct FaultyLink::Line {
-    Line(Socket a, Socket b) : near(std::move(a)), far(std::move(b)) {}
-    Socket near, far;
+struct FaultyLink::Connection {
+    Connection(Socket a, Socket b) : client(std::move(a)), server(std::move(b)) {}
+    Socket client, server;
     void close() {
         boost::system::error_code ignored;
-        near.close(ignored);
-        far.close(ignored);
+        client.close(ignored);
+        server.close(ignored);
     }
 };
 
 FaultyLink::FaultyLink(asio::io_context& io, Endpoint to)
     : io_(io),
-      to_(std::move(to)),
+      target_(std::move(to)),
       acceptor_(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)) {
     asio::co_spawn(io_, accept_loop(), asio::detached);
 }
 
-void FaultyLink::set(Is is) {
-    is_ = is;
-    if (is_ != Is::Refused) return;
-    for (auto& line : lines_) line->close();
-    lines_.clear();
+void FaultyLink::set_mode(Mode mode) {
+    mode_ = mode;
+    if (mode_ != Mode::RefuseConnections) return;
+    for (auto& line : connections_) line->close();
+    connections_.clear();
 }
 
 asio::awaitable<void> FaultyLink::accept_loop() {
     for (;;) {
         auto [ec, near] = co_await acceptor_.async_accept(kQuiet);
         if (ec) co_return;
-        if (is_ == Is::Refused) continue;  // closed with its socket
+        if (mode_ == Mode::RefuseConnections) continue;  // closed with its socket
         tcp::socket far(io_);
-        auto [failed] = co_await far.async_connect(resolve(to_), kQuiet);
+        auto [failed] = co_await far.async_connect(resolve(target_), kQuiet);
         if (failed) continue;
-        auto line = std::make_shared<Line>(std::move(near), std::move(far));
-        lines_.insert(line);
-        asio::co_spawn(io_, pump(line, false), asio::detached);
-        asio::co_spawn(io_, pump(line, true), asio::detached);
+        auto line = std::make_shared<Connection>(std::move(near), std::move(far));
+        connections_.insert(line);
+        asio::co_spawn(io_, forward(line, false), asio::detached);
+        asio::co_spawn(io_, forward(line, true), asio::detached);
     }
 }
 
-asio::awaitable<void> FaultyLink::pump(std::shared_ptr<Line> line, bool answers) {
-    auto& from = answers ? line->far : line->near;
-    auto& to = answers ? line->near : line->far;
+asio::awaitable<void> FaultyLink::forward(std::shared_ptr<Connection> line, bool answers) {
+    auto& from = answers ? line->server : line->client;
+    auto& to = answers ? line->client : line->server;
     std::array<char, 16384> bytes;
     for (;;) {
         auto [ec, n] = co_await from.async_read_some(asio::buffer(bytes), kQuiet);
         if (ec) break;
-        while (is_ == Is::Held) co_await sleep_s(0.005);
-        if (answers && is_ == Is::AnswersLost) continue;
+        while (mode_ == Mode::HoldData) co_await sleep_s(0.005);
+        if (answers && mode_ == Mode::DropResponses) continue;
         auto [failed, written] = co_await asio::async_write(to, asio::buffer(bytes, n), kQuiet);
         (void)written;
         if (failed) break;
     }
     line->close();
-    lines_.erase(line);
+    connections_.erase(line);
 }
 
 }  // namespace weirmill::fakes
--- a/tests/fakes/faulty_link.h
+++ b/tests/fakes/faulty_link.h
@@ -11,27 +11,27 @@
 
 class FaultyLink {
   public:
-    enum class Is : uint8_t {
-        Up,
-        Refused,      // new connections are closed at once, and so are those that stood
-        Held,         // nothing passes; it is delivered once the link is up again
-        AnswersLost,  // what is asked arrives and is carried out, what is answered is thrown away
+    enum class Mode : uint8_t {
+        PassThrough,
+        RefuseConnections,  // new connections are closed at once, and so are those that stood
+        HoldData,           // nothing passes; it is delivered once the link is up again
+        DropResponses,  // what is asked arrives and is carried out, what is answered is thrown away
     };
     FaultyLink(boost::asio::io_context& io, Endpoint to);
-    Endpoint at() const { return {"127.0.0.1", acceptor_.local_endpoint().port()}; }
-    void set(Is is);
+    Endpoint endpoint() const { return {"127.0.0.1", acceptor_.local_endpoint().port()}; }
+    void set_mode(Mode mode);
 
   private:
     using Socket = boost::asio::ip::tcp::socket;
-    struct Line;
+    struct Connection;
     boost::asio::awaitable<void> accept_loop();
-    boost::asio::awaitable<void> pump(std::shared_ptr<Line> line, bool answers);
+    boost::asio::awaitable<void> forward(std::shared_ptr<Connection> line, bool answers);
 
     boost::asio::io_context& io_;
-    Endpoint to_;
-    Is is_ = Is::Up;
+    Endpoint target_;
+    Mode mode_ = Mode::PassThrough;
     boost::asio::ip::tcp::acceptor acceptor_;
-    std::set<std::shared_ptr<Line>> lines_;
+    std::set<std::shared_ptr<Connection>> connections_;
 };
 
 }  // namespace weirmill::fakes
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -30,18 +30,18 @@
 }
 
 // One type `std` of 8 CPUs, one `gpu` of 8 CPUs and 4 GPUs, in zones a and b.
-struct World {
+struct ClusterFixture {
     Settings settings = small_settings();
     ClusterState cluster{settings};
     double now = 100;
 
-    World() {
+    ClusterFixture() {
         MachineType std_type{"std", {8000, 0, 64000}, 50, 1, 1.0, 0.4, 30, {"a", "b"}};
         MachineType gpu_type{"gpu", {8000, 4000, 64000}, 50, 1, 10.0, 4.0, 30, {"a", "b"}};
         cluster.set_types({std_type, gpu_type});
     }
-    Index machine(const std::string& name, const std::string& type = "std",
-                  const std::string& zone = "a", bool spot = false) {
+    Index add_machine(const std::string& name, const std::string& type = "std",
+                      const std::string& zone = "a", bool spot = false) {
         auto i = cluster.add_machine(name, now);
         auto& m = *cluster.machines[i];
         cluster.describe_machine(m, type, zone, spot);
@@ -50,8 +50,9 @@
         m.up_at = m.last_heartbeat = now;
         return i;
     }
-    JobSpec spec(const std::string& id, JobKind kind, uint32_t tasks, double cpus, double gpus = 0,
-                 Priority priority = Priority::Normal, const std::string& team = "blue") {
+    JobSpec job_spec(const std::string& id, JobKind kind, uint32_t tasks, double cpus,
+                     double gpus = 0, Priority priority = Priority::Normal,
+                     const std::string& team = "blue") {
         JobSpec s;
         s.id = id;
         s.kind = kind;
@@ -64,14 +65,14 @@
         s.spot = true;
         return s;
     }
-    Index job(JobSpec s) {
+    Index add_job(JobSpec s) {
         auto i = cluster.add_job(std::move(s), 1000, now);
         cluster.jobs[i]->version = 1;
         return i;
     }
     // A job with one task on each of these machines.
-    Index running(JobSpec s, const std::vector<Index>& on) {
-        auto j = job(std::move(s));
+    Index add_running_job(JobSpec s, const std::vector<Index>& on) {
+        auto j = add_job(std::move(s));
         for (uint32_t t = 0; t < on.size(); ++t) cluster.place(j, t, on[t], 1, now);
         return j;
     }
--- a/tests/history.h
+++ b/tests/history.h
@@ -9,29 +9,29 @@
 
 namespace weirmill::test {
 
-enum class Asking { Submission, Poll, Cancellation };
+enum class RequestKind { Submission, Poll, Cancellation };
 
 // One request of one user; times in seconds, all of one clock.
-struct Exchange {
-    Asking asking = Asking::Poll;
+struct RequestRecord {
+    RequestKind kind = RequestKind::Poll;
     std::string job;
-    double asked = 0, answered = std::numeric_limits<double>::infinity();
-    int status = 0;       // HTTP; 0: no answer
-    std::string state;    // where the status is 200 or 201
-    std::string where{};  // for the message alone
+    double sent_at = 0, answered_at = std::numeric_limits<double>::infinity();
+    int status = 0;          // HTTP; 0: no answer
+    std::string job_status;  // where the status is 200 or 201
+    std::string node{};      // for the message alone
 };
 
-struct History {
-    std::vector<Exchange> exchanges;
-    std::map<std::string, std::vector<std::string>> awaits;  // by job: those that it needs
+struct RequestHistory {
+    std::vector<RequestRecord> requests;
+    std::map<std::string, std::vector<std::string>> dependencies;  // by job: those that it needs
     std::map<std::string, double>
-        ended;  // by job: when the last of its tasks ended; left out: nothing is known
+        job_ended_at;  // by job: when the last of its tasks ended; left out: nothing is known
 
     // The first answer that breaks a rule, or nothing.
-    std::string contradiction() const;
+    std::string find_violation() const;
 
   private:
-    bool cancel_asked(const std::string& job, double by, std::set<std::string>& seen) const;
+    bool cancel_requested(const std::string& job, double by, std::set<std::string>& seen) const;
 };
 
 }  // namespace weirmill::test
--- a/tests/history_test.cpp
+++ b/tests/history_test.cpp
@@ -5,17 +5,17 @@
 namespace weirmill::test {
 namespace {
 
-constexpr auto S = Asking::Submission, P = Asking::Poll, C = Asking::Cancellation;
+constexpr auto S = RequestKind::Submission, P = RequestKind::Poll, C = RequestKind::Cancellation;
 
 TEST(History, EachKindOfContradictionIsFoundAndWhatIsConcurrentPasses) {
     struct Row {
         const char* what;
-        std::vector<Exchange> exchanges;
+        std::vector<RequestRecord> exchanges;
         const char* found;  // how the message begins; empty: all is well
         std::map<std::string, std::vector<std::string>> awaits{};
         std::map<std::string, double> ended{};
     };
-    const Exchange submitted{S, "a", 0, 1, 201, "queued"};
+    const RequestRecord submitted{S, "a", 0, 1, 201, "queued"};
     const Row rows[] = {
         {"a life",
          {submitted,
@@ -91,7 +91,7 @@
         {"done after its last task", {submitted, {P, "a", 2, 6, 200, "done"}}, "", {}, {{"a", 4}}},
     };
     for (auto& row : rows) {
-        auto found = History{row.exchanges, row.awaits, row.ended}.contradiction();
+        auto found = RequestHistory{row.exchanges, row.awaits, row.ended}.find_violation();
         if (*row.found)
             EXPECT_TRUE(found.starts_with(row.found)) << row.what << ": " << found;
         else
--- a/tests/odd_requests_service_test.cpp
+++ b/tests/invalid_submissions_service_test.cpp
@@ -7,9 +7,9 @@
 namespace {
 
 namespace json = boost::json;
-using test::apart;
-using test::FaultScenario;
-using test::Service;
+using test::FaultScenarioFixture;
+using test::isolated_peers;
+using test::ServiceFixture;
 
 TEST(OddRequests, AreRefusedAtEveryNodeAndNeverRefuseWhatWasAccepted) {
     struct Row {
@@ -50,20 +50,20 @@
     };
     rows.insert(rows.end(), std::begin(others), std::end(others));
     for (bool relays : {true, false}) {
-        FaultScenario s(2, relays ? Service::With{} : apart());
-        auto leader = static_cast<size_t>(s.leading());
+        FaultScenarioFixture service(2, relays ? ServiceFixture::Options{} : isolated_peers());
+        auto leader = static_cast<size_t>(service.leader_index());
         int n = 1000;
         auto status_at = [&](size_t node, const std::string& body) {
             int status = 503;
-            s.until([&] {
-                auto reply = s.ask_node(node, "POST", "/v2/runs", body);
+            service.wait_until([&] {
+                auto reply = service.request_node(node, "POST", "/v2/runs", body);
                 status = reply ? reply->status : 503;
                 return status != 503;
             });
             return status;
         };
         auto with = [&](const Row& row, const std::string& id) {
-            auto body = json::parse(Service::submission(id, "array", 2)).as_object();
+            auto body = json::parse(ServiceFixture::submission_body(id, "array", 2)).as_object();
             if (row.value.is_null())
                 body.erase(row.field);
             else
@@ -76,7 +76,7 @@
                 auto id = "req-" + std::to_string(++n);
                 EXPECT_EQ(status_at(node, with(row, id)), row.status)
                     << row.field << " " << row.value;
-                EXPECT_EQ(s.status(id), "404") << row.field << " " << row.value;
+                EXPECT_EQ(service.job_status(id), "404") << row.field << " " << row.value;
                 EXPECT_EQ(status_at(node, with(row, "req-1")), 200)
                     << row.field << " " << row.value;
             }
@@ -84,8 +84,9 @@
             for (auto [kind, status] : {std::pair{"ensemble", 422}, std::pair{"standing", 422},
                                         std::pair{"array", 201}}) {
                 auto id = "req-" + std::to_string(++n);
-                s.cloud->jobs[id] = {};
-                auto body = Service::with(Service::submission(id, kind, 33), "consignor", "red");
+                service.cloud->jobs[id] = {};
+                auto body = ServiceFixture::with_field(
+                    ServiceFixture::submission_body(id, kind, 33), "consignor", "red");
                 EXPECT_EQ(status_at(node, body), status) << kind;
             }
             for (const char* body :
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -8,7 +8,7 @@
 #include "controller/stop_sender.h"
 #include "fixtures.h"
 #include "protocol/paths.h"
-#include "service.h"
+#include "service_fixture.h"
 #include "transport/http_client.h"
 #include "transport/http_server.h"
 #include "transport/peer_link.h"
@@ -150,10 +150,10 @@
     asio::io_context io{1};
     auto settings = small_settings();
     settings.heartbeat_interval_s = 60;  // nothing but this burst
-    fakes::State state_service(io);
+    fakes::StateService state_service(io);
     fakes::Cloud cloud(io, settings);
     settings.state = state_service.endpoint_for(0);
-    settings.cloud = cloud.at();
+    settings.cloud = cloud.endpoint();
     Properties properties;
     Metrics metrics;
     KvClient state(io, settings);
@@ -180,7 +180,7 @@
 
 // Every machine reports to this controller within the same second, each over a connection of its
 // own.
-Burst report_all(Service& s, size_t node, uint64_t fencing_token) {
+Burst report_all(ServiceFixture& s, size_t node, uint64_t fencing_token) {
     Burst burst;
     Endpoint at{"127.0.0.1", s.nodes[node]->api_port()};
     for (int i = 0; i < kMachines; ++i)
@@ -194,32 +194,33 @@
     return burst;
 }
 
-bool ready(Service& s) { return s.submit("req-1", "array", 1) == 201; }
+bool ready(ServiceFixture& s) { return s.submit("req-1", "array", 1) == 201; }
 
 TEST(Limits, ANewLeaderAnswersFourThousandMachinesAtOnce) {
-    Service s(2);
-    ASSERT_TRUE(s.until([&] { return !s.leader().empty(); }));
+    ServiceFixture s(2);
+    ASSERT_TRUE(s.wait_until([&] { return !s.leader_name().empty(); }));
     s.crash_leader();
     ASSERT_TRUE(ready(s));
-    EXPECT_EQ(report_all(s, static_cast<size_t>(s.leader().back() - '0'), 0).statuses, kAllTaken);
+    EXPECT_EQ(report_all(s, static_cast<size_t>(s.leader_name().back() - '0'), 0).statuses,
+              kAllTaken);
 }
 
 TEST(Limits, AFollowerPassesOnWhatFourThousandMachinesReportAtOnce) {
-    Service s(2);
-    ASSERT_TRUE(s.until([&] { return !s.leader().empty(); }));
+    ServiceFixture s(2);
+    ASSERT_TRUE(s.wait_until([&] { return !s.leader_name().empty(); }));
     ASSERT_TRUE(ready(s));
-    size_t follower = s.leader() == "node-0" ? 1 : 0;
+    size_t follower = s.leader_name() == "node-0" ? 1 : 0;
     auto first =
-        s.ask_node(1 - follower, "POST", std::string(paths::kReport), report_of(kMachines, 0));
+        s.request_node(1 - follower, "POST", std::string(paths::kReport), report_of(kMachines, 0));
     ASSERT_TRUE(first && first->status == 200);
     auto fencing_token = json::parse(first->body).at("gavel").to_number<uint64_t>();
     bool relays = false;  // once it has learnt who leads
     double end = steady_now() + 5;
     for (int i = 1; !relays && steady_now() < end; ++i) {
-        auto reply = s.ask_node(follower, "POST", std::string(paths::kReport),
-                                report_of(kMachines + i, fencing_token));
+        auto reply = s.request_node(follower, "POST", std::string(paths::kReport),
+                                    report_of(kMachines + i, fencing_token));
         relays = reply && reply->status == 200;
-        for (int k = 0; k < 50; ++k) s.turn();
+        for (int k = 0; k < 50; ++k) s.poll_once();
     }
     ASSERT_TRUE(relays);
     EXPECT_EQ(report_all(s, follower, fencing_token).statuses, kAllTaken);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -192,9 +192,9 @@
 }
 
 TEST(Links, ALeaderCountsWhatCameByItselfAndWhatWasRelayed) {
-    test::World w;
+    test::ClusterFixture w;
     auto times = LinkTimeouts::of(w.settings);
-    for (int i = 0; i < 6; ++i) w.machine("vm-" + std::to_string(i));
+    for (int i = 0; i < 6; ++i) w.add_machine("vm-" + std::to_string(i));
     auto at = [&](int i) -> Machine& { return *w.cluster.machines[i]; };
     for (int i = 0; i < 6; ++i) at(i).last_heartbeat = at(i).direct_at = w.now;
     at(1).direct_at = w.now - times.direct_heartbeat_s - 1;  // relayed since
--- a/tests/store.h
+++ b/tests/memory_kv_store.h
@@ -8,7 +8,7 @@
 
 namespace weirmill::test {
 
-struct Store {
+struct MemoryKvStore {
     std::map<std::string, std::pair<std::string, uint64_t>> keys{{kLeaderKey, {"{}", 41}}};
     uint64_t revision = 41;
 
@@ -27,19 +27,19 @@
         }
         return revision;
     }
-    size_t segments() const {
+    size_t segment_count() const {
         size_t n = 0;
         for (auto& [key, value] : keys) n += key.starts_with(kSegmentPrefix);
         return n;
     }
-    KvPage log() const {
+    KvPage segment_page() const {
         KvPage page;
         for (auto& [key, value] : keys)
             if (key.starts_with(kSegmentPrefix))
                 page.items.push_back({key, boost::json::parse(value.first), value.second, 0});
         return page;
     }
-    void load(StateLog& state_log, double now) const {
+    void load_into(StateLog& state_log, double now) const {
         state_log.clear();
         auto item = [](auto& k) {
             return KvItem{k.first, boost::json::parse(k.second.first), k.second.second, 0};
@@ -51,7 +51,7 @@
     }
 };
 
-inline void expect_limits(const StateLogBatch& b, StateLogLimits limits) {
+inline void expect_within_limits(const StateLogBatch& b, StateLogLimits limits) {
     EXPECT_LE(b.txn.changes.size(), static_cast<size_t>(limits.txn_ops));
     EXPECT_LE(b.txn.conditions.size(), 4 * static_cast<size_t>(limits.txn_ops));
     EXPECT_LE(txn_json(b.txn).size(), 64u * 1024);
@@ -61,13 +61,13 @@
 
 // Until nothing waits to be recorded; ended jobs leave the cluster state. Returns how many
 // transactions it took.
-inline int flush(StateLog& state_log, ClusterState& cluster, Store& store, StateLogLimits limits,
-                 double now) {
+inline int commit_all(StateLog& state_log, ClusterState& cluster, MemoryKvStore& store,
+                      StateLogLimits limits, double now) {
     int n = 0;
     for (; state_log.waiting() && n < 20000; ++n) {
         auto b = state_log.next(limits.txn_ops);
         if (b.empty()) break;
-        expect_limits(b, limits);
+        expect_within_limits(b, limits);
         auto revision = store.apply(b.txn);
         EXPECT_NE(revision, 0u);
         state_log.committed(b, revision);
@@ -80,8 +80,9 @@
 // Something happens to a task of every job, and one in so many is cancelled. `below(n)`: a random
 // number below n.
 template <class Below>
-void live_on(ClusterState& cluster, StateLog& state_log, const std::vector<Index>& machines,
-             Below&& below, uint32_t cancelled_one_in, double now) {
+void advance_randomly(ClusterState& cluster, StateLog& state_log,
+                      const std::vector<Index>& machines, Below&& below, uint32_t cancelled_one_in,
+                      double now) {
     for (Index j = 0; j < cluster.jobs.size(); ++j) {
         auto* job = cluster.jobs[j].get();
         if (!job || job->version == 0 || job->ending) continue;
@@ -105,7 +106,7 @@
 }
 
 // Every task as the cluster state holds it, machines by name, and what a job waits for, by id.
-inline std::map<std::string, std::string> picture(const ClusterState& cluster) {
+inline std::map<std::string, std::string> describe_jobs(const ClusterState& cluster) {
     std::map<std::string, std::string> out;
     for (Index j = 0; j < cluster.jobs.size(); ++j) {
         auto* job = cluster.jobs[j].get();
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -12,26 +12,26 @@
 namespace weirmill {
 namespace {
 
-using test::World;
+using test::ClusterFixture;
 
-// Classes: `short` is to be done within 60 s, its jobs are those of World::spec but for what is
-// named.
-struct Cluster : World {
+// Classes: `short` is to be done within 60 s, its jobs are those of ClusterFixture::spec but for
+// what is named.
+struct Cluster : ClusterFixture {
     Index job_class = cluster.names.classes.intern("short");
     Forecast seen;
     int next = 0;
     explicit Cluster(int machines) {
         cluster.classes.resize(cluster.names.classes.size());
         cluster.classes[job_class].done_within_s = {30, 60};
-        for (int i = 0; i < machines; ++i) machine("vm-" + std::to_string(i));
+        for (int i = 0; i < machines; ++i) add_machine("vm-" + std::to_string(i));
     }
     Index wait(uint32_t tasks, double run_s, const std::string& team = "blue",
                JobKind kind = JobKind::Array) {
-        auto s = spec("req-" + std::to_string(100000 + next++), kind, tasks, 1, 0, Priority::Normal,
-                      team);
+        auto s = job_spec("req-" + std::to_string(100000 + next++), kind, tasks, 1, 0,
+                          Priority::Normal, team);
         s.job_class = job_class;
         s.estimate_s = run_s;
-        return job(s);
+        return add_job(s);
     }
     QueueForecast look(const std::string& team = "blue") {
         seen.observe(cluster, now);
@@ -159,7 +159,7 @@
     int missed;
     EXPECT_DOUBLE_EQ(c.cluster.due(*c.cluster.jobs[large], c.now, missed), c.now + 60);
     EXPECT_EQ(missed, 1);
-    for (int i = 0; i < 3; ++i) c.machine("more-" + std::to_string(i));
+    for (int i = 0; i < 3; ++i) c.add_machine("more-" + std::to_string(i));
     c.look();
     EXPECT_EQ(c.cluster.jobs[large]->abandoned_deadlines, 0u);
 }
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -4,19 +4,19 @@
 #include <random>
 
 #include "fixtures.h"
+#include "memory_kv_store.h"
 #include "scheduler/placement.h"
 #include "scheduler/preemption.h"
-#include "store.h"
 
 namespace weirmill {
 namespace {
 
-using test::Store;
-using test::World;
+using test::ClusterFixture;
+using test::MemoryKvStore;
 
 // Jobs by number, each with the numbers of those that it waits for.
 struct Pipeline {
-    World& w;
+    ClusterFixture& w;
     std::vector<Index> jobs;
     Index add(const std::vector<size_t>& on, JobSpec spec) {
         std::vector<Index> links;
@@ -24,14 +24,14 @@
             spec.dependencies.push_back(w.cluster.jobs[jobs[i]]->spec.id);
             links.push_back(jobs[i]);
         }
-        auto j = w.job(std::move(spec));
+        auto j = w.add_job(std::move(spec));
         if (!links.empty()) w.cluster.set_dependencies(j, links, w.now);
         jobs.push_back(j);
         return j;
     }
     Index add(const std::vector<size_t>& on, Priority priority = Priority::Low) {
         auto spec =
-            w.spec("req-" + std::to_string(jobs.size() + 1), JobKind::Array, 1, 1, 0, priority);
+            w.job_spec("req-" + std::to_string(jobs.size() + 1), JobKind::Array, 1, 1, 0, priority);
         spec.estimate_s = 10;
         return add(on, spec);
     }
@@ -60,7 +60,7 @@
         {"two that wait for one", {{}, {0}, {0}}, {0}, {1, 2}},
     };
     for (auto& row : rows) {
-        World w;
+        ClusterFixture w;
         Pipeline p{w, {}};
         for (auto& on : row.graph) p.add(on);
         for (auto i : row.ends) p.end(i, 2000 + static_cast<double>(i));
@@ -77,14 +77,14 @@
 }
 
 TEST(DependencyGraph, TimesCountFromTheEndOfTheLastOneAndTheDeadlineFromTheSubmission) {
-    World w;
+    ClusterFixture w;
     auto c = w.cluster.names.classes.intern("class");
     w.cluster.classes.resize(c + 1);
     w.cluster.classes[c].done_within_s = {100};
     Pipeline p{w, {}};
     p.add({});
     p.add({});
-    auto spec = w.spec("req-9", JobKind::Array, 1, 1);
+    auto spec = w.job_spec("req-9", JobKind::Array, 1, 1);
     spec.deadline_s = 500;
     p.add({0, 1}, spec);
     double start = w.now;
@@ -100,11 +100,11 @@
 }
 
 TEST(DependencyGraph, AWaitingJobHoldsNothingOfItsTeamsGuarantee) {
-    World w;  // red is owed 16 CPUs
+    ClusterFixture w;  // red is owed 16 CPUs
     Pipeline p{w, {}};
-    p.add({}, w.spec("req-1", JobKind::Array, 1, 8, 0, Priority::Low, "red"));
-    p.add({0}, w.spec("req-2", JobKind::Array, 2, 8, 0, Priority::Low, "red"));
-    auto late = w.spec("req-3", JobKind::Array, 1, 8, 0, Priority::Low, "red");
+    p.add({}, w.job_spec("req-1", JobKind::Array, 1, 8, 0, Priority::Low, "red"));
+    p.add({0}, w.job_spec("req-2", JobKind::Array, 2, 8, 0, Priority::Low, "red"));
+    auto late = w.job_spec("req-3", JobKind::Array, 1, 8, 0, Priority::Low, "red");
     auto third = p.add({}, late);
     EXPECT_TRUE(w.cluster.jobs[third]->guaranteed);
     p.end(0, 1001);
@@ -112,13 +112,13 @@
 }
 
 TEST(DependencyGraph, WhatLaterStagesAskSpreadsToThoseBeforeAndGoesWithThem) {
-    World w;
+    ClusterFixture w;
     w.cluster.classes.resize(w.cluster.names.classes.intern("class") + 1);
     Pipeline p{w, {}};
     p.add({});
     p.add({0});
     p.add({0});
-    auto last = w.spec("req-4", JobKind::Array, 1, 1, 0, Priority::High);
+    auto last = w.job_spec("req-4", JobKind::Array, 1, 1, 0, Priority::High);
     last.deadline_s = 100;
     last.estimate_s = 10;
     p.add({1, 2}, last);
@@ -136,7 +136,7 @@
 
 TEST(DependencyGraph, TowersOfDiamondsAndLongChainsTakeNoLongerThanTheirLinks) {
     // Walked path by path, 30 diamonds would take 2^30 steps.
-    World w;
+    ClusterFixture w;
     Pipeline p{w, {}};
     p.add({});
     for (size_t i = 0; i < 30; ++i) {
@@ -149,7 +149,7 @@
     p.add({top}, Priority::High);
     EXPECT_EQ(p.job(0).priority, Priority::High);
     EXPECT_EQ(w.cluster.dependencies().all_dependants(p.jobs[0]).size(), p.jobs.size() - 1);
-    World v;
+    ClusterFixture v;
     Pipeline chain{v, {}};
     chain.add({});
     for (size_t i = 0; i < 3000; ++i) chain.add({i});
@@ -172,7 +172,7 @@
         {"equal", Normal, High, Normal, Low, false},
     };
     for (auto& row : rows) {
-        World w;
+        ClusterFixture w;
         Pipeline p{w, {}};
         p.add({}, row.own);
         p.add({0}, row.needed);
@@ -184,7 +184,7 @@
 
 // What the leader does with the cluster state and the state log, without the rest of it.
 struct Bookkeeper {
-    World w;
+    ClusterFixture w;
     StateLogLimits limits;
     StateLog state_log;
     std::set<Index> ending;
@@ -192,7 +192,7 @@
         : limits(limits), state_log(w.cluster, fencing_token, limits) {}
 
     Index submit(const std::string& id, const std::vector<std::string>& on, uint32_t tasks = 1) {
-        auto spec = w.spec(id, JobKind::Array, tasks, 0.01);
+        auto spec = w.job_spec(id, JobKind::Array, tasks, 0.01);
         std::vector<Index> links;
         bool cancelled = false;
         for (auto& d : on) {
@@ -242,13 +242,13 @@
         state_log.rejected(b);
     }
     // Nothing more to be recorded.
-    int settle(Store& store) {
+    int settle(MemoryKvStore& store) {
         int n = 0;
         check();
         for (; state_log.waiting() && n < 5000; ++n) {
             auto b = state_log.next(limits.txn_ops);
             if (b.empty()) break;
-            test::expect_limits(b, limits);
+            test::expect_within_limits(b, limits);
             auto revision = store.apply(b.txn);
             EXPECT_NE(revision, 0u);
             committed(b, revision);
@@ -267,11 +267,12 @@
     for (unsigned seed = 1; seed <= 12; ++seed) {
         std::mt19937 random(seed);
         auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
-        Store store;
+        MemoryKvStore store;
         Bookkeeper k(41, seed % 2 ? kTight : StateLogLimits{12, 4});
         auto& cluster = k.w.cluster;
         std::vector<Index> machines;
-        for (int i = 0; i < 4; ++i) machines.push_back(k.w.machine("vm-00000" + std::to_string(i)));
+        for (int i = 0; i < 4; ++i)
+            machines.push_back(k.w.add_machine("vm-00000" + std::to_string(i)));
         std::vector<CasTransaction> sent;
         int jobs = 0;
         for (int step = 0; step < 700; ++step) {
@@ -312,7 +313,7 @@
             auto b = k.state_log.next(
                 1 + static_cast<int>(below(static_cast<size_t>(k.limits.txn_ops))));
             if (b.empty()) continue;
-            test::expect_limits(b, k.limits);
+            test::expect_within_limits(b, k.limits);
             if (below(8) == 0) {
                 k.rejected(b);
                 continue;
@@ -322,7 +323,7 @@
             sent.push_back(b.txn);
             k.committed(b, revision);
             Bookkeeper fresh(42, k.limits);
-            store.load(fresh.state_log, fresh.w.now);
+            store.load_into(fresh.state_log, fresh.w.now);
             // Placements not recorded yet are the old leader's alone: only what pipelines are made
             // of counts.
             for (auto& [id, index] : cluster.job_index) {
@@ -344,8 +345,9 @@
         for (auto& [key, value] : store.keys)
             cascades += key.starts_with("f/") && value.first.find("true") != std::string::npos;
         Bookkeeper fresh(42, k.limits);
-        store.load(fresh.state_log, fresh.w.now);
-        EXPECT_EQ(test::picture(fresh.w.cluster), test::picture(cluster)) << "seed " << seed;
+        store.load_into(fresh.state_log, fresh.w.now);
+        EXPECT_EQ(test::describe_jobs(fresh.w.cluster), test::describe_jobs(cluster))
+            << "seed " << seed;
         EXPECT_TRUE(store.keys.count(kLogKey)) << "no segment was dropped";
     }
     EXPECT_GT(cascades, 50);
@@ -356,7 +358,7 @@
     // A chain too long for one transaction. Whenever the leader ends, the next one finds all of it
     // cancelled.
     for (size_t crash_after : {1u, 2u, 3u, 5u, 9u}) {
-        Store store;
+        MemoryKvStore store;
         Bookkeeper k(41, kTight);
         k.submit("req-0", {});
         for (int i = 1; i <= 400; ++i) {
@@ -371,7 +373,7 @@
             k.committed(b, store.apply(b.txn));
         }
         Bookkeeper next(42, kTight);
-        store.load(next.state_log, next.w.now);
+        store.load_into(next.state_log, next.w.now);
         size_t cancelled = 0;
         for (int i = 0; i <= 400; ++i) {
             auto* job = next.w.cluster.find_job("req-" + std::to_string(i));
@@ -406,7 +408,7 @@
     };
     for (auto& row : rows)
         for (bool fail_over : {false, true}) {
-            Store store;
+            MemoryKvStore store;
             Bookkeeper k(41, kTight);
             auto first = k.submit("req-1", {});
             k.submit("req-3", {});  // something that stays
@@ -432,7 +434,7 @@
             k.committed(b, store.apply(b.txn));
             if (!fail_over) k.settle(store);
             Bookkeeper next(42, kTight);
-            store.load(next.state_log, next.w.now);
+            store.load_into(next.state_log, next.w.now);
             store.keys[kLeaderKey].second = 42;
             next.settle(store);
             auto* job = next.w.cluster.find_job("req-2");
@@ -448,7 +450,7 @@
 
 TEST(PipelineRecords, ALongListIsToldInPiecesAndHoldsBackNothing) {
     for (bool rejects : {false, true}) {
-        Store store;
+        MemoryKvStore store;
         Bookkeeper k(41, kTight);
         std::vector<std::string> on;
         for (int i = 1; i <= 1500; ++i) {
@@ -467,7 +469,7 @@
         for (int i = 0; k.w.cluster.find_job("req-1")->version == 0; ++i) {
             ASSERT_LT(i, 200);
             b = k.state_log.next(kTight.txn_ops);
-            test::expect_limits(b, kTight);
+            test::expect_within_limits(b, kTight);
             if (rejects && i % 5 == 1) {
                 k.state_log.rejected(b);
                 for (auto& e : b.entries)
@@ -487,7 +489,7 @@
         k.settle(store);
         EXPECT_TRUE(store.keys.count(kLogKey));
         Bookkeeper next(42, kTight);
-        store.load(next.state_log, next.w.now);
+        store.load_into(next.state_log, next.w.now);
         auto* job = next.w.cluster.find_job("req-1");
         ASSERT_TRUE(job);
         EXPECT_TRUE(job->waits);
--- a/tests/play_test.cpp
+++ b/tests/play_test.cpp
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <random>
 
-#include "service.h"
+#include "service_fixture.h"
 #include "traces/stats.h"
 
 namespace weirmill::traces {
@@ -88,7 +88,7 @@
 }
 
 struct Stage {
-    test::Service service{3};
+    test::ServiceFixture service{3};
     std::filesystem::path folder;
     std::vector<PlayJob> jobs;
     PlayOptions options;
@@ -96,15 +96,16 @@
     explicit Stage(int count) {
         auto pattern = (std::filesystem::temp_directory_path() / "weirmill-play-XXXXXX").string();
         folder = ::mkdtemp(pattern.data());
-        EXPECT_TRUE(service.until([&] { return !service.leader().empty(); }));
+        EXPECT_TRUE(service.wait_until([&] { return !service.leader_name().empty(); }));
         for (int i = 0; i < count; ++i) {
             auto id = "req-" + std::to_string(i + 1);
-            PlayJob job{0.05 * i, id, test::Service::submission(id, "array", 2), {}};
+            PlayJob job{0.05 * i, id, test::ServiceFixture::submission_body(id, "array", 2), {}};
             fakes::Job known;
             known.tasks = 2;
-            if (i % 5 == 4) job.awaits = known.awaits = {"req-" + std::to_string(i)};
+            if (i % 5 == 4) job.awaits = known.dependencies = {"req-" + std::to_string(i)};
             if (!job.awaits.empty())
-                job.body = test::Service::with(job.body, "awaits", json::value_from(job.awaits));
+                job.body = test::ServiceFixture::with_field(job.body, "awaits",
+                                                            json::value_from(job.awaits));
             service.cloud->jobs[id] = known;
             jobs.push_back(job);
         }
@@ -141,7 +142,8 @@
             EXPECT_EQ(t.is, Played::Done) << id;
             EXPECT_EQ(t.went_back, "") << id;
         }
-        for (auto& j : jobs) EXPECT_EQ(service.state->keys().count("f/" + j.id), 1u) << j.id;
+        for (auto& j : jobs)
+            EXPECT_EQ(service.state_service->snapshot().count("f/" + j.id), 1u) << j.id;
     }
     bool over = false;
 };
@@ -149,9 +151,9 @@
 TEST(Play, EveryJobEndsOnceThoughALeaderIsKilledMidway) {
     Stage s(40);
     auto player = s.play();
-    ASSERT_TRUE(s.service.until([&] { return player->tracks().size() >= 15; }));
-    s.service.crash(s.service.leader().back() - '0');
-    ASSERT_TRUE(s.service.until([&] { return s.over; }));
+    ASSERT_TRUE(s.service.wait_until([&] { return player->tracks().size() >= 15; }));
+    s.service.crash(s.service.leader_name().back() - '0');
+    ASSERT_TRUE(s.service.wait_until([&] { return s.over; }));
     s.expect_all_done(*player);
     for (auto& [id, t] : player->tracks()) EXPECT_EQ(t.final_answers, 2u) << id;
     auto f = player->figures();
@@ -167,9 +169,9 @@
 TEST(Play, APlayThatWasStoppedGoesOnFromItsLog) {
     Stage s(30);
     auto first = s.play();
-    ASSERT_TRUE(s.service.until([&] { return first->tracks().size() >= 15; }));
+    ASSERT_TRUE(s.service.wait_until([&] { return first->tracks().size() >= 15; }));
     first->stop();
-    ASSERT_TRUE(s.service.until([&] { return s.over; }));
+    ASSERT_TRUE(s.service.wait_until([&] { return s.over; }));
     EXPECT_LT(s.count(*first, Played::Done), 30u);
     auto before = first->tracks();
     // The log breaks off in a line, as after a kill.
@@ -181,7 +183,7 @@
         EXPECT_EQ(is, before[id].is) << id;
     }
     auto second = s.play(known);
-    ASSERT_TRUE(s.service.until([&] { return s.over; }));
+    ASSERT_TRUE(s.service.wait_until([&] { return s.over; }));
     s.expect_all_done(*second);
     // What was settled or accepted is not submitted again.
     for (auto& [id, is] : known) {
@@ -193,21 +195,21 @@
 
 TEST(Play, JobsAfterARefusedOneAreNotSent) {
     Stage s(0);
-    auto bad =
-        test::Service::with(test::Service::submission("req-1", "array", 1), "consignor", "nobody");
-    auto after = test::Service::with(test::Service::submission("req-2", "array", 1), "awaits",
-                                     json::array{"req-1"});
-    auto never = test::Service::with(test::Service::submission("req-3", "array", 1), "awaits",
-                                     json::array{"req-9"});
+    auto bad = test::ServiceFixture::with_field(
+        test::ServiceFixture::submission_body("req-1", "array", 1), "consignor", "nobody");
+    auto after = test::ServiceFixture::with_field(
+        test::ServiceFixture::submission_body("req-2", "array", 1), "awaits", json::array{"req-1"});
+    auto never = test::ServiceFixture::with_field(
+        test::ServiceFixture::submission_body("req-3", "array", 1), "awaits", json::array{"req-9"});
     s.jobs = {
         {0, "req-3", never, {"req-9"}}, {0, "req-2", after, {"req-1"}}, {1, "req-1", bad, {}}};
     s.options.in_flight = 1;  // those that wait take no place of the one that they wait for
     auto player = s.play();
-    ASSERT_TRUE(s.service.until([&] { return s.over; }));
+    ASSERT_TRUE(s.service.wait_until([&] { return s.over; }));
     EXPECT_EQ(player->tracks().at("req-1").is, Played::Refused);
     EXPECT_EQ(player->tracks().at("req-2").is, Played::NotSent);
     EXPECT_EQ(player->tracks().at("req-3").is, Played::NotSent);
-    EXPECT_EQ(s.service.state->count("f/"), 0u);
+    EXPECT_EQ(s.service.state_service->count_keys("f/"), 0u);
 }
 
 TEST(LoadStats, DistributionsKeepEveryJob) {
@@ -267,7 +269,7 @@
     std::filesystem::path folder = ::mkdtemp(pattern.data());
     auto line = [](double at, const char* id) {
         return "{\"at_s\":" + std::to_string(at) +
-               ",\"submission\":" + test::Service::submission(id, "array", 1) + "}\n";
+               ",\"submission\":" + test::ServiceFixture::submission_body(id, "array", 1) + "}\n";
     };
     auto read = [&](const std::string& text) {
         auto path = (folder / "jobs").string();
--- a/tests/standby_model_test.cpp
+++ b/tests/standby_model_test.cpp
@@ -14,8 +14,8 @@
 #include <unordered_set>
 
 #include "fixtures.h"
+#include "memory_kv_store.h"
 #include "standby/standby_decisions.h"
-#include "store.h"
 
 namespace weirmill {
 namespace {
--- a/tests/standby_service_test.cpp
+++ b/tests/standby_service_test.cpp
@@ -1,25 +1,25 @@
 // Doors over loopback: users are served while no leader answers, and each job that was accepted
 // runs once.
-#include "service.h"
+#include "service_fixture.h"
 #include "state/pending_records.h"
 
 namespace weirmill {
 namespace {
 
 namespace json = boost::json;
-using test::Service;
+using test::ServiceFixture;
 
-struct Doors : Service {
-    explicit Doors(int count, With with = {})
-        : Service(count, [&] {
-              with.doors = true;
+struct Doors : ServiceFixture {
+    explicit Doors(int count, Options with = {})
+        : ServiceFixture(count, [&] {
+              with.standby_enabled = true;
               return with;
           }()) {
         std::string warm = "req-1";
         EXPECT_EQ(submit(warm, "array", 1), 201);
-        EXPECT_TRUE(done(warm));
+        EXPECT_TRUE(wait_until_done(warm));
     }
-    int leading() { return leader().back() - '0'; }
+    int leading() { return leader_name().back() - '0'; }
     std::vector<int> followers() {
         std::vector<int> out;
         for (int i = 0; i < static_cast<int>(nodes.size()); ++i)
@@ -29,8 +29,9 @@
     // Uploaded for the workers, as every job of a user is.
     std::string upload(const std::string& id, int tasks, fakes::Job job = {}) {
         job.tasks = static_cast<uint32_t>(tasks);
-        auto body = submission(id, "array", tasks);
-        if (!job.awaits.empty()) body = with(body, "awaits", json::value_from(job.awaits));
+        auto body = submission_body(id, "array", tasks);
+        if (!job.dependencies.empty())
+            body = with_field(body, "awaits", json::value_from(job.dependencies));
         cloud->jobs[id] = std::move(job);
         return body;
     }
@@ -41,8 +42,8 @@
     HttpAnswer at(int node, const char* method, const std::string& target,
                   const std::string& body = "") {
         HttpAnswer out{-1, ""};
-        until([&] {
-            auto reply = ask_node(static_cast<size_t>(node), method, target, body);
+        wait_until([&] {
+            auto reply = request_node(static_cast<size_t>(node), method, target, body);
             if (reply && reply->status != 503) out = *reply;
             return out.status != -1;
         });
@@ -53,19 +54,20 @@
         return a.status == 200 ? std::string(json::parse(a.body).at("status").as_string())
                                : std::to_string(a.status);
     }
-    size_t door_records() { return state->count(kPendingPrefix); }
+    size_t door_records() { return state_service->count_keys(kPendingPrefix); }
     bool collected() {
-        return until([&] { return door_records() == 0; });
+        return wait_until([&] { return door_records() == 0; });
     }
     int starts(const std::string& id, int tasks) {
         int n = 0;
-        for (int t = 0; t < tasks; ++t) n += cloud->starts[id + "/" + std::to_string(t)];
+        for (int t = 0; t < tasks; ++t) n += cloud->task_starts[id + "/" + std::to_string(t)];
         return n;
     }
-    void expect_no_rule_broken() { EXPECT_TRUE(cloud->broken.empty()) << cloud->broken[0]; }
+    void expect_no_rule_broken() { EXPECT_TRUE(cloud->violations.empty()) << cloud->violations[0]; }
     // Every controller has left its mark.
     void opened() {
-        EXPECT_TRUE(until([&] { return state->count(kAdopterPrefix) == settings.size(); }));
+        EXPECT_TRUE(wait_until(
+            [&] { return state_service->count_keys(kAdopterPrefix) == node_settings.size(); }));
     }
 };
 
@@ -80,7 +82,7 @@
     auto status = s.submit_at(taker, body);
     EXPECT_TRUE(status == 201 || status == 200) << status;
     s.crash(taker);
-    EXPECT_TRUE(s.done("req-2"));
+    EXPECT_TRUE(s.wait_until_done("req-2"));
     EXPECT_EQ(s.starts("req-2", 3), 3);
     EXPECT_TRUE(s.collected());
     s.expect_no_rule_broken();
@@ -98,10 +100,10 @@
     }
     // What waits for a job that may not be collected yet.
     fakes::Job second;
-    second.awaits = {"req-2"};
+    second.dependencies = {"req-2"};
     EXPECT_EQ(s.submit_at(f[0], s.upload("req-3", 2, second)), 201);
-    EXPECT_TRUE(s.done("req-2"));
-    EXPECT_TRUE(s.done("req-3"));
+    EXPECT_TRUE(s.wait_until_done("req-2"));
+    EXPECT_TRUE(s.wait_until_done("req-3"));
     for (int node : f) {
         EXPECT_EQ(s.state_at(node, "req-3"), "done");
         EXPECT_EQ(s.state_at(node, "req-999"), "404");
@@ -112,22 +114,25 @@
         std::string body;
         int status;
     };
-    auto unknown = Service::with(Service::submission("req-8", "array", 1), "consignor", "nobody");
+    auto unknown = ServiceFixture::with_field(ServiceFixture::submission_body("req-8", "array", 1),
+                                              "consignor", "nobody");
     const Row rows[] = {
         {"not JSON", "{", 400},
         {"an unknown team", unknown, 422},
-        {"fits no machine", Service::submission("req-8", "array", 1, 100), 422},
+        {"fits no machine", ServiceFixture::submission_body("req-8", "array", 1, 100), 422},
         {"waits for what was never accepted",
-         Service::with(Service::submission("req-8", "array", 1), "awaits", json::array{"req-997"}),
+         ServiceFixture::with_field(ServiceFixture::submission_body("req-8", "array", 1), "awaits",
+                                    json::array{"req-997"}),
          422},
         {"waits for itself",
-         Service::with(Service::submission("req-8", "array", 1), "awaits", json::array{"req-8"}),
+         ServiceFixture::with_field(ServiceFixture::submission_body("req-8", "array", 1), "awaits",
+                                    json::array{"req-8"}),
          422},
         {"waits for what has ended",
-         Service::with(s.upload("req-9", 1), "awaits", json::array{"req-2"}), 201},
+         ServiceFixture::with_field(s.upload("req-9", 1), "awaits", json::array{"req-2"}), 201},
     };
     for (auto& row : rows) EXPECT_EQ(s.submit_at(f[0], row.body), row.status) << row.what;
-    EXPECT_TRUE(s.done("req-9"));
+    EXPECT_TRUE(s.wait_until_done("req-9"));
     EXPECT_EQ(s.starts("req-2", 2) + s.starts("req-3", 2), 4);
     EXPECT_TRUE(s.collected());
     s.expect_no_rule_broken();
@@ -140,13 +145,13 @@
     fakes::Job endless;
     endless.run_s = 1000;
     EXPECT_EQ(s.submit_at(node, s.upload("req-2", 2, endless)), 201);
-    ASSERT_TRUE(s.until([&] { return s.cloud->on_some_machine("req-2"); }));
+    ASSERT_TRUE(s.wait_until([&] { return s.cloud->is_running("req-2"); }));
     // In the log by now: the door leaves a request, and tells what the leader made of it.
     auto a = s.at(node, "POST", "/v2/runs/req-2/cancel");
     EXPECT_EQ(a.status, 200);
     EXPECT_EQ(json::parse(a.body).at("status"), "aborted");
-    ASSERT_TRUE(s.until([&] { return s.state->keys().count("f/req-2") > 0; }));
-    EXPECT_FALSE(s.cloud->on_some_machine("req-2"));
+    ASSERT_TRUE(s.wait_until([&] { return s.state_service->snapshot().count("f/req-2") > 0; }));
+    EXPECT_FALSE(s.cloud->is_running("req-2"));
     // Not collected: no controller leads any more that can be asked, and none will for a while.
     s.crash(s.leading());
     EXPECT_EQ(s.submit_at(node, s.upload("req-3", 2)), 201);
@@ -154,13 +159,13 @@
     EXPECT_EQ(json::parse(a.body).at("status"), "aborted");
     EXPECT_EQ(s.state_at(node, "req-3"), "aborted");
     EXPECT_EQ(s.submit_at(node, s.upload("req-3", 2)), 200);
-    ASSERT_TRUE(s.until([&] { return s.state->keys().count("f/req-3") > 0; }));
+    ASSERT_TRUE(s.wait_until([&] { return s.state_service->snapshot().count("f/req-3") > 0; }));
     EXPECT_EQ(s.state_at(node, "req-3"), "aborted");
     EXPECT_EQ(s.starts("req-3", 2), 0);
     // What names a cancelled job is cancelled with it.
-    EXPECT_EQ(
-        s.submit_at(node, Service::with(s.upload("req-4", 1), "awaits", json::array{"req-3"})),
-        201);
+    EXPECT_EQ(s.submit_at(node, ServiceFixture::with_field(s.upload("req-4", 1), "awaits",
+                                                           json::array{"req-3"})),
+              201);
     EXPECT_EQ(s.state_at(node, "req-4"), "aborted");
     // Nobody accepted it.
     EXPECT_EQ(s.at(node, "POST", "/v2/runs/req-999/cancel").status, 404);
@@ -177,15 +182,15 @@
     for (int i = 0; i < 3; ++i)
         if (i != old) left.push_back(i);
     auto body = s.upload("req-2", 2);
-    s.state->delay_txns = 1;  // executed late, after its sender gave up
-    auto first = s.ask_node(static_cast<size_t>(left[0]), "POST", "/v2/runs", body);
+    s.state_service->delay_txns = 1;  // executed late, after its sender gave up
+    auto first = s.request_node(static_cast<size_t>(left[0]), "POST", "/v2/runs", body);
     ASSERT_TRUE(first);
     EXPECT_TRUE(first->status == 503 || first->status < 300) << first->status;
     EXPECT_LT(s.submit_at(left[1], body), 300);
-    EXPECT_TRUE(s.done("req-2"));
+    EXPECT_TRUE(s.wait_until_done("req-2"));
     EXPECT_TRUE(s.collected());
     EXPECT_EQ(s.starts("req-2", 2), 2);
-    EXPECT_EQ(s.status("req-2"), "done");
+    EXPECT_EQ(s.job_status("req-2"), "done");
     s.expect_no_rule_broken();
 }
 
@@ -193,13 +198,13 @@
     Doors s(3, {false, true, 0, 40, 12});
     s.opened();
     auto f = s.followers();
-    s.state->refused.insert(f[0]);
+    s.state_service->refused_controllers.insert(f[0]);
     auto body = s.upload("req-2", 1);
-    auto reply = s.ask_node(static_cast<size_t>(f[0]), "POST", "/v2/runs", body);
+    auto reply = s.request_node(static_cast<size_t>(f[0]), "POST", "/v2/runs", body);
     ASSERT_TRUE(reply);
     EXPECT_EQ(reply->status, 503);
     EXPECT_LT(s.submit_at(f[1], body), 300);
-    EXPECT_TRUE(s.done("req-2"));
+    EXPECT_TRUE(s.wait_until_done("req-2"));
     s.expect_no_rule_broken();
 }
 
@@ -207,15 +212,15 @@
     // Such a leader would call an accepted job unknown.
     Doors s(2, {false, true, 1, 40, 12});
     auto node = static_cast<size_t>(s.followers()[0]);
-    for (int i = 0; i < 3000; ++i) s.turn();
-    auto reply = s.ask_node(node, "POST", "/v2/runs", s.upload("req-2", 1));
+    for (int i = 0; i < 3000; ++i) s.poll_once();
+    auto reply = s.request_node(node, "POST", "/v2/runs", s.upload("req-2", 1));
     ASSERT_TRUE(reply);
     EXPECT_EQ(reply->status, 503);
     EXPECT_EQ(s.door_records(), 0u);
     // Its mark comes, as when it is replaced by this version.
-    s.state->put(adopter_key("stranger-0"), json::object{{"collects", 1}});
+    s.state_service->put(adopter_key("stranger-0"), json::object{{"collects", 1}});
     EXPECT_LT(s.submit_at(static_cast<int>(node), s.upload("req-2", 1)), 300);
-    EXPECT_TRUE(s.done("req-2"));
+    EXPECT_TRUE(s.wait_until_done("req-2"));
     s.expect_no_rule_broken();
 }
 
@@ -224,16 +229,16 @@
     Doors s(1);
     s.crash(0);
     PendingRecord record{json::parse(s.upload("req-2", 1)), wall_now(), false};
-    s.asked_elsewhere("req-2");
-    s.state->put("f/req-2", json::parse(final_record(JobState::Done, 1)));
-    s.state->put(pending_key("req-2"), json::parse(pending_record(record)));
-    s.state->refuse_drops = true;
+    s.record_external_submission("req-2");
+    s.state_service->put("f/req-2", json::parse(final_record(JobState::Done, 1)));
+    s.state_service->put(pending_key("req-2"), json::parse(pending_record(record)));
+    s.state_service->refuse_deletes = true;
     s.add_node(1);
     EXPECT_EQ(s.state_at(1, "req-2"), "done");
     EXPECT_EQ(s.submit_at(1, s.upload("req-2", 1)), 200);
     EXPECT_EQ(json::parse(s.at(1, "POST", "/v2/runs/req-2/cancel").body).at("status"), "done");
     EXPECT_EQ(s.door_records(), 1u);
-    s.state->refuse_drops = false;
+    s.state_service->refuse_deletes = false;
     EXPECT_TRUE(s.collected());
     EXPECT_EQ(s.starts("req-2", 1), 0);
     s.expect_no_rule_broken();
@@ -245,21 +250,21 @@
     constexpr int kJobs = 2000;
     for (int i = 0; i < kJobs; ++i) {
         auto id = "req-" + std::to_string(10000 + i);
-        PendingRecord record{json::parse(Service::submission(id, "array", 1)), wall_now(),
-                             i % 100 != 0};
-        s.asked_elsewhere(id, record.cancelled);
+        PendingRecord record{json::parse(ServiceFixture::submission_body(id, "array", 1)),
+                             wall_now(), i % 100 != 0};
+        s.record_external_submission(id, record.cancelled);
         s.cloud->jobs[id] = {};
-        s.state->put(pending_key(id), json::parse(pending_record(record)));
+        s.state_service->put(pending_key(id), json::parse(pending_record(record)));
     }
-    s.state->put(pending_key("req-5"),
-                 json::object{{"cancelled", true}});  // of a job that nobody knows
-    s.state->put(pending_key("req-6"),
-                 json::object{{"job", 7}, {"at", wall_now()}});  // of nobody's making
+    s.state_service->put(pending_key("req-5"),
+                         json::object{{"cancelled", true}});  // of a job that nobody knows
+    s.state_service->put(pending_key("req-6"),
+                         json::object{{"job", 7}, {"at", wall_now()}});  // of nobody's making
     s.add_node(1);
-    ASSERT_TRUE(s.until([&] { return s.state->count("f/") == kJobs + 1; }));
-    EXPECT_EQ(s.status("req-10000"), "done");
-    EXPECT_EQ(s.status("req-10001"), "aborted");
-    EXPECT_TRUE(s.until([&] { return s.door_records() == 1; }))
+    ASSERT_TRUE(s.wait_until([&] { return s.state_service->count_keys("f/") == kJobs + 1; }));
+    EXPECT_EQ(s.job_status("req-10000"), "done");
+    EXPECT_EQ(s.job_status("req-10001"), "aborted");
+    EXPECT_TRUE(s.wait_until([&] { return s.door_records() == 1; }))
         << s.door_records();  // the malformed one stays
     s.expect_no_rule_broken();
 }
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -4,20 +4,20 @@
 #include <random>
 
 #include "fixtures.h"
+#include "memory_kv_store.h"
 #include "standby/forward_timeout.h"
 #include "standby/standby_decisions.h"
-#include "store.h"
 
 namespace weirmill {
 namespace {
 
 namespace json = boost::json;
-using test::Store;
-using test::World;
+using test::ClusterFixture;
+using test::MemoryKvStore;
 
 constexpr StateLogLimits kSmall{12, 4};
 
-KvPage page_of(const Store& store, const std::string& after, size_t most) {
+KvPage page_of(const MemoryKvStore& store, const std::string& after, size_t most) {
     KvPage page;
     page.revision = store.revision;
     for (auto& [key, value] : store.keys) {
@@ -32,7 +32,7 @@
 }
 
 // As StateLogFollower::read_log, with small pages.
-void follow(StateLogView& view, const Store& store) {
+void follow(StateLogView& view, const MemoryKvStore& store) {
     for (int tries = 0; tries < 2; ++tries) {
         std::string after = view.resume_after();
         bool first_page = true, in_order = true;
@@ -58,9 +58,9 @@
          {Row{0, {{"leader", 41}, {"log", 0}, {segment_key(1), 0}, {"f/req-1", 0}, {"d/req-1", 0}}},
           Row{7,
               {{"leader", 41}, {"log", 0}, {segment_key(1), 0}, {"f/req-1", 0}, {"d/req-1", 7}}}}) {
-        World w;
+        ClusterFixture w;
         StateLog state_log(w.cluster, 41, kSmall);
-        auto j = w.cluster.add_job(w.spec("req-1", JobKind::Array, 2, 1), 1000, w.now);
+        auto j = w.cluster.add_job(w.job_spec("req-1", JobKind::Array, 2, 1), 1000, w.now);
         state_log.new_job(j, row.standby);
         auto b = state_log.next(12);
         std::map<std::string, uint64_t> seen;
@@ -84,28 +84,29 @@
 }
 
 TEST(PendingRecords, ManyJobsFromDoorsStayWithinTheLimitsOfATransaction) {
-    World w;
+    ClusterFixture w;
     StateLog state_log(w.cluster, 41, kSmall);
-    Store store;
+    MemoryKvStore store;
     for (int i = 0; i < 300; ++i) {
         auto id = "req-" + std::to_string(i);
         store.keys[pending_key(id)] = {"{}", 5};
-        state_log.new_job(w.cluster.add_job(w.spec(id, JobKind::Array, 1, 0.01), 1000, w.now), 5);
+        state_log.new_job(w.cluster.add_job(w.job_spec(id, JobKind::Array, 1, 0.01), 1000, w.now),
+                          5);
         state_log.forget(pending_key(id), 5);
     }
-    test::flush(state_log, w.cluster, store, kSmall, w.now);
+    test::commit_all(state_log, w.cluster, store, kSmall, w.now);
     EXPECT_TRUE(store.keys.lower_bound(kPendingPrefix) == store.keys.lower_bound("d0"))
         << "records are left";
-    World fresh;
+    ClusterFixture fresh;
     StateLog loaded(fresh.cluster, 42, kSmall);
-    store.load(loaded, fresh.now);
+    store.load_into(loaded, fresh.now);
     EXPECT_EQ(fresh.cluster.job_index.size(), 300u);
 }
 
 TEST(PendingRecords, AreReadAsTheyWereWrittenAndRefusedWhenTheyMakeNoSense) {
-    World w;
-    PendingRecord r{submission_json(w.spec("req-1", JobKind::Gang, 3, 2), w.cluster.names), 1234.5,
-                    true};
+    ClusterFixture w;
+    PendingRecord r{submission_json(w.job_spec("req-1", JobKind::Gang, 3, 2), w.cluster.names),
+                    1234.5, true};
     auto again = parse_pending_record(json::parse(pending_record(r)));
     EXPECT_EQ(again.job, r.job);
     EXPECT_EQ(again.at, 1234.5);
@@ -206,21 +207,22 @@
     for (unsigned seed = 1; seed <= 12; ++seed) {
         std::mt19937 random(seed);
         auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
-        World w;
-        Store store;
+        ClusterFixture w;
+        MemoryKvStore store;
         StateLog state_log(w.cluster, 41, kSmall);
         StateLogView often, seldom;  // one that reads all the time, one that misses whole segments
         std::vector<Index> machines;
-        for (int i = 0; i < 4; ++i) machines.push_back(w.machine("vm-00000" + std::to_string(i)));
+        for (int i = 0; i < 4; ++i)
+            machines.push_back(w.add_machine("vm-00000" + std::to_string(i)));
         int jobs = 0, compared = 0, drops = 0;
         uint64_t moment = 0;
         std::set<std::string> ended;
         for (int step = 0; step < 1200; ++step) {
             if (below(8) == 0 && w.cluster.job_index.size() < 10)
-                state_log.new_job(w.cluster.add_job(
-                    w.spec("req-" + std::to_string(++jobs), JobKind::Array, 1 + below(50), 0.01),
-                    1000, w.now));
-            test::live_on(w.cluster, state_log, machines, below, 300, w.now);
+                state_log.new_job(w.cluster.add_job(w.job_spec("req-" + std::to_string(++jobs),
+                                                               JobKind::Array, 1 + below(50), 0.01),
+                                                    1000, w.now));
+            test::advance_randomly(w.cluster, state_log, machines, below, 300, w.now);
             auto b = state_log.next(2 + static_cast<int>(below(11)));
             if (b.empty()) continue;
             auto revision = store.apply(b.txn);
@@ -241,7 +243,7 @@
                 moment = often.ends_read();
             }
             if (below(400) != 0) continue;
-            test::flush(state_log, w.cluster, store, kSmall, w.now);
+            test::commit_all(state_log, w.cluster, store, kSmall, w.now);
             follow(often, store);
             follow(seldom, store);
             ended.clear();
--- a/tests/state_log_test.cpp
+++ b/tests/state_log_test.cpp
@@ -4,19 +4,19 @@
 
 #include "fixtures.h"
 #include "leadership/election.h"
+#include "memory_kv_store.h"
 #include "scheduler/placement.h"
 #include "standby/state_log_view.h"
 #include "storage/kv_client.h"
-#include "store.h"
 
 namespace weirmill {
 namespace {
 
-using test::expect_limits;
-using test::flush;
-using test::picture;
-using test::Store;
-using test::World;
+using test::ClusterFixture;
+using test::commit_all;
+using test::describe_jobs;
+using test::expect_within_limits;
+using test::MemoryKvStore;
 
 uint64_t condition(const StateLogBatch& b, const std::string& key) {
     for (auto& c : b.txn.conditions)
@@ -27,9 +27,9 @@
 constexpr StateLogLimits kSmall{12, 4};
 
 TEST(StateLog, EveryTransactionDependsOnTheLeadershipTheHeadAndItsKeys) {
-    World w;
+    ClusterFixture w;
     StateLog state_log(w.cluster, 41, kSmall);
-    auto j = w.cluster.add_job(w.spec("req-1", JobKind::Array, 2, 1), 1000, w.now);
+    auto j = w.cluster.add_job(w.job_spec("req-1", JobKind::Array, 2, 1), 1000, w.now);
     state_log.new_job(j);
     auto b = state_log.next(12);
     EXPECT_EQ(condition(b, kLeaderKey), 41u);
@@ -37,7 +37,7 @@
     EXPECT_EQ(condition(b, segment_key(1)), 0u);
     EXPECT_EQ(condition(b, "f/req-1"), 0u);  // a job that has ended is not taken anew
     state_log.committed(b, 50);
-    w.cluster.place(j, 0, w.machine("m0"), 1, w.now);
+    w.cluster.place(j, 0, w.add_machine("m0"), 1, w.now);
     EXPECT_FALSE(w.cluster.recorded(*w.cluster.jobs[j], 0));
     b = state_log.next(12);
     EXPECT_EQ(condition(b, segment_key(1)), 50u);
@@ -48,10 +48,10 @@
 }
 
 TEST(StateLog, AChangeDuringATransactionIsNotTakenForRecorded) {
-    World w;
+    ClusterFixture w;
     StateLog state_log(w.cluster, 41, kSmall);
-    auto j = w.job(w.spec("req-1", JobKind::Array, 2, 1));
-    auto m = w.machine("m0");
+    auto j = w.add_job(w.job_spec("req-1", JobKind::Array, 2, 1));
+    auto m = w.add_machine("m0");
     w.cluster.place(j, 0, m, 1, w.now);
     auto b = state_log.next(12);
     w.cluster.place(j, 1, m, 1, w.now);
@@ -63,10 +63,10 @@
 }
 
 TEST(StateLog, RejectedRecordsWaitAgain) {
-    World w;
+    ClusterFixture w;
     StateLog state_log(w.cluster, 41, kSmall);
-    auto j = w.job(w.spec("req-1", JobKind::Array, 3, 1));
-    auto m = w.machine("m0");
+    auto j = w.add_job(w.job_spec("req-1", JobKind::Array, 3, 1));
+    auto m = w.add_machine("m0");
     for (uint32_t t = 0; t < 3; ++t) w.cluster.place(j, t, m, 1, w.now);
     auto b = state_log.next(12);
     state_log.rejected(b);
@@ -75,11 +75,11 @@
 
 TEST(StateLog, OneChangeCarriesTheEventsOfManyJobs) {
     // A key for each job once bounded the service: the state service takes a few changes a second.
-    World w;
+    ClusterFixture w;
     StateLog state_log(w.cluster, 41, kSmall);
-    auto m = w.machine("m0");
+    auto m = w.add_machine("m0");
     for (int i = 1; i <= 20; ++i) {
-        auto j = w.job(w.spec("req-" + std::to_string(i), JobKind::Array, 4, 0.01));
+        auto j = w.add_job(w.job_spec("req-" + std::to_string(i), JobKind::Array, 4, 0.01));
         w.cluster.place(j, 0, m, 1, w.now);
     }
     EXPECT_EQ(state_log.next(12).txn.changes.size(), 1u);
@@ -87,13 +87,13 @@
 }
 
 TEST(StateLog, TheEndOfAJobIsItsFinalStateAndOneMoreEvent) {
-    World w;
-    Store store;
+    ClusterFixture w;
+    MemoryKvStore store;
     StateLog state_log(w.cluster, 41, kSmall);
-    auto j = w.cluster.add_job(w.spec("req-1", JobKind::Array, 1, 1), 1000, w.now);
+    auto j = w.cluster.add_job(w.job_spec("req-1", JobKind::Array, 1, 1), 1000, w.now);
     state_log.new_job(j);
-    flush(state_log, w.cluster, store, kSmall, w.now);
-    w.cluster.place(j, 0, w.machine("m0"), 1, w.now);
+    commit_all(state_log, w.cluster, store, kSmall, w.now);
+    w.cluster.place(j, 0, w.add_machine("m0"), 1, w.now);
     w.cluster.finish(j, 0, w.now);
     w.cluster.jobs[j]->ending = true;
     state_log.finish(j);
@@ -104,9 +104,9 @@
     EXPECT_EQ(condition(b, "f/req-1"), 0u);
     EXPECT_EQ(parse_final(boost::json::parse(b.txn.changes[1].value)).state, JobState::Done);
     state_log.committed(b, store.apply(b.txn));
-    World fresh;
+    ClusterFixture fresh;
     StateLog loaded(fresh.cluster, 42, kSmall);
-    store.load(loaded, fresh.now);
+    store.load_into(loaded, fresh.now);
     EXPECT_EQ(fresh.cluster.find_job("req-1"), nullptr);
     EXPECT_TRUE(fresh.cluster.machine_index.empty());
 }
@@ -116,28 +116,29 @@
     for (unsigned seed = 1; seed <= 20; ++seed) {
         std::mt19937 random(seed);
         auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
-        World w;
-        Store store;
+        ClusterFixture w;
+        MemoryKvStore store;
         StateLog state_log(w.cluster, 41, kSmall);
         std::vector<Index> machines;
-        for (int i = 0; i < 6; ++i) machines.push_back(w.machine("vm-00000" + std::to_string(i)));
+        for (int i = 0; i < 6; ++i)
+            machines.push_back(w.add_machine("vm-00000" + std::to_string(i)));
         std::vector<CasTransaction> sent;
         int jobs = 0;
         size_t most_segments = 0;
         for (int step = 0; step < 1500; ++step) {
             if (below(12) == 0 && w.cluster.job_index.size() < 12) {
-                auto spec =
-                    w.spec("req-" + std::to_string(++jobs), JobKind::Array, 1 + below(60), 0.01);
+                auto spec = w.job_spec("req-" + std::to_string(++jobs), JobKind::Array,
+                                       1 + below(60), 0.01);
                 state_log.new_job(w.cluster.add_job(std::move(spec), 1000, w.now));
             }
-            test::live_on(w.cluster, state_log, machines, below, 400, w.now);
+            test::advance_randomly(w.cluster, state_log, machines, below, 400, w.now);
             if (!sent.empty() && below(3) == 0) {
                 EXPECT_EQ(store.apply(sent[below(sent.size())]), 0u)
                     << "a late copy was applied, seed " << seed;
             }
             auto b = state_log.next(2 + static_cast<int>(below(11)));
             if (b.empty()) continue;
-            expect_limits(b, kSmall);
+            expect_within_limits(b, kSmall);
             if (below(10) == 0) {
                 state_log.rejected(b);
                 for (auto& e : b.entries)
@@ -150,13 +151,13 @@
             state_log.committed(b, revision);
             for (auto& e : b.entries)
                 if (e.kind == EntryKind::Finish) w.cluster.remove_job(e.job, w.now);
-            most_segments = std::max(most_segments, store.segments());
+            most_segments = std::max(most_segments, store.segment_count());
         }
-        flush(state_log, w.cluster, store, kSmall, w.now);
-        World fresh;
+        commit_all(state_log, w.cluster, store, kSmall, w.now);
+        ClusterFixture fresh;
         StateLog loaded(fresh.cluster, 42, kSmall);
-        store.load(loaded, fresh.now);
-        EXPECT_EQ(picture(fresh.cluster), picture(w.cluster)) << "seed " << seed;
+        store.load_into(loaded, fresh.now);
+        EXPECT_EQ(describe_jobs(fresh.cluster), describe_jobs(w.cluster)) << "seed " << seed;
         EXPECT_EQ(fresh.cluster.teams[1].used, w.cluster.teams[1].used) << "seed " << seed;
         EXPECT_GT(jobs, 20);
         EXPECT_LT(most_segments, 40u);
@@ -175,17 +176,18 @@
         for (unsigned seed = 1; seed <= 40; ++seed) {
             std::mt19937 random(seed);
             auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
-            World w;
-            Store store;
+            ClusterFixture w;
+            MemoryKvStore store;
             StateLog state_log(w.cluster, 41, limits);
             state_log.allow_multi_part_records();
-            auto machine = w.machine("vm-000001");
+            auto machine = w.add_machine("vm-000001");
             std::map<std::string, Index>
                 cancelled;  // recorded, and so users may have been answered so
             int jobs = 0;
             for (int step = 0; step < 500; ++step) {
                 if (w.cluster.job_index.size() < 6) {
-                    auto spec = w.spec("req-" + std::to_string(++jobs), JobKind::Array, 3, 0.01);
+                    auto spec =
+                        w.job_spec("req-" + std::to_string(++jobs), JobKind::Array, 3, 0.01);
                     for (size_t n = 0; n < types; ++n)
                         spec.types.push_back(
                             w.cluster.names.types.intern(std::string(90, 't') + std::to_string(n)));
@@ -223,11 +225,11 @@
                         cancelled.erase(id), w.cluster.remove_job(e.job, w.now);
                 }
                 if (cancelled.empty()) continue;
-                World fresh;
+                ClusterFixture fresh;
                 StateLog loaded(fresh.cluster, 42, limits);
-                store.load(loaded, fresh.now);
+                store.load_into(loaded, fresh.now);
                 StateLogView view;
-                ASSERT_TRUE(view.apply_page(store.log(), true));
+                ASSERT_TRUE(view.apply_page(store.segment_page(), true));
                 for (auto& [id, j] : cancelled) {
                     auto* job = fresh.cluster.find_job(id);
                     ASSERT_TRUE(job && job->cancel_recorded)
@@ -251,16 +253,16 @@
           R"([["j",{}]])", R"([["p","req-2",0]])", R"([["p","req-2",-1,"x"]])",
           R"([["p","req-2",0,"{"],["j",{"id":"req-2","pieces":1,"at":1}]])",
           R"([["j",{"pieces":2,"at":1}]])", R"([["e","req-1","late"]])"}) {
-        World w;
+        ClusterFixture w;
         StateLog state_log(w.cluster, 41, kSmall);
-        w.job(w.spec("req-1", JobKind::Array, 2, 1));
+        w.add_job(w.job_spec("req-1", JobKind::Array, 2, 1));
         EXPECT_THROW(
             state_log.load_segment({segment_key(5), boost::json::parse(value), 5, 0}, w.now),
             BadMessage)
             << value;
     }
     for (const char* key : {"w/", "w/x", "w/-1"}) {
-        World w;
+        ClusterFixture w;
         StateLog state_log(w.cluster, 41, kSmall);
         EXPECT_THROW(state_log.load_segment({key, boost::json::array{}, 5, 0}, w.now), BadMessage)
             << key;
@@ -268,19 +270,19 @@
 }
 
 TEST(StateLog, TheLargestJobFitsTheSmallestLimits) {
-    World w;
-    Store store;
+    ClusterFixture w;
+    MemoryKvStore store;
     StateLog state_log(w.cluster, 41, kSmall);
-    auto j = w.cluster.add_job(w.spec("req-1", JobKind::Array, 100000, 0.001), 1000, w.now);
+    auto j = w.cluster.add_job(w.job_spec("req-1", JobKind::Array, 100000, 0.001), 1000, w.now);
     state_log.new_job(j);
-    flush(state_log, w.cluster, store, kSmall, w.now);
-    auto m = w.machine("vm-000001");
+    commit_all(state_log, w.cluster, store, kSmall, w.now);
+    auto m = w.add_machine("vm-000001");
     for (uint32_t t = 0; t < 100000; ++t) w.cluster.place(j, t, m, 1000000, w.now);
-    flush(state_log, w.cluster, store, kSmall, w.now);
+    commit_all(state_log, w.cluster, store, kSmall, w.now);
     EXPECT_TRUE(w.cluster.recorded(*w.cluster.jobs[j], 99999));
-    World fresh;
+    ClusterFixture fresh;
     StateLog loaded(fresh.cluster, 42, kSmall);
-    store.load(loaded, fresh.now);
+    store.load_into(loaded, fresh.now);
     ASSERT_NE(fresh.cluster.find_job("req-1"), nullptr);
     EXPECT_EQ(fresh.cluster.find_job("req-1")->placed, 100000u);
 }
@@ -288,7 +290,7 @@
 TEST(StateLog, OfANoteTheNewestValueIsRecorded) {
     // The machine types are such a note: without them a new leader could not decide while the cloud
     // is down.
-    World w;
+    ClusterFixture w;
     StateLog state_log(w.cluster, 41, kSmall);
     state_log.load_note(kTypesKey, 9);
     state_log.note(kTypesKey, R"({"n":1})");
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -7,9 +7,9 @@
 #include <cstring>
 
 #include "fixtures.h"
+#include "memory_kv_store.h"
 #include "old_peer.capnp.h"
 #include "old_records.h"
-#include "store.h"
 #include "transport/http_server.h"
 #include "transport/peer_link.h"
 
@@ -19,12 +19,12 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 using tcp = asio::ip::tcp;
-using test::Store;
-using test::World;
+using test::ClusterFixture;
+using test::MemoryKvStore;
 
 template <size_t N>
-Store store_of(const test::OldRecord (&records)[N]) {
-    Store store;
+MemoryKvStore store_of(const test::OldRecord (&records)[N]) {
+    MemoryKvStore store;
     for (auto& r : records) {
         store.keys[r.key] = {r.value, r.version};
         store.revision = std::max(store.revision, r.version);
@@ -33,11 +33,11 @@
 }
 
 // The history of kOldShort, played by this version.
-void play_short(World& w, StateLog& l, Store& s) {
+void play_short(ClusterFixture& w, StateLog& l, MemoryKvStore& s) {
     constexpr StateLogLimits limits{12, 4};
-    auto flush = [&] { test::flush(l, w.cluster, s, limits, w.now); };
-    auto a = w.cluster.add_job(w.spec("req-000001", JobKind::Array, 5, 1), 1000.25, w.now);
-    auto spec = w.spec("req-000002", JobKind::Gang, 2, 2, 1, Priority::High, "red");
+    auto flush = [&] { test::commit_all(l, w.cluster, s, limits, w.now); };
+    auto a = w.cluster.add_job(w.job_spec("req-000001", JobKind::Array, 5, 1), 1000.25, w.now);
+    auto spec = w.job_spec("req-000002", JobKind::Gang, 2, 2, 1, Priority::High, "red");
     spec.types = {w.cluster.names.types.find("gpu")};
     spec.zone = w.cluster.names.zones.find("b");
     spec.one_zone = true;
@@ -47,11 +47,11 @@
     spec.checkpoint_duration_s = 4;
     spec.image_gb = 6.2;
     auto b = w.cluster.add_job(spec, 1001.5, w.now);
-    auto c = w.cluster.add_job(w.spec("req-000003", JobKind::Service, 1, 1), 1002, w.now);
-    auto d = w.cluster.add_job(w.spec("req-000004", JobKind::Array, 1, 1), 1003, w.now);
+    auto c = w.cluster.add_job(w.job_spec("req-000003", JobKind::Service, 1, 1), 1002, w.now);
+    auto d = w.cluster.add_job(w.job_spec("req-000004", JobKind::Array, 1, 1), 1003, w.now);
     for (auto j : {a, b, c, d}) l.new_job(j);
     flush();
-    auto m0 = w.machine("vm-000001"), m1 = w.machine("vm-000002", "gpu", "b");
+    auto m0 = w.add_machine("vm-000001"), m1 = w.add_machine("vm-000002", "gpu", "b");
     for (uint32_t t = 0; t < 4; ++t) w.cluster.place(a, t, m0, 1, w.now);
     for (uint32_t t = 0; t < 2; ++t) w.cluster.place(b, t, m1, 1, w.now);
     w.cluster.place(c, 0, m0, 1, w.now);
@@ -70,8 +70,8 @@
 }
 
 TEST(Upgrade, WithoutPipelinesRecordsAreByteForByteThoseOfTheVersionBefore) {
-    World w;
-    Store s;
+    ClusterFixture w;
+    MemoryKvStore s;
     StateLog l(w.cluster, 41, {12, 4});
     play_short(w, l, s);
     s.keys.erase(kLeaderKey);
@@ -84,7 +84,7 @@
 
 // What the version before refuses: entry tags that it does not know. What it would not notice:
 // fields.
-void expect_readable_by_the_version_before(const Store& s) {
+void expect_readable_by_the_version_before(const MemoryKvStore& s) {
     const std::set<std::string> fields{"job", "at", "cancelled"};
     for (auto& [key, value] : s.keys) {
         if (!key.starts_with(kSegmentPrefix)) continue;
@@ -105,10 +105,10 @@
 
 TEST(Upgrade, EachVersionsRecordsAreLoadedAndToldAnewByTheOther) {
     auto s = store_of(test::kOldRetold);
-    World w;
+    ClusterFixture w;
     StateLog l(w.cluster, 41, {4, 1});
-    s.load(l, w.now);
-    auto before = test::picture(w.cluster);
+    s.load_into(l, w.now);
+    auto before = test::describe_jobs(w.cluster);
     EXPECT_EQ(w.cluster.find_job("req-000001")->done, 10u);
     EXPECT_EQ(w.cluster.find_job("req-000001")->placed, 20u);
     EXPECT_TRUE(w.cluster.find_job("req-000002")->cancel_recorded);
@@ -122,14 +122,14 @@
             w.cluster.unassign(j, t, w.now);
             w.cluster.place(j, t, m, 100 + i, w.now);
         }
-        test::flush(l, w.cluster, s, {4, 1}, w.now);
+        test::commit_all(l, w.cluster, s, {4, 1}, w.now);
     }
     EXPECT_FALSE(s.keys.count(oldest));
     expect_readable_by_the_version_before(s);
-    World fresh;
+    ClusterFixture fresh;
     StateLog next(fresh.cluster, 42, {4, 1});
-    s.load(next, fresh.now);
-    EXPECT_EQ(test::picture(fresh.cluster), test::picture(w.cluster));
+    s.load_into(next, fresh.now);
+    EXPECT_EQ(test::describe_jobs(fresh.cluster), test::describe_jobs(w.cluster));
 }
 
 std::string from_hex(const std::string& hex) {
@@ -257,53 +257,53 @@
 
 // A job whose description an older version could record, and which no longer fits one value.
 std::string long_job(const std::string& id) {
-    World w;
-    auto spec = w.spec(id, JobKind::Array, 3, 1);
+    ClusterFixture w;
+    auto spec = w.job_spec(id, JobKind::Array, 3, 1);
     for (int i = 0; i < 60; ++i)
         spec.types.push_back(
             w.cluster.names.types.intern("type-" + std::string(40, 'x') + std::to_string(i)));
     spec.image = w.cluster.names.images.intern(std::string(60, '"') + "\u00e9\u00e9");
-    auto j = w.job(spec);
+    auto j = w.add_job(spec);
     return job_record(*w.cluster.jobs[j], j, w.cluster);
 }
 
 TEST(LowerLimits, LongerValuesOfAnOlderVersionAreReadAndNeverWrittenAgain) {
     constexpr StateLogLimits tight{4, 2};
     for (bool pipelines : {false, true}) {
-        Store s;
+        MemoryKvStore s;
         auto entry = long_job("req-7");
         ASSERT_GT(entry.size(), 2048u);
         s.keys[segment_key(1)] = {"[" + entry + R"(,["t","req-7",[0,0,"d"]]])", 12};
-        World w;
+        ClusterFixture w;
         StateLog l(w.cluster, 41, tight);
-        s.load(l, w.now);
-        auto m = w.machine("vm-000001");
+        s.load_into(l, w.now);
+        auto m = w.add_machine("vm-000001");
         // Others come, change and end; the log is told anew again and again.
         for (int i = 1; i <= 300; ++i) {
-            auto spec = w.spec("req-1" + std::to_string(i), JobKind::Array, 20, 0.01);
+            auto spec = w.job_spec("req-1" + std::to_string(i), JobKind::Array, 20, 0.01);
             if (pipelines && i % 3 == 0) spec.dependencies = {"req-7"};
             auto j = w.cluster.add_job(std::move(spec), 1000, w.now);
             if (w.cluster.jobs[j]->waits)
                 w.cluster.set_dependencies(j, {w.cluster.job_index.at("req-7")}, w.now);
             l.new_job(j);
-            test::flush(l, w.cluster, s, tight, w.now);
+            test::commit_all(l, w.cluster, s, tight, w.now);
             EXPECT_NE(w.cluster.jobs[j]->version, 0u);
             if (w.cluster.jobs[j]->waits) continue;
             for (uint32_t t = 0; t < 20; ++t) w.cluster.place(j, t, m, 1, w.now);
-            test::flush(l, w.cluster, s, tight, w.now);
+            test::commit_all(l, w.cluster, s, tight, w.now);
             for (uint32_t t = 0; t < 20; ++t) w.cluster.finish(j, t, w.now);
             w.cluster.jobs[j]->ending = true;
             l.finish(j);
-            test::flush(l, w.cluster, s, tight, w.now);
+            test::commit_all(l, w.cluster, s, tight, w.now);
         }
         // In pieces it would not be readable by the version before, which may still lead: its
         // segment stays until pipelines are used.
         EXPECT_EQ(s.keys.count(segment_key(1)), pipelines ? 0u : 1u);
         if (!pipelines) expect_readable_by_the_version_before(s);
-        World fresh;
+        ClusterFixture fresh;
         StateLog next(fresh.cluster, 42, tight);
-        s.load(next, fresh.now);
-        EXPECT_EQ(test::picture(fresh.cluster), test::picture(w.cluster));
+        s.load_into(next, fresh.now);
+        EXPECT_EQ(test::describe_jobs(fresh.cluster), test::describe_jobs(w.cluster));
         auto* job = fresh.cluster.find_job("req-7");
         ASSERT_TRUE(job);
         EXPECT_EQ(job->done, 1u);
@@ -319,13 +319,13 @@
 TEST(LowerLimits, WhatIsRefusedAsTooLargeIsToldInSmallerTransactions) {
     // Nothing was announced. The same text was once sent again for ever, and all else waited behind
     // it.
-    World w;
-    Store s;
+    ClusterFixture w;
+    MemoryKvStore s;
     StateLog l(w.cluster, 41, {24, 32});
-    auto m = w.machine("vm-000001");
+    auto m = w.add_machine("vm-000001");
     for (int i = 1; i <= 40; ++i) {
-        auto j = w.cluster.add_job(w.spec("req-" + std::to_string(i), JobKind::Array, 30, 0.001),
-                                   1000, w.now);
+        auto j = w.cluster.add_job(
+            w.job_spec("req-" + std::to_string(i), JobKind::Array, 30, 0.001), 1000, w.now);
         l.new_job(j);
     }
     constexpr StateLogLimits held{6, 2};
@@ -357,17 +357,17 @@
     EXPECT_GT(refused, 0);
     EXPECT_LT(refused, 8);
     EXPECT_FALSE(l.waiting());
-    World fresh;
+    ClusterFixture fresh;
     StateLog next(fresh.cluster, 42, held);
-    s.load(next, fresh.now);
+    s.load_into(next, fresh.now);
     EXPECT_EQ(fresh.cluster.job_index.size(), 40u);
-    EXPECT_EQ(test::picture(fresh.cluster), test::picture(w.cluster));
+    EXPECT_EQ(test::describe_jobs(fresh.cluster), test::describe_jobs(w.cluster));
     while (l.shrink()) ++refused;
     EXPECT_LT(refused, 12);
 }
 
 TEST(LowerLimits, ANoteThatNeverFitsHoldsBackNothing) {
-    World w;
+    ClusterFixture w;
     StateLog l(w.cluster, 41, {4, 2});
     l.note(kTypesKey, "\"" + std::string(3000, 'x') + "\"");
     l.note(kRoundKey, R"({"number":1})");
@@ -381,23 +381,23 @@
 TEST(LowerLimits, ATransactionOfAnySizeKeepsToItsConditions) {
     // Four changes, sixteen conditions: new jobs, ends, a note and drops at once.
     for (int ops : {4, 5, 8, 24}) {
-        World w;
-        Store s;
+        ClusterFixture w;
+        MemoryKvStore s;
         StateLogLimits limits{ops, 2};
         StateLog l(w.cluster, 41, limits);
         for (int i = 1; i <= 200; ++i)
-            l.new_job(w.cluster.add_job(w.spec("req-" + std::to_string(i), JobKind::Array, 1, 0.01),
-                                        1, w.now));
-        test::flush(l, w.cluster, s, limits, w.now);
+            l.new_job(w.cluster.add_job(
+                w.job_spec("req-" + std::to_string(i), JobKind::Array, 1, 0.01), 1, w.now));
+        test::commit_all(l, w.cluster, s, limits, w.now);
         for (Index j = 0; j < 200; ++j) {
             w.cluster.finish(j, 0, w.now);
             w.cluster.jobs[j]->ending = true;
             l.finish(j);
             l.note(kRoundKey, R"({"number":1})");
             l.new_job(w.cluster.add_job(
-                w.spec("req-" + std::to_string(1000 + j), JobKind::Array, 1, 0.01), 1, w.now));
+                w.job_spec("req-" + std::to_string(1000 + j), JobKind::Array, 1, 0.01), 1, w.now));
         }
-        test::flush(l, w.cluster, s, limits, w.now);
+        test::commit_all(l, w.cluster, s, limits, w.now);
         EXPECT_EQ(w.cluster.job_index.size(), 200u) << ops;
         EXPECT_FALSE(l.waiting()) << ops;
     }
