--- a/tests/fakes/fakes.cpp
+++ b/tests/fakes/fakes.cpp
@@ -6,26 +6,27 @@
 
 namespace {
 
-std::string query(const std::string& target, const std::string& name) {
+std::string query_parameter(const std::string& target, const std::string& name) {
     auto at = target.find(name + "=");
     if (at == std::string::npos) return "";
     at += name.size() + 1;
     return target.substr(at, target.find('&', at) - at);
 }
 
-HttpReply answer(int status, const json::value& v) { return {status, json::serialize(v)}; }
+HttpReply json_reply(int status, const json::value& v) { return {status, json::serialize(v)}; }
 
 }  // namespace
 
 StateService::StateService(asio::io_context& io) : io_(io) {}
 
 Endpoint StateService::endpoint_for(int controller) {
-    auto& endpoint_for = servers_[controller];
-    if (!endpoint_for)
-        endpoint_for = std::make_unique<HttpServer>(
-            io_, kLoopback, 1000,
-            [this, controller](HttpRequest r) { return handle(std::move(r), controller); });
-    return {"127.0.0.1", endpoint_for->port()};
+    auto& server = servers_[controller];
+    if (!server)
+        server = std::make_unique<HttpServer>(io_, kLoopback, 1000,
+                                              [this, controller](HttpRequest request) {
+                                                  return handle(std::move(request), controller);
+                                              });
+    return {"127.0.0.1", server->port()};
 }
 
 std::map<std::string, json::value> StateService::snapshot() const {
@@ -77,13 +78,13 @@
             ++it;
             continue;
         }
-        bool any = false;
+        bool deleted_any = false;
         for (auto i = items_.begin(); i != items_.end();) {
             if (i->second.lease != it->first) {
                 ++i;
                 continue;
             }
-            revision_ += !std::exchange(any, true);
+            revision_ += !std::exchange(deleted_any, true);
             changes_.push_back({revision_, i->first, {}});
             i = items_.erase(i);
         }
@@ -114,7 +115,7 @@
         if (version != c.at("stamp").to_number<uint64_t>()) failed.emplace_back(key);
     }
     if (!failed.empty())
-        return answer(409, json::object{{"failed", failed}, {"ledger", revision_}});
+        return json_reply(409, json::object{{"failed", failed}, {"ledger", revision_}});
     ++revision_;
     for (auto& c : txn.at("then").as_array()) {
         auto& o = c.as_object();
@@ -124,40 +125,41 @@
         } else {
             uint64_t lease = o.contains("permit") ? o.at("permit").to_number<uint64_t>() : 0;
             if (lease && !leases_.count(lease))
-                return answer(400, json::object{{"error", "no such lease"}});
+                return json_reply(400, json::object{{"error", "no such lease"}});
             std::string key(o.at("write").as_string());
             items_[key] = {o.at("value"), revision_, lease};
             changes_.push_back({revision_, key, o.at("value")});
         }
     }
-    return answer(200, json::object{{"ledger", revision_}});
+    return json_reply(200, json::object{{"ledger", revision_}});
 }
 
-asio::awaitable<HttpReply> StateService::handle(HttpRequest r, int controller) {
+asio::awaitable<HttpReply> StateService::handle(HttpRequest request, int controller) {
     expire_leases();
-    std::string path = r.target.substr(0, r.target.find('?'));
+    std::string path = request.target.substr(0, request.target.find('?'));
     if (path == "/follow") {
-        uint64_t from = std::stoull(query(r.target, "from"));
-        auto prefix = query(r.target, "starts");
-        for (double until = steady_now() + std::stod(query(r.target, "block_ms")) / 1000;
+        uint64_t from = std::stoull(query_parameter(request.target, "from"));
+        auto prefix = query_parameter(request.target, "starts");
+        for (double until =
+                 steady_now() + std::stod(query_parameter(request.target, "block_ms")) / 1000;
              steady_now() < until && (refuses(controller) || events_since(prefix, from).empty());) {
             co_await sleep_s(0.02);
             expire_leases();
         }
         auto events = this->events_since(prefix, from);
-        co_return answer(200, json::object{{"ledger", revision_}, {"events", events}});
+        co_return json_reply(200, json::object{{"ledger", revision_}, {"events", events}});
     }
-    if (refuses(controller)) co_return answer(503, json::object{});
+    if (refuses(controller)) co_return json_reply(503, json::object{});
     if (path == "/multi") {
-        auto txn = json::parse(r.body).as_object();
+        auto txn = json::parse(request.body).as_object();
         if (!accepts(txn)) {
             ++oversized_txns;
-            co_return answer(400, json::object{{"error", "too large"}});
+            co_return json_reply(400, json::object{{"error", "too large"}});
         }
         auto& then = txn.at("then").as_array();
         if (refuse_deletes && std::any_of(then.begin(), then.end(),
                                           [](auto& c) { return c.as_object().contains("drop"); }))
-            co_return answer(503, json::object{});
+            co_return json_reply(503, json::object{});
         max_value_bytes =
             std::min(max_value_bytes, std::exchange(next_max_value_bytes, max_value_bytes));
         if (delay_txns > 0) {
@@ -166,49 +168,51 @@
             co_return apply(txn);
         }
         auto reply = apply(txn);
-        bool lost = !lose_response_for_key.empty() &&
-                    r.body.find("\"" + lose_response_for_key + "\"") != std::string::npos;
-        if (lost || lose_txn_responses > 0) {
+        bool response_lost =
+            !lose_response_for_key.empty() &&
+            request.body.find("\"" + lose_response_for_key + "\"") != std::string::npos;
+        if (response_lost || lose_txn_responses > 0) {
             lose_txn_responses = std::max(0, lose_txn_responses - 1);
             co_await sleep_s(1.6);
         }
         co_return reply;
     }
     if (path == "/leases") {
-        double ttl = json::parse(r.body).at("ttl_ms").to_number<double>() / 1000;
+        double ttl = json::parse(request.body).at("ttl_ms").to_number<double>() / 1000;
         leases_[next_lease_] = {ttl, steady_now() + ttl};
-        co_return answer(200, json::object{{"permit", next_lease_++}});
+        co_return json_reply(200, json::object{{"permit", next_lease_++}});
     }
     if (path.starts_with("/leases/")) {
         auto it = leases_.find(std::stoull(path.substr(8)));
-        if (it == leases_.end()) co_return answer(404, json::object{});
+        if (it == leases_.end()) co_return json_reply(404, json::object{});
         it->second.expires_at = steady_now() + it->second.ttl_s;
         if (lease_response_delay_s > 0) co_await sleep_s(lease_response_delay_s);
-        co_return answer(200, json::object{});
+        co_return json_reply(200, json::object{});
     }
     if (path == "/keys") {
-        auto prefix = query(r.target, "starts"), after = query(r.target, "from");
-        size_t most = std::stoul(query(r.target, "most"));
+        auto prefix = query_parameter(request.target, "starts"),
+             after = query_parameter(request.target, "from");
+        size_t max_items = std::stoul(query_parameter(request.target, "most"));
         json::array pairs;
-        bool more = false;
+        bool has_next = false;
         for (auto& [key, item] : items_) {
             if (!key.starts_with(prefix) || key <= after) continue;
-            if (pairs.size() == most) {
-                more = true;
+            if (pairs.size() == max_items) {
+                has_next = true;
                 break;
             }
             pairs.push_back(item_json(key, item));
         }
-        co_return answer(200,
-                         json::object{{"pairs", pairs}, {"has_next", more}, {"ledger", revision_}});
+        co_return json_reply(
+            200, json::object{{"pairs", pairs}, {"has_next", has_next}, {"ledger", revision_}});
     }
     if (path.starts_with("/keys/")) {
-        if (refuse_key_reads) co_return answer(503, json::object{});
+        if (refuse_key_reads) co_return json_reply(503, json::object{});
         auto it = items_.find(path.substr(6));
-        if (it == items_.end()) co_return answer(404, json::object{{"ledger", revision_}});
-        co_return answer(200, item_json(it->first, it->second));
+        if (it == items_.end()) co_return json_reply(404, json::object{{"ledger", revision_}});
+        co_return json_reply(200, item_json(it->first, it->second));
     }
-    co_return answer(400, json::object{});
+    co_return json_reply(400, json::object{});
 }
 
 Worker::Worker(asio::io_context& io, Cloud& cloud, std::string name, std::string type,
@@ -220,22 +224,23 @@
       io_(io),
       cloud_(cloud),
       lease_started_at_(steady_now()),
-      server_(io, kLoopback, 100, [this](HttpRequest r) { return handle(std::move(r)); }) {}
+      server_(io, kLoopback, 100,
+              [this](HttpRequest request) { return handle(std::move(request)); }) {}
 
 void Worker::start() { asio::co_spawn(io_, heartbeat_loop(shared_from_this()), asio::detached); }
 
 json::object Worker::heartbeat() {
-    json::array lots;
+    json::array tasks;
     for (auto& [id, t] : tasks_) {
         json::object o{{"lot", id}, {"try", t.attempt}, {"status", t.state}};
         if (!t.cause.empty()) o["cause"] = t.cause;
         if (t.saved) o["kept"] = true;
-        lots.push_back(std::move(o));
+        tasks.push_back(std::move(o));
     }
     return {{"millstone", name}, {"addr", addr()},          {"rig", type},
             {"yard", zone},      {"loaners", spot},         {"shift", agent_epoch_},
             {"tick", ++seq_},    {"gavel", fencing_token_}, {"recall_s", nullptr},
-            {"lots", lots}};
+            {"lots", tasks}};
 }
 
 void Worker::update_tasks() {
@@ -257,25 +262,26 @@
     }
 }
 
-void Worker::execute_commands(const json::array& orders) {
+void Worker::execute_commands(const json::array& commands) {
     if (cloud_.hold_launches) return;
-    for (auto& v : orders) {
+    for (auto& v : commands) {
         auto& o = v.as_object();
-        std::string lot(o.at("lot").as_string()), op(o.at("order").as_string());
+        std::string task(o.at("lot").as_string()), command(o.at("order").as_string());
         uint64_t attempt = o.at("try").to_number<uint64_t>();
-        auto it = tasks_.find(lot);
-        if (op == "launch") {
+        auto it = tasks_.find(task);
+        if (command == "launch") {
             if (it != tasks_.end()) {
-                if (it->second.attempt != attempt) cloud_.violations.push_back("busy " + lot);
+                if (it->second.attempt != attempt) cloud_.violations.push_back("busy " + task);
                 continue;
             }
-            cloud_.check_launch(*this, lot);
-            auto job = lot.substr(0, lot.rfind('/'));
-            ++cloud_.task_starts[lot];
+            cloud_.check_launch(*this, task);
+            auto job = task.substr(0, task.rfind('/'));
+            ++cloud_.task_starts[task];
             auto& spec = cloud_.jobs[job];
-            double run_s = spec.run_s + spec.stagger_s * std::stoi(lot.substr(lot.rfind('/') + 1));
-            tasks_[lot] = {attempt, "running", "", steady_now() + run_s};
-        } else if (op == "stop") {
+            double run_s =
+                spec.run_s + spec.stagger_s * std::stoi(task.substr(task.rfind('/') + 1));
+            tasks_[task] = {attempt, "running", "", steady_now() + run_s};
+        } else if (command == "stop") {
             if (it != tasks_.end() && it->second.attempt == attempt &&
                 it->second.state != "exited") {
                 it->second.state = "exited";
@@ -288,18 +294,18 @@
     }
 }
 
-asio::awaitable<HttpReply> Worker::handle(HttpRequest r) {
+asio::awaitable<HttpReply> Worker::handle(HttpRequest request) {
     auto self = shared_from_this();
     while ((hold_commands || hung) && !dead_) co_await sleep_s(0.01);
     if (dead_ || unreachable || downlink_lost || lose_commands) co_return HttpReply{500, "{}"};
     update_tasks();
-    auto v = json::parse(r.body).as_object();
+    auto v = json::parse(request.body).as_object();
     auto fencing_token = v.at("gavel").to_number<uint64_t>();
     if (fencing_token < fencing_token_ || v.at("shift").to_number<uint64_t>() != agent_epoch_)
-        co_return answer(409, heartbeat());
+        co_return json_reply(409, heartbeat());
     fencing_token_ = fencing_token;
     execute_commands(v.at("orders").as_array());
-    co_return answer(200, heartbeat());
+    co_return json_reply(200, heartbeat());
 }
 
 void Worker::restart() {
@@ -323,34 +329,38 @@
 }
 
 asio::awaitable<void> Worker::heartbeat_loop(std::shared_ptr<Worker> self) {
-    size_t node = 0;
+    size_t controller = 0;
     while (!dead_) {
         co_await sleep_s(cloud_.settings.heartbeat_interval_s);
         update_tasks();
         if (dead_ || unreachable || hung || uplink_lost || cloud_.controllers.empty()) continue;
-        if (only_controller >= 0) node = static_cast<size_t>(only_controller);
+        if (only_controller >= 0) controller = static_cast<size_t>(only_controller);
         if (unreachable_controller >= 0 &&
-            static_cast<size_t>(unreachable_controller) == node % cloud_.controllers.size())
-            ++node;
+            static_cast<size_t>(unreachable_controller) == controller % cloud_.controllers.size())
+            ++controller;
         double sent = steady_now();
         uint64_t agent_epoch = agent_epoch_;
-        HttpClient client(io_, cloud_.controllers[node % cloud_.controllers.size()], 1024 * 1024);
+        HttpClient client(io_, cloud_.controllers[controller % cloud_.controllers.size()],
+                          1024 * 1024);
         auto body = json::serialize(heartbeat());
         sent_heartbeats_.push_back(body);
         if (sent_heartbeats_.size() > 400) sent_heartbeats_.pop_front();
         for (int i = 0; i < stale_copies; ++i) {
-            auto old = sent_heartbeats_[static_cast<size_t>(i) * 7919 % sent_heartbeats_.size()];
+            auto earlier =
+                sent_heartbeats_[static_cast<size_t>(i) * 7919 % sent_heartbeats_.size()];
             auto to =
-                cloud_.controllers[(node + static_cast<size_t>(i)) % cloud_.controllers.size()];
-            asio::co_spawn(io_, send_heartbeat_copy(self, std::move(old), to), asio::detached);
+                cloud_
+                    .controllers[(controller + static_cast<size_t>(i)) % cloud_.controllers.size()];
+            asio::co_spawn(io_, send_heartbeat_copy(self, std::move(earlier), to), asio::detached);
         }
         auto reply =
             co_await client.request("POST", "/v1/report", body, cloud_.settings.worker_patience_s);
-        if (hung || uplink_lost) reply.reset();  // given up by the time that it goes on
+        if (hung || uplink_lost)
+            reply.reset();  // the request has timed out by the time that the worker goes on
         while (hung && !dead_) co_await sleep_s(0.01);
         if (dead_ || unreachable) continue;
         if (downlink_lost) {
-            ++node;
+            ++controller;
             co_await sleep_s(cloud_.settings.worker_next_s);
             continue;
         }
@@ -363,48 +373,49 @@
             execute_commands(v.at("orders").as_array());
             continue;
         }
-        ++node;
+        ++controller;
         if (reply && reply->status == 421) {
             auto v = json::parse(reply->body).as_object();
-            if (auto* clerk = v.if_contains("clerk"); clerk && clerk->is_string())
+            if (auto* leader = v.if_contains("clerk"); leader && leader->is_string())
                 for (size_t i = 0; i < cloud_.controller_names.size(); ++i)
-                    if (cloud_.controller_names[i] == clerk->as_string()) node = i;
+                    if (cloud_.controller_names[i] == leader->as_string()) controller = i;
         }
     }
     (void)self;
 }
 
-// What a task's start on this machine breaks, given all that is on the others.
-void Cloud::check_launch(const Worker& on, const std::string& task) {
+// Records the rules that a launch of the task on this worker breaks, given all running tasks.
+void Cloud::check_launch(const Worker& worker, const std::string& task) {
     auto& job = jobs[task.substr(0, task.rfind('/'))];
     double used = job.cpus;
     for (auto& [name, other] : workers) {
-        // What hangs beyond its lease never goes on.
-        bool over = other->hung && steady_now() - other->lease_started_at_ > settings.lease_s;
-        if (other->dead() || over) continue;
-        for (auto& [lot, t] : other->tasks_) {
+        // A paused worker whose lease has expired ends its tasks before it does anything else.
+        bool expired = other->hung && steady_now() - other->lease_started_at_ > settings.lease_s;
+        if (other->dead() || expired) continue;
+        for (auto& [other_task, t] : other->tasks_) {
             if (t.state == "exited") continue;
-            if (other.get() != &on && lot == task) violations.push_back("ran_twice " + task);
-            auto& its = jobs[lot.substr(0, lot.rfind('/'))];
-            if (its.team == job.team) used += its.cpus;
+            if (other.get() != &worker && other_task == task)
+                violations.push_back("ran_twice " + task);
+            auto& other_job = jobs[other_task.substr(0, other_task.rfind('/'))];
+            if (other_job.team == job.team) used += other_job.cpus;
         }
     }
     if (auto limit = team_cpu_limits.find(job.team);
         limit != team_cpu_limits.end() && used > limit->second)
         violations.push_back("quota " + task + " " + std::to_string(used));
-    if (!job.zone.empty() && job.zone != on.zone) violations.push_back("wrong_place " + task);
+    if (!job.zone.empty() && job.zone != worker.zone) violations.push_back("wrong_place " + task);
     for (auto& awaited : job.dependencies)
         if (completed_tasks[awaited] < static_cast<int>(jobs[awaited].tasks))
             violations.push_back("too_early " + task);
 }
 
-Cloud::Cloud(asio::io_context& io, const Settings& s)
-    : settings(s),
-      io_(io),
-      server_(io, kLoopback, 1000, [this](HttpRequest r) { return handle(std::move(r)); }) {}
+Cloud::Cloud(asio::io_context& io, const Settings& settings)
+    : settings(settings), io_(io), server_(io, kLoopback, 1000, [this](HttpRequest request) {
+          return handle(std::move(request));
+      }) {}
 
 int Worker::count_running(const std::string& job) {
-    update_tasks();  // its lease may have run out while it waits for an answer
+    update_tasks();  // its lease may have expired while it waits for a response
     return static_cast<int>(std::count_if(tasks_.begin(), tasks_.end(), [&](auto& t) {
         return t.second.state != "exited" && t.first.starts_with(job + "/");
     }));
@@ -415,25 +426,25 @@
                        [&](auto& w) { return !w.second->dead() && w.second->is_running(job); });
 }
 
-asio::awaitable<HttpReply> Cloud::handle(HttpRequest r) {
-    std::string path = r.target.substr(0, r.target.find('?'));
+asio::awaitable<HttpReply> Cloud::handle(HttpRequest request) {
+    std::string path = request.target.substr(0, request.target.find('?'));
     if (path == "/machine_types")
         co_return HttpReply{
             200,
             R"({"rigs":[{"label":"std","cores":8,"accelerators":0,"mem_gb":64,"local_gb":50,
             "fetch_gb_per_s":1.0,"hourly":1.0,"spot_price":0.5,"startup_s":20,"yards":["a","b"]}]})"};
     if (path == "/machines/return") {
-        for (auto& v : json::parse(r.body).at("millstones").as_array()) {
+        for (auto& v : json::parse(request.body).at("millstones").as_array()) {
             auto it = workers.find(std::string(v.as_string()));
             if (it != workers.end()) it->second->kill();
         }
-        co_return answer(200, json::object{});
+        co_return json_reply(200, json::object{});
     }
-    if (path == "/machines" && r.method == "POST") {
-        auto v = json::parse(r.body).as_object();
-        std::string hire(v.at("hire").as_string());
-        if (!provision_requests.insert(hire).second)
-            co_return answer(200, json::object{{"millstones", provisioned_names_[hire]}});
+    if (path == "/machines" && request.method == "POST") {
+        auto v = json::parse(request.body).as_object();
+        std::string request_id(v.at("hire").as_string());
+        if (!provision_requests.insert(request_id).second)
+            co_return json_reply(200, json::object{{"millstones", provisioned_names_[request_id]}});
         json::array names;
         for (int i = 0; i < v.at("count").to_number<int>(); ++i) {
             char name[16];
@@ -445,8 +456,8 @@
             w->start();
             names.emplace_back(name);
         }
-        provisioned_names_[hire] = names;
-        co_return answer(200, json::object{{"millstones", names}});
+        provisioned_names_[request_id] = names;
+        co_return json_reply(200, json::object{{"millstones", names}});
     }
     json::array list;
     for (auto& [n, w] : workers)
@@ -458,7 +469,7 @@
                                         {"loaners", w->spot},
                                         {"status", "running"},
                                         {"age_s", 1.0}});
-    co_return answer(200, json::object{{"millstones", list}, {"has_next", false}});
+    co_return json_reply(200, json::object{{"millstones", list}, {"has_next", false}});
 }
 
 }  // namespace weirmill::fakes
--- a/tests/fakes/fakes.h
+++ b/tests/fakes/fakes.h
@@ -1,6 +1,5 @@
-// Stand-ins for the outside systems, on loopback, that speak their published protocols: the state
-// service, the cloud with its workers, and a user. They share the io_context of the controllers
-// under test.
+// Fakes of the external systems: the state service (a key-value store) and the cloud with its
+// workers. They speak the published protocols over loopback.
 #pragma once
 #include <boost/asio.hpp>
 #include <boost/json.hpp>
@@ -20,31 +19,33 @@
 
 inline const Endpoint kLoopback{"127.0.0.1", 0};
 
-// Keys, transactions, leases, watches. Faults are switched by the test.
+// In-memory key-value store with transactions, leases and watches. Tests inject faults by its
+// public members.
 class StateService {
   public:
     explicit StateService(asio::io_context& io);
-    // One door for each controller, so that a single one can be refused.
+    // Returns an endpoint of the controller's own, so that requests of a single one can be refused.
     Endpoint endpoint_for(int controller);
-    std::set<int> refused_controllers;
-
-    bool unavailable = false;    // 503 to all; leases have their full time again afterwards
-    int lose_txn_responses = 0;  // the next transactions are executed, but not answered in time
-    std::string lose_response_for_key;  // the same for those that write this key
-    bool refuse_deletes = false;        // 503 to transactions that delete
-    int delay_txns = 0;  // the next transactions are executed late, after their sender gave up
-    bool refuse_key_reads = false;  // 503 to reads of single keys
-    double lease_response_delay_s =
-        0;  // what is asked of leases is done at once, and answered so much later
-    // The longest value that it takes; from the next transaction on, which still counts under the
-    // old limit.
-    size_t max_value_bytes = 1 << 20, next_max_value_bytes = 1 << 20;
-    int oversized_txns = 0;  // transactions refused for it
+    std::set<int> refused_controllers;  // their requests are answered 503
+
+    bool unavailable = false;  // answers 503 to all; leases don't expire meanwhile
+    int lose_txn_responses =
+        0;  // this many transactions are executed, but answered after the client's timeout
+    std::string lose_response_for_key;  // the same for every transaction that names this key
+    bool refuse_deletes = false;        // answers 503 to transactions that delete keys
+    int delay_txns = 0;  // this many transactions are executed after the client's timeout
+    bool refuse_key_reads = false;      // answers 503 to reads of single keys
+    double lease_response_delay_s = 0;  // lease renewals are executed at once and answered later
+    size_t max_value_bytes = 1 << 20;   // transactions with longer values are rejected
+    size_t next_max_value_bytes = 1 << 20;  // replaces a higher limit after the next transaction
+    int oversized_txns = 0;                 // transactions rejected for a value that is too long
+    // Returns all keys with their values.
     std::map<std::string, json::value> snapshot() const;
-    size_t count_keys(const std::string& prefix) const;  // of keys
-    // As by somebody whom the test does not play.
+    size_t count_keys(const std::string& prefix) const;
+    // Change a key directly, as a client outside the test would.
     void put(const std::string& key, json::value value);
     void erase(const std::string& key);
+    // Ends `unavailable`; every lease starts its full duration anew.
     void end_outage();
 
   private:
@@ -70,7 +71,7 @@
     struct Change {
         uint64_t revision;
         std::string key;
-        std::optional<json::value> value;  // nothing: deleted
+        std::optional<json::value> value;  // empty if the key was deleted
     };
     std::deque<Change> changes_;
     uint64_t revision_ = 0, next_lease_ = 1;
@@ -78,20 +79,22 @@
     std::map<int, std::unique_ptr<HttpServer>> servers_;
 };
 
+// How the fake workers execute a job, and the rules that Cloud checks for it.
 struct Job {
     double run_s = 0.2;
     bool gang = false;
     uint32_t tasks = 1;
     bool fails = false;
     std::vector<std::string> dependencies{};
-    double stagger_s = 0;        // each task runs as much longer than the one before it
-    std::string team{}, zone{};  // a limited team (Cloud::limits), the only allowed zone
-    double cpus = 1;             // of each task
+    double stagger_s = 0;        // added to the run time with each task index
+    std::string team{}, zone{};  // see Cloud::team_cpu_limits; the only allowed zone, or empty
+    double cpus = 1;             // per task
 };
 
 class Cloud;
 
-// One machine's worker: reports to the controllers and runs tasks.
+// The worker of one machine: sends heartbeats to the controllers and runs tasks. Tests inject
+// faults by its public members.
 class Worker : public std::enable_shared_from_this<Worker> {
   public:
     Worker(asio::io_context& io, Cloud& cloud, std::string name, std::string type, std::string zone,
@@ -99,23 +102,22 @@
     void start();
     void kill() { dead_ = true, tasks_.clear(); }
     bool dead() const { return dead_; }
-    int unreachable_controller = -1;  // the controller that it can't reach
-    bool downlink_lost = false;       // its reports arrive, answers and commands do not reach it
-    bool lose_commands = false;       // what is sent straight to it is lost
-    bool hold_commands = false;       // what is sent straight to it arrives once this ends
-    int stale_copies = 0;             // of each report, as many older ones come once more
-    bool uplink_lost = false;         // its own connections fail; commands reach it
-    int only_controller = -1;         // the one controller that it reaches
-    bool hung = false;  // neither runs nor answers anything; goes on where it was, its lease
-                        // running all the while
-    // The `n`th report that it sent comes once more, to each controller.
+    int unreachable_controller = -1;  // index of a controller that it can't connect to
+    bool downlink_lost = false;       // heartbeats arrive; responses and commands are lost
+    bool lose_commands = false;       // commands sent to it directly are lost
+    bool hold_commands = false;       // commands sent to it directly arrive when this ends
+    int stale_copies = 0;             // earlier heartbeats resent with each heartbeat
+    bool uplink_lost = false;         // its own connections fail; commands arrive
+    int only_controller = -1;         // index of the only controller that it connects to
+    bool hung = false;                // its process is paused; its lease runs on
+    // Sends the heartbeat with index `n` to every controller again.
     void resend_heartbeat(size_t n);
     size_t heartbeat_count() const { return sent_heartbeats_.size(); }
-    void restart();  // as a machine that is back at once: no tasks, its counts from the start
+    void restart();  // drops all tasks and counters, as a reboot does
     uint64_t agent_epoch() const { return agent_epoch_; }
     bool is_running(const std::string& job) { return count_running(job) > 0; }
-    int count_running(const std::string& job);  // its tasks that are here
-    bool unreachable = false;  // its packets are lost; its tasks run on, until its lease ends
+    int count_running(const std::string& job);  // its tasks that have not exited
+    bool unreachable = false;  // all its packets are lost; tasks run until its lease expires
     const std::string name, type, zone;
     const bool spot;
     std::string addr() const { return "127.0.0.1:" + std::to_string(server_.port()); }
@@ -130,7 +132,7 @@
     asio::awaitable<void> heartbeat_loop(std::shared_ptr<Worker> self);
     asio::awaitable<HttpReply> handle(HttpRequest r);
     void update_tasks();
-    void execute_commands(const json::array& orders);
+    void execute_commands(const json::array& commands);
     json::object heartbeat();
 
     asio::io_context& io_;
@@ -138,7 +140,7 @@
     bool dead_ = false;
     uint64_t agent_epoch_ = 1, seq_ = 0, fencing_token_ = 0;
     double lease_started_at_;
-    std::deque<std::string> sent_heartbeats_;  // reports, for copies of them
+    std::deque<std::string> sent_heartbeats_;  // for resending
     asio::awaitable<void> send_heartbeat_copy(std::shared_ptr<Worker> self, std::string body,
                                               Endpoint to);
     std::map<std::string, Task> tasks_;
@@ -146,29 +148,30 @@
     friend class Cloud;
 };
 
-// Rents machines, and sees all that runs: it tells when a rule is broken.
+// Provisions machines and records every violation of the scheduling rules by a task launch.
 class Cloud {
   public:
     Cloud(asio::io_context& io, const Settings& settings);
     Endpoint endpoint() const { return {"127.0.0.1", server_.port()}; }
 
-    std::vector<Endpoint> controllers;  // where workers report
+    std::vector<Endpoint> controllers;  // endpoints that workers send heartbeats to
     std::vector<std::string> controller_names;
-    std::map<std::string, Job> jobs;  // what users uploaded for the workers
+    std::map<std::string, Job> jobs;  // by id
     std::map<std::string, std::shared_ptr<Worker>> workers;
-    std::vector<std::string> violations;              // rules
-    std::map<std::string, int> task_starts;           // by task
-    std::map<std::string, int> completed_tasks;       // tasks done, by job
-    std::map<std::string, double> task_completed_at;  // by task, when it was done first
+    std::vector<std::string> violations;              // code of the broken rule and task
+    std::map<std::string, int> task_starts;           // launches by task
+    std::map<std::string, int> completed_tasks;       // by job
+    std::map<std::string, double> task_completed_at;  // first completion, by task
     std::set<std::string> provision_requests;
-    std::map<std::string, double> team_cpu_limits;  // CPUs that a team's tasks may use at once
-    bool hold_launches = false;  // launches are received but not executed until this ends
+    std::map<std::string, double> team_cpu_limits;  // limit on the CPUs in use, by team
+    bool hold_launches = false;                     // commands are received but not executed
     const Settings& settings;
+    // Returns whether a live worker runs a task of the job.
     bool is_running(const std::string& job) const;
 
   private:
     asio::awaitable<HttpReply> handle(HttpRequest r);
-    void check_launch(const Worker& on, const std::string& task);
+    void check_launch(const Worker& worker, const std::string& task);
     asio::io_context& io_;
     std::map<std::string, json::array> provisioned_names_;
     int next_machine_ = 1;
--- a/tests/fakes/faulty_link.cpp
+++ b/tests/fakes/faulty_link.cpp
@@ -8,10 +8,11 @@
 
 namespace asio = boost::asio;
 using tcp = asio::ip::tcp;
-constexpr auto kQuiet = asio::as_tuple(asio::use_awaitable);
+constexpr auto kAsTuple = asio::as_tuple(asio::use_awaitable);
 
 struct FaultyLink::Connection {
-    Connection(Socket a, Socket b) : client(std::move(a)), server(std::move(b)) {}
+    Connection(Socket client_socket, Socket server_socket)
+        : client(std::move(client_socket)), server(std::move(server_socket)) {}
     Socket client, server;
     void close() {
         boost::system::error_code ignored;
@@ -20,9 +21,9 @@
     }
 };
 
-FaultyLink::FaultyLink(asio::io_context& io, Endpoint to)
+FaultyLink::FaultyLink(asio::io_context& io, Endpoint target)
     : io_(io),
-      target_(std::move(to)),
+      target_(std::move(target)),
       acceptor_(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)) {
     asio::co_spawn(io_, accept_loop(), asio::detached);
 }
@@ -30,40 +31,40 @@
 void FaultyLink::set_mode(Mode mode) {
     mode_ = mode;
     if (mode_ != Mode::RefuseConnections) return;
-    for (auto& line : connections_) line->close();
+    for (auto& connection : connections_) connection->close();
     connections_.clear();
 }
 
 asio::awaitable<void> FaultyLink::accept_loop() {
     for (;;) {
-        auto [ec, near] = co_await acceptor_.async_accept(kQuiet);
+        auto [ec, client] = co_await acceptor_.async_accept(kAsTuple);
         if (ec) co_return;
-        if (mode_ == Mode::RefuseConnections) continue;  // closed with its socket
-        tcp::socket far(io_);
-        auto [failed] = co_await far.async_connect(resolve(target_), kQuiet);
+        if (mode_ == Mode::RefuseConnections) continue;  // the socket closes here
+        tcp::socket server(io_);
+        auto [failed] = co_await server.async_connect(resolve(target_), kAsTuple);
         if (failed) continue;
-        auto line = std::make_shared<Connection>(std::move(near), std::move(far));
-        connections_.insert(line);
-        asio::co_spawn(io_, forward(line, false), asio::detached);
-        asio::co_spawn(io_, forward(line, true), asio::detached);
+        auto connection = std::make_shared<Connection>(std::move(client), std::move(server));
+        connections_.insert(connection);
+        asio::co_spawn(io_, forward(connection, false), asio::detached);
+        asio::co_spawn(io_, forward(connection, true), asio::detached);
     }
 }
 
-asio::awaitable<void> FaultyLink::forward(std::shared_ptr<Connection> line, bool answers) {
-    auto& from = answers ? line->server : line->client;
-    auto& to = answers ? line->client : line->server;
+asio::awaitable<void> FaultyLink::forward(std::shared_ptr<Connection> connection, bool responses) {
+    auto& from = responses ? connection->server : connection->client;
+    auto& to = responses ? connection->client : connection->server;
     std::array<char, 16384> bytes;
     for (;;) {
-        auto [ec, n] = co_await from.async_read_some(asio::buffer(bytes), kQuiet);
+        auto [ec, n] = co_await from.async_read_some(asio::buffer(bytes), kAsTuple);
         if (ec) break;
         while (mode_ == Mode::HoldData) co_await sleep_s(0.005);
-        if (answers && mode_ == Mode::DropResponses) continue;
-        auto [failed, written] = co_await asio::async_write(to, asio::buffer(bytes, n), kQuiet);
+        if (responses && mode_ == Mode::DropResponses) continue;
+        auto [failed, written] = co_await asio::async_write(to, asio::buffer(bytes, n), kAsTuple);
         (void)written;
         if (failed) break;
     }
-    line->close();
-    connections_.erase(line);
+    connection->close();
+    connections_.erase(connection);
 }
 
 }  // namespace weirmill::fakes
--- a/tests/fakes/faulty_link.h
+++ b/tests/fakes/faulty_link.h
@@ -1,5 +1,4 @@
-// A link between two processes on loopback that can be cut: connections to it go on to `to` while
-// it is up.
+// TCP proxy between two processes on loopback that injects network faults.
 #pragma once
 #include <boost/asio.hpp>
 #include <memory>
@@ -9,15 +8,16 @@
 
 namespace weirmill::fakes {
 
+// Forwards each connection to its endpoint to the target, as the mode allows.
 class FaultyLink {
   public:
     enum class Mode : uint8_t {
         PassThrough,
-        RefuseConnections,  // new connections are closed at once, and so are those that stood
-        HoldData,           // nothing passes; it is delivered once the link is up again
-        DropResponses,  // what is asked arrives and is carried out, what is answered is thrown away
+        RefuseConnections,  // closes existing connections, and new ones at once
+        HoldData,           // delivers nothing until the mode changes
+        DropResponses,      // delivers requests and discards responses
     };
-    FaultyLink(boost::asio::io_context& io, Endpoint to);
+    FaultyLink(boost::asio::io_context& io, Endpoint target);
     Endpoint endpoint() const { return {"127.0.0.1", acceptor_.local_endpoint().port()}; }
     void set_mode(Mode mode);
 
@@ -25,7 +25,7 @@
     using Socket = boost::asio::ip::tcp::socket;
     struct Connection;
     boost::asio::awaitable<void> accept_loop();
-    boost::asio::awaitable<void> forward(std::shared_ptr<Connection> line, bool answers);
+    boost::asio::awaitable<void> forward(std::shared_ptr<Connection> connection, bool responses);
 
     boost::asio::io_context& io_;
     Endpoint target_;
--- a/tests/fault_scenario.h
+++ b/tests/fault_scenario.h
@@ -1,16 +1,18 @@
-// Cases over loopback in which two troubles meet (docs/failures.md, "Meetings"). What is cut, held
-// or refused stays so until a condition holds; the bounds are those of the settings.
+// Fixture for tests in which two faults occur together (docs/failures.md, "Meetings"). Each fault
+// lasts until a condition holds, and time limits are taken from the settings.
 #pragma once
 #include "service_fixture.h"
 
 namespace weirmill::test {
 
+// Starts controllers with standby enabled and waits until all have announced that they adopt
+// pending records.
 struct FaultScenarioFixture : ServiceFixture {
-    explicit FaultScenarioFixture(int count, Options with = {})
+    explicit FaultScenarioFixture(int count, Options options = {})
         : ServiceFixture(count, [&] {
-              with.standby_enabled = true;
-              with.worker_timeout_s = 1;  // longer than a report is held for records
-              return with;
+              options.standby_enabled = true;
+              options.worker_timeout_s = 1;  // longer than a heartbeat response waits for records
+              return options;
           }()) {
         EXPECT_EQ(submit("req-1", "array", 1), 201);
         EXPECT_TRUE(wait_until_done("req-1"));
@@ -18,7 +20,8 @@
             [&] { return state_service->count_keys(kAdopterPrefix) == node_settings.size(); }));
     }
     int leader_index() { return leader_name().back() - '0'; }
-    // Its owner knows that it takes a while: nobody waits for its room.
+    // Submits a job and waits until all its tasks run. The long expected run time keeps the
+    // scheduler from waiting for its resources.
     void start_job(const std::string& id, int tasks, double run_s = 1000) {
         fakes::Job job;
         job.run_s = run_s;
@@ -28,34 +31,39 @@
         ASSERT_EQ(request_any_node("POST", "/v2/runs", body).status / 100, 2);
         ASSERT_TRUE(wait_until([&] { return running_tasks(id) == tasks; }));
     }
+    // Returns the number of the job's tasks that run on live workers.
     int running_tasks(const std::string& id) {
         int n = 0;
         for (auto& [name, worker] : cloud->workers)
             n += worker->dead() ? 0 : worker->count_running(id);
         return n;
     }
-    // The node's answer, once it is not to come back; "" if `abandoned_deadlines` comes first.
+    // Cancels the job at one node until it answers with status 200, and returns the job status.
+    // Returns an empty string if `stop_waiting` holds first.
     std::string cancel_at_node(
         int node, const std::string& id,
-        const std::function<bool()>& abandoned_deadlines = [] { return false; }) {
-        std::string state;
+        const std::function<bool()>& stop_waiting = [] { return false; }) {
+        std::string job_status;
         wait_until([&] {
             auto reply =
                 request_node(static_cast<size_t>(node), "POST", "/v2/runs/" + id + "/cancel", "");
             if (reply && reply->status == 200)
-                state = std::string(json::parse(reply->body).at("status").as_string());
-            return !state.empty() || abandoned_deadlines();
+                job_status = std::string(json::parse(reply->body).at("status").as_string());
+            return !job_status.empty() || stop_waiting();
         });
-        return state;
+        return job_status;
     }
+    // Waits until a controller other than `old` leads.
     void wait_for_new_leader(const std::string& old) {
         ASSERT_TRUE(wait_until([&] { return !leader_name().empty() && leader_name() != old; }));
     }
+    // Runs the controllers and fakes for a time.
     void run_for(double seconds) {
         double end = steady_now() + seconds;
         wait_until([&] { return steady_now() > end; });
     }
-    // Whether nobody on any machine runs it from now on, for as long as a cancellation may take.
+    // Checks that no machine runs the job once Settings::cancel_s is over, counted from
+    // `confirmed`, the time at which the cancellation was confirmed.
     void expect_stopped_in_time(double confirmed, const std::string& id) {
         EXPECT_TRUE(wait_until([&] {
             return !cloud->is_running(id) || steady_now() > confirmed + base_settings.cancel_s;
@@ -63,7 +71,7 @@
         run_for(std::max(0.0, confirmed + base_settings.cancel_s - steady_now()));
         EXPECT_FALSE(cloud->is_running(id)) << id;
     }
-    // Each machine that runs something of it.
+    // Returns the live workers that run tasks of the job.
     std::vector<fakes::Worker*> workers_running(const std::string& id) {
         std::vector<fakes::Worker*> out;
         for (auto& [name, worker] : cloud->workers)
@@ -73,15 +81,17 @@
     void expect_no_violations() { EXPECT_TRUE(cloud->violations.empty()) << cloud->violations[0]; }
 };
 
-// Alive: whether a new leader has heard of its tasks yet is another matter.
+// Returns whether the job is accepted and has not ended. A new leader reports "queued" until it has
+// received heartbeats from the workers of the job.
 inline bool is_active(const std::string& status) {
     return status == "running" || status == "queued";
 }
 
-inline ServiceFixture::Options isolated_peers() {  // controllers that refuse each other
-    ServiceFixture::Options with;
-    with.peers_refused = true;
-    return with;
+// Returns options for controllers that can't reach each other.
+inline ServiceFixture::Options isolated_peers() {
+    ServiceFixture::Options options;
+    options.peers_refused = true;
+    return options;
 }
 
 }  // namespace weirmill::test
--- a/tests/fixtures.h
+++ b/tests/fixtures.h
@@ -1,10 +1,11 @@
-// Tables and settings for tests, built in a few words.
+// Settings and a cluster state for unit tests.
 #pragma once
 #include "state/cluster_state.h"
 #include "state/state_log.h"
 
 namespace weirmill::test {
 
+// Returns settings of a small cluster with two zones and two teams.
 inline Settings small_settings() {
     Settings s;
     s.name = "node-0";
@@ -29,7 +30,8 @@
     return s;
 }
 
-// One type `std` of 8 CPUs, one `gpu` of 8 CPUs and 4 GPUs, in zones a and b.
+// Cluster state with two machine types in the zones a and b: `std` with 8 CPUs, and `gpu` with 8
+// CPUs and 4 GPUs.
 struct ClusterFixture {
     Settings settings = small_settings();
     ClusterState cluster{settings};
@@ -40,6 +42,7 @@
         MachineType gpu_type{"gpu", {8000, 4000, 64000}, 50, 1, 10.0, 4.0, 30, {"a", "b"}};
         cluster.set_types({std_type, gpu_type});
     }
+    // Adds a machine whose worker is up.
     Index add_machine(const std::string& name, const std::string& type = "std",
                       const std::string& zone = "a", bool spot = false) {
         auto i = cluster.add_machine(name, now);
@@ -50,6 +53,7 @@
         m.up_at = m.last_heartbeat = now;
         return i;
     }
+    // `cpus` and `gpus` are per task.
     JobSpec job_spec(const std::string& id, JobKind kind, uint32_t tasks, double cpus,
                      double gpus = 0, Priority priority = Priority::Normal,
                      const std::string& team = "blue") {
@@ -65,19 +69,21 @@
         s.spot = true;
         return s;
     }
-    Index add_job(JobSpec s) {
-        auto i = cluster.add_job(std::move(s), 1000, now);
+    // Adds a job that counts as recorded in the state log.
+    Index add_job(JobSpec spec) {
+        auto i = cluster.add_job(std::move(spec), 1000, now);
         cluster.jobs[i]->version = 1;
         return i;
     }
-    // A job with one task on each of these machines.
-    Index add_running_job(JobSpec s, const std::vector<Index>& on) {
-        auto j = add_job(std::move(s));
-        for (uint32_t t = 0; t < on.size(); ++t) cluster.place(j, t, on[t], 1, now);
+    // Adds a job with one placed task on each of these machines.
+    Index add_running_job(JobSpec spec, const std::vector<Index>& machines) {
+        auto j = add_job(std::move(spec));
+        for (uint32_t t = 0; t < machines.size(); ++t) cluster.place(j, t, machines[t], 1, now);
         return j;
     }
 };
 
+// Eligibility predicate that accepts every machine that is up.
 inline bool any_machine(const Machine& m) { return m.up; }
 
 }  // namespace weirmill::test
--- a/tests/history.cpp
+++ b/tests/history.cpp
@@ -6,64 +6,80 @@
 
 namespace {
 
-bool confirmed(const RequestRecord& e) { return e.status == 200 || e.status == 201; }
-bool is_end(const std::string& state) { return state == "done" || state == "aborted"; }
+bool confirmed(const RequestRecord& request) {
+    return request.status == 200 || request.status == 201;
+}
+bool is_final(const std::string& state) { return state == "done" || state == "aborted"; }
 
-std::string text(const RequestRecord& e) {
+std::string describe(const RequestRecord& request) {
     const char* const what[] = {"submission", "poll", "cancellation"};
-    return std::string(what[static_cast<int>(e.kind)]) + " of " + e.job + " asked at " +
-           std::to_string(e.sent_at) + ", answered at " + std::to_string(e.answered_at) +
-           (e.node.empty() ? "" : " by " + e.node) + ": " + std::to_string(e.status) + " " +
-           e.job_status;
+    return std::string(what[static_cast<int>(request.kind)]) + " of " + request.job + " asked at " +
+           std::to_string(request.sent_at) + ", answered at " +
+           std::to_string(request.answered_at) +
+           (request.node.empty() ? "" : " by " + request.node) + ": " +
+           std::to_string(request.status) + " " + request.job_status;
 }
 
 }  // namespace
 
-// A cancellation of the job, or of one that it needs, was asked for by then.
+// Returns whether a cancellation of the job or of a job that it depends on was requested by then.
 bool RequestHistory::cancel_requested(const std::string& job, double by,
                                       std::set<std::string>& seen) const {
     if (!seen.insert(job).second) return false;
-    for (auto& e : requests)
-        if (e.kind == RequestKind::Cancellation && e.job == job && e.sent_at <= by) return true;
-    auto on = dependencies.find(job);
-    return on != dependencies.end() &&
-           std::any_of(on->second.begin(), on->second.end(),
+    for (auto& request : requests)
+        if (request.kind == RequestKind::Cancellation && request.job == job &&
+            request.sent_at <= by)
+            return true;
+    auto found = dependencies.find(job);
+    return found != dependencies.end() &&
+           std::any_of(found->second.begin(), found->second.end(),
                        [&](auto& d) { return cancel_requested(d, by, seen); });
 }
 
 std::string RequestHistory::find_violation() const {
     std::map<std::string, std::vector<const RequestRecord*>> by_job;
-    for (auto& e : requests) by_job[e.job].push_back(&e);
+    for (auto& request : requests) by_job[request.job].push_back(&request);
     for (auto& [job, all] : by_job) {
-        // The first answer of each kind: what was asked after it must not be older.
-        const RequestRecord *known = nullptr, *end = nullptr;
+        // The earliest confirmation and the earliest final state: responses to later requests must
+        // not contradict them.
+        const RequestRecord *first_confirmed = nullptr, *first_final = nullptr;
         double submitted = std::numeric_limits<double>::infinity();
-        for (auto* e : all) {
-            if (e->kind == RequestKind::Submission) submitted = std::min(submitted, e->sent_at);
-            if (!confirmed(*e)) continue;
-            if (!known || e->answered_at < known->answered_at) known = e;
-            if (is_end(e->job_status) && (!end || e->answered_at < end->answered_at)) end = e;
+        for (auto* request : all) {
+            if (request->kind == RequestKind::Submission)
+                submitted = std::min(submitted, request->sent_at);
+            if (!confirmed(*request)) continue;
+            if (!first_confirmed || request->answered_at < first_confirmed->answered_at)
+                first_confirmed = request;
+            if (is_final(request->job_status) &&
+                (!first_final || request->answered_at < first_final->answered_at))
+                first_final = request;
         }
-        for (auto* e : all) {
-            bool after = known && e->sent_at > known->answered_at;
-            if (confirmed(*e)) {
-                if (e->answered_at < submitted) return "invented: " + text(*e);
-                if (end && is_end(e->job_status) && e->job_status != end->job_status)
-                    return "went_back: " + text(*e) + " beside " + text(*end);
-                if (end && e->sent_at > end->answered_at && e->job_status != end->job_status)
-                    return "went_back: " + text(*e) + " after " + text(*end);
+        for (auto* request : all) {
+            bool follows_confirmation =
+                first_confirmed && request->sent_at > first_confirmed->answered_at;
+            if (confirmed(*request)) {
+                if (request->answered_at < submitted) return "invented: " + describe(*request);
+                if (first_final && is_final(request->job_status) &&
+                    request->job_status != first_final->job_status)
+                    return "went_back: " + describe(*request) + " beside " + describe(*first_final);
+                if (first_final && request->sent_at > first_final->answered_at &&
+                    request->job_status != first_final->job_status)
+                    return "went_back: " + describe(*request) + " after " + describe(*first_final);
                 std::set<std::string> seen;
-                if (e->job_status == "aborted" && !cancel_requested(job, e->answered_at, seen))
-                    return "went_back: nobody asked for it: " + text(*e);
+                if (request->job_status == "aborted" &&
+                    !cancel_requested(job, request->answered_at, seen))
+                    return "went_back: nobody asked for it: " + describe(*request);
                 auto it = job_ended_at.find(job);
-                if (e->job_status == "done" && it != job_ended_at.end() &&
-                    e->answered_at < it->second)
-                    return "not_done: " + text(*e);
-                if (e->kind == RequestKind::Cancellation && !is_end(e->job_status))
-                    return "neither cancelled nor ended: " + text(*e);
-            } else if (after && (e->status == 404 || (e->kind == RequestKind::Submission &&
-                                                      (e->status == 400 || e->status == 422)))) {
-                return "forgotten: " + text(*e) + " after " + text(*known);
+                if (request->job_status == "done" && it != job_ended_at.end() &&
+                    request->answered_at < it->second)
+                    return "not_done: " + describe(*request);
+                if (request->kind == RequestKind::Cancellation && !is_final(request->job_status))
+                    return "neither cancelled nor ended: " + describe(*request);
+            } else if (follows_confirmation &&
+                       (request->status == 404 ||
+                        (request->kind == RequestKind::Submission &&
+                         (request->status == 400 || request->status == 422)))) {
+                return "forgotten: " + describe(*request) + " after " + describe(*first_confirmed);
             }
         }
     }
--- a/tests/memory_kv_store.h
+++ b/tests/memory_kv_store.h
@@ -1,4 +1,5 @@
-// The key-value store as the state log sees it: conditions, changes, versions.
+// In-memory key-value store for tests of the state log, with helpers that drive the log and
+// describe its contents.
 #pragma once
 #include <gtest/gtest.h>
 
@@ -8,11 +9,12 @@
 
 namespace weirmill::test {
 
+// Applies conditional transactions and keeps a version per key.
 struct MemoryKvStore {
     std::map<std::string, std::pair<std::string, uint64_t>> keys{{kLeaderKey, {"{}", 41}}};
     uint64_t revision = 41;
 
-    // The revision, or 0 where a condition fails.
+    // Returns the new revision, or 0 if a condition fails.
     uint64_t apply(const CasTransaction& txn) {
         for (auto& c : txn.conditions) {
             auto it = keys.find(c.key);
@@ -27,11 +29,13 @@
         }
         return revision;
     }
+    // Returns the number of segments of the state log.
     size_t segment_count() const {
         size_t n = 0;
         for (auto& [key, value] : keys) n += key.starts_with(kSegmentPrefix);
         return n;
     }
+    // Returns all segments as a page of a listing.
     KvPage segment_page() const {
         KvPage page;
         for (auto& [key, value] : keys)
@@ -39,62 +43,66 @@
                 page.items.push_back({key, boost::json::parse(value.first), value.second, 0});
         return page;
     }
+    // Loads the stored log into `state_log`, which is cleared first.
     void load_into(StateLog& state_log, double now) const {
         state_log.clear();
-        auto item = [](auto& k) {
-            return KvItem{k.first, boost::json::parse(k.second.first), k.second.second, 0};
+        auto to_item = [](auto& entry) {
+            return KvItem{entry.first, boost::json::parse(entry.second.first), entry.second.second,
+                          0};
         };
-        if (auto it = keys.find(kLogKey); it != keys.end()) state_log.load_head(item(*it));
-        for (auto& k : keys)
-            if (k.first.starts_with(kSegmentPrefix)) state_log.load_segment(item(k), now);
+        if (auto it = keys.find(kLogKey); it != keys.end()) state_log.load_head(to_item(*it));
+        for (auto& entry : keys)
+            if (entry.first.starts_with(kSegmentPrefix))
+                state_log.load_segment(to_item(entry), now);
         state_log.loaded(now);
     }
 };
 
-inline void expect_within_limits(const StateLogBatch& b, StateLogLimits limits) {
-    EXPECT_LE(b.txn.changes.size(), static_cast<size_t>(limits.txn_ops));
-    EXPECT_LE(b.txn.conditions.size(), 4 * static_cast<size_t>(limits.txn_ops));
-    EXPECT_LE(txn_json(b.txn).size(), 64u * 1024);
-    for (auto& c : b.txn.changes)
+// Checks that the batch fits the limits of the state service.
+inline void expect_within_limits(const StateLogBatch& batch, StateLogLimits limits) {
+    EXPECT_LE(batch.txn.changes.size(), static_cast<size_t>(limits.txn_ops));
+    EXPECT_LE(batch.txn.conditions.size(), 4 * static_cast<size_t>(limits.txn_ops));
+    EXPECT_LE(txn_json(batch.txn).size(), 64u * 1024);
+    for (auto& c : batch.txn.changes)
         EXPECT_LE(c.value.size(), static_cast<size_t>(limits.value_kb * 1024)) << c.key;
 }
 
-// Until nothing waits to be recorded; ended jobs leave the cluster state. Returns how many
-// transactions it took.
+// Commits all pending records to the store and removes ended jobs from the cluster state. Returns
+// the number of transactions.
 inline int commit_all(StateLog& state_log, ClusterState& cluster, MemoryKvStore& store,
                       StateLogLimits limits, double now) {
-    int n = 0;
-    for (; state_log.waiting() && n < 20000; ++n) {
-        auto b = state_log.next(limits.txn_ops);
-        if (b.empty()) break;
-        expect_within_limits(b, limits);
-        auto revision = store.apply(b.txn);
+    int transactions = 0;
+    for (; state_log.waiting() && transactions < 20000; ++transactions) {
+        auto batch = state_log.next(limits.txn_ops);
+        if (batch.empty()) break;
+        expect_within_limits(batch, limits);
+        auto revision = store.apply(batch.txn);
         EXPECT_NE(revision, 0u);
-        state_log.committed(b, revision);
-        for (auto& e : b.entries)
+        state_log.committed(batch, revision);
+        for (auto& e : batch.entries)
             if (e.kind == EntryKind::Finish) cluster.remove_job(e.job, now);
     }
-    return n;
+    return transactions;
 }
 
-// Something happens to a task of every job, and one in so many is cancelled. `below(n)`: a random
-// number below n.
-template <class Below>
+// Changes a random task of every job, and cancels on average one in `jobs_per_cancellation` jobs.
+// `random_below(n)` returns a random number below n.
+template <class RandomBelow>
 void advance_randomly(ClusterState& cluster, StateLog& state_log,
-                      const std::vector<Index>& machines, Below&& below, uint32_t cancelled_one_in,
-                      double now) {
+                      const std::vector<Index>& machines, RandomBelow&& random_below,
+                      uint32_t jobs_per_cancellation, double now) {
     for (Index j = 0; j < cluster.jobs.size(); ++j) {
         auto* job = cluster.jobs[j].get();
         if (!job || job->version == 0 || job->ending) continue;
-        auto t = below(job->tasks.size());
+        auto t = random_below(job->tasks.size());
         auto& task = job->tasks[t];
         if (task.state == TaskState::Pending && !job->cancelled)
-            cluster.place(j, t, machines[below(machines.size())], task.attempt + 1, now);
-        else if (task.state == TaskState::Placed && below(4) > 0)
+            cluster.place(j, t, machines[random_below(machines.size())], task.attempt + 1, now);
+        else if (task.state == TaskState::Placed && random_below(4) > 0)
             cluster.finish(j, t, now);
         else if (task.state == TaskState::Placed)
             cluster.unassign(j, t, now);
-        if (below(cancelled_one_in) == 0 && !job->cancelled) {
+        if (random_below(jobs_per_cancellation) == 0 && !job->cancelled) {
             job->cancelled = true;
             state_log.cancel(j);
         }
@@ -105,7 +113,8 @@
     }
 }
 
-// Every task as the cluster state holds it, machines by name, and what a job waits for, by id.
+// Describes every recorded job of the cluster state by its id: its tasks, their machines by name,
+// and the ids of the jobs that it depends on.
 inline std::map<std::string, std::string> describe_jobs(const ClusterState& cluster) {
     std::map<std::string, std::string> out;
     for (Index j = 0; j < cluster.jobs.size(); ++j) {
@@ -122,9 +131,9 @@
                         (t.state == TaskState::Placed ? cluster.machines[t.machine]->name : "");
         }
         if (job->cancel_recorded) continue;
-        std::set<std::string> on;
-        for (auto d : cluster.dependencies().of(j)) on.insert(cluster.jobs[d]->spec.id);
-        for (auto& id : on) text += " after " + id;
+        std::set<std::string> dependencies;
+        for (auto d : cluster.dependencies().of(j)) dependencies.insert(cluster.jobs[d]->spec.id);
+        for (auto& id : dependencies) text += " after " + id;
         if (job->ready > 0) text += " ready " + std::to_string(job->ready);
     }
     return out;
--- a/tests/service_fixture.h
+++ b/tests/service_fixture.h
@@ -1,5 +1,5 @@
-// The whole service over loopback against stand-ins: some controllers, each with an io_context of
-// its own, that can crash, and cases that wait for conditions, never for a time.
+// Fixture for tests that run real controllers over loopback against fakes of the state service, the
+// cloud and its workers. Each controller has an io_context of its own, so that it can crash alone.
 #pragma once
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
@@ -15,10 +15,11 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 
+// Limit of each wait for a condition.
 inline constexpr double kTestTimeout_s = 60;
 
 struct ServiceFixture {
-    // The stand-ins end last: connections of the controllers hold on to them.
+    // Runs the fakes. Destroyed last, since connections of the controllers refer to the fakes.
     asio::io_context io{1};
     Settings base_settings = small_settings();
     Properties base_properties;
@@ -30,25 +31,27 @@
     std::vector<std::unique_ptr<RequestRouter>> nodes;
     std::vector<bool> alive;
 
-    // What the controllers take from each other's addresses; `cut`: they refuse each other for
-    // good.
     struct Options {
-        bool standby_enabled = false, peers_refused = false;
-        int unstarted_peers = 0;  // further controllers that never were started with this version
+        bool standby_enabled = false;
+        bool peers_refused = false;  // controllers never reach each other
+        int unstarted_peers = 0;     // configured controllers that never ran this version
         double write_rps = 40;
         int txn_ops = 12;
-        bool faulty_links =
-            false;  // membership, and every link between the processes goes over a cable of its own
-        double election_lease_s = 1.5;       // of the leadership
-        double worker_timeout_s = 4;         // of workers, for an answer
-        std::set<int> without_membership{};  // controllers whose version says nothing of links
+        // Enables membership and puts a FaultyLink into each connection between processes. The
+        // lease of the workers is 6 s instead of 2 s.
+        bool faulty_links = false;
+        double election_lease_s = 1.5;
+        double worker_timeout_s = 4;         // how long a worker waits for a response
+        std::set<int> without_membership{};  // controllers of a version without link records
     };
-    // What a controller calls, or is called over; see fakes/faulty_link.h.
-    std::map<std::pair<int, int>, std::unique_ptr<fakes::FaultyLink>> peer_links;  // from, to
+    // Links between two controllers, by the index of the calling and of the called controller.
+    std::map<std::pair<int, int>, std::unique_ptr<fakes::FaultyLink>> peer_links;
+    // Links from each controller to the state service, and from the workers to each controller.
     std::vector<std::unique_ptr<fakes::FaultyLink>> kv_links, worker_links;
+
     explicit ServiceFixture(int count) : ServiceFixture(count, Options{}) {}
-    ServiceFixture(int count, Options with) {
-        // WEIRMILL_TEST_LOG: what the controllers log, when a case fails.
+    ServiceFixture(int count, Options options) {
+        // The environment variable WEIRMILL_TEST_LOG turns on the logs of the controllers.
         spdlog::set_level(std::getenv("WEIRMILL_TEST_LOG") ? spdlog::level::debug
                                                            : spdlog::level::off);
         base_settings.heartbeat_interval_s = 0.1;
@@ -56,39 +59,40 @@
         base_settings.cancel_s = 6;
         base_settings.list_lag_s = 0.2;
         base_settings.cloud_rps = 50;
-        base_settings.state_write_rps = with.write_rps;
-        base_settings.txn_ops = with.txn_ops;
-        base_properties.standby_enabled = with.standby_enabled;
-        base_properties.election_lease_s = with.election_lease_s;
+        base_settings.state_write_rps = options.write_rps;
+        base_settings.txn_ops = options.txn_ops;
+        base_properties.standby_enabled = options.standby_enabled;
+        base_properties.election_lease_s = options.election_lease_s;
         base_properties.preemption_round_s = 0.5;
         base_properties.idle_keep_boots = 100;
         state_service = std::make_unique<fakes::StateService>(io);
         cloud = std::make_unique<fakes::Cloud>(io, base_settings);
         base_settings.cloud = cloud->endpoint();
-        base_settings.worker_patience_s = with.worker_timeout_s;
-        if (with.faulty_links) {
+        base_settings.worker_patience_s = options.worker_timeout_s;
+        if (options.faulty_links) {
             base_settings.lease_s = 6;
             base_settings.cancel_s = 14;
             base_settings.worker_patience_s = 0.4;
             base_settings.worker_next_s = 0.1;
             base_settings.ping_s = 0.1;
         }
-        for (int i = 0; i < count; ++i) add_node(i, with);
+        for (int i = 0; i < count; ++i) add_node(i, options);
         for (int i = 0; i < count; ++i)
             for (int k = 0; k < count; ++k)
                 if (i != k)
                     node_settings[i]->peers.push_back(
                         {node_settings[k]->name,
                          "a",
-                         {"127.0.0.1",
-                          with.peers_refused ? uint16_t{1} : peer_port(i, k, with.faulty_links)}});
+                         {"127.0.0.1", options.peers_refused
+                                           ? uint16_t{1}
+                                           : peer_port(i, k, options.faulty_links)}});
         for (auto& s : node_settings)
-            for (int k = 0; k < with.unstarted_peers; ++k)
+            for (int k = 0; k < options.unstarted_peers; ++k)
                 s->peers.push_back({"stranger-" + std::to_string(k), "a", {"127.0.0.1", 1}});
     }
     ~ServiceFixture() {
-        // Tasks of a gang are done together, each by its own worker's clock: of these, nothing is
-        // known.
+        // The tasks of a gang complete together, yet the fake workers note each task by itself, so
+        // the completion time of a gang is not known.
         for (auto& [task, at] : cloud->task_completed_at) {
             auto job = task.substr(0, task.rfind('/'));
             if (cloud->jobs[job].gang ||
@@ -97,17 +101,17 @@
             history.job_ended_at[job] = std::max(history.job_ended_at[job], at);
         }
         EXPECT_EQ(history.find_violation(), "");
-        // The cases end in the middle of things: what still waits is dropped with its io_context.
-        // So are connections between the stand-ins and the cables, whose coroutines look at them
-        // once more.
+        // A test may end while operations are pending. Their coroutines are destroyed with the
+        // io_contexts and access these objects once more, so the objects are leaked on purpose.
         for (auto& n : nodes) n.release();
         for (auto& [ends, faulty_link] : peer_links) faulty_link.release();
-        for (auto* cables : {&kv_links, &worker_links})
-            for (auto& faulty_link : *cables) faulty_link.release();
+        for (auto* links : {&kv_links, &worker_links})
+            for (auto& faulty_link : *links) faulty_link.release();
         state_service.release();
         cloud.release();
     }
 
+    // Returns the port on which controller `from` reaches controller `to`.
     uint16_t peer_port(int from, int to, bool through_faulty_link) {
         Endpoint at{"127.0.0.1", nodes[to]->peer_port()};
         if (!through_faulty_link) return at.port;
@@ -115,39 +119,42 @@
             ->endpoint()
             .port;
     }
+    // Starts a controller named node-`i`; a restarted controller is a further entry of `nodes`.
     void add_node(int i) { add_node(i, Options{}); }
-    void add_node(int i, const Options& with) {
+    void add_node(int i, const Options& options) {
         node_settings.push_back(std::make_unique<Settings>(base_settings));
         node_settings.back()->name = "node-" + std::to_string(i);
         node_settings.back()->state = state_service->endpoint_for(i);
-        if (with.faulty_links) {
+        if (options.faulty_links) {
             kv_links.push_back(
                 std::make_unique<fakes::FaultyLink>(io, node_settings.back()->state));
             node_settings.back()->state = kv_links.back()->endpoint();
         }
         auto own = base_properties;
-        own.membership_enabled = with.faulty_links && !with.without_membership.count(i);
+        own.membership_enabled = options.faulty_links && !options.without_membership.count(i);
         node_properties.push_back(std::make_unique<Properties>(own));
         node_io.push_back(std::make_unique<asio::io_context>(1));
         nodes.push_back(std::make_unique<RequestRouter>(*node_io.back(), *node_settings.back(),
                                                         *node_properties.back()));
         alive.push_back(true);
         Endpoint api{"127.0.0.1", nodes.back()->api_port()};
-        if (with.faulty_links) {
+        if (options.faulty_links) {
             worker_links.push_back(std::make_unique<fakes::FaultyLink>(io, api));
             api = worker_links.back()->endpoint();
         }
         cloud->controllers.push_back(api);
         cloud->controller_names.push_back(node_settings.back()->name);
     }
-    // As after kill -9: nothing of the node runs any more. Its sockets stay silent.
+    // Stops the controller as SIGKILL does, but its sockets stay open and silent.
     void crash(int i) { alive[i] = false; }
 
+    // Runs the ready handlers of all live controllers and of the fakes.
     void poll_once() {
         for (size_t i = 0; i < node_io.size(); ++i)
             if (alive[i]) node_io[i]->poll();
         io.run_one_for(std::chrono::milliseconds(1));
     }
+    // Returns whether the condition holds before kTestTimeout_s is over.
     bool wait_until(const std::function<bool()>& condition) {
         for (double end = steady_now() + kTestTimeout_s; steady_now() < end;) {
             if (condition()) return true;
@@ -155,6 +162,7 @@
         }
         return false;
     }
+    // Asks the live controllers in turn until one answers with a status other than 503.
     HttpAnswer request_any_node(const char* method, const std::string& target,
                                 const std::string& body = "") {
         for (double end = steady_now() + kTestTimeout_s; steady_now() < end;) {
@@ -167,17 +175,18 @@
         }
         return {};
     }
-    // A request on its way; `over` once it is answered, or given up.
+    // A request in flight. `finished` is set once it is answered or has timed out.
     struct PendingRequest {
         bool finished = false;
         std::optional<HttpAnswer> response;
+        // Returns the job status of a successful response, or an empty string.
         std::string job_status() const {
             if (!response || response->status / 100 != 2) return "";
             return std::string(json::parse(response->body).at("status").as_string());
         }
     };
-    // Every question and answer about a job goes into the history, which is judged when the case is
-    // over.
+    // Sends a request without waiting for its response. Requests about jobs are recorded in
+    // `history`, which the destructor checks.
     std::shared_ptr<PendingRequest> send_request(size_t i, const char* method,
                                                  const std::string& target,
                                                  const std::string& body = "") {
@@ -193,54 +202,57 @@
                 out->response = co_await client->request(method, target, body, 5);
                 out->finished = true;
                 if (entry != kNotRecorded && out->response) {
-                    auto& e = self->history.requests[entry];
-                    e.answered_at = steady_now();
-                    e.status = out->response->status;
-                    e.job_status = out->job_status();
+                    auto& record = self->history.requests[entry];
+                    record.answered_at = steady_now();
+                    record.status = out->response->status;
+                    record.job_status = out->job_status();
                 }
             }(this, client, method, target, body, out, entry),
             asio::detached);
         return out;
     }
+    // Sends a request to one controller and waits for its response.
     std::optional<HttpAnswer> request_node(size_t i, const char* method, const std::string& target,
                                            const std::string& body) {
-        auto asked = send_request(i, method, target, body);
-        wait_until([&] { return asked->finished; });
-        return asked->response;
+        auto pending = send_request(i, method, target, body);
+        wait_until([&] { return pending->finished; });
+        return pending->response;
     }
     static constexpr size_t kNotRecorded = ~size_t{0};
+    // Adds the request to `history`. Returns its index, or kNotRecorded if it concerns no job.
     size_t record_request(size_t node, const std::string& method, const std::string& target,
                           const std::string& body) {
-        RequestRecord e;
-        e.sent_at = steady_now();
-        e.node = "node-" + std::to_string(node);
+        RequestRecord record;
+        record.sent_at = steady_now();
+        record.node = "node-" + std::to_string(node);
         if (target == "/v2/runs" && method == "POST") {
-            boost::system::error_code bad;
-            auto v = json::parse(body, bad);
-            if (bad || !v.is_object() || !v.as_object().contains("name_id") ||
+            boost::system::error_code error;
+            auto v = json::parse(body, error);
+            if (error || !v.is_object() || !v.as_object().contains("name_id") ||
                 !v.at("name_id").is_string())
                 return kNotRecorded;
-            e.kind = RequestKind::Submission;
-            e.job = std::string(v.at("name_id").as_string());
-            if (auto* on = v.as_object().if_contains("awaits"); on && on->is_array()) {
-                auto& needs = history.dependencies[e.job];
-                needs.clear();
-                for (auto& d : on->as_array())
-                    if (d.is_string()) needs.emplace_back(d.as_string());
+            record.kind = RequestKind::Submission;
+            record.job = std::string(v.at("name_id").as_string());
+            if (auto* awaits = v.as_object().if_contains("awaits"); awaits && awaits->is_array()) {
+                auto& dependencies = history.dependencies[record.job];
+                dependencies.clear();
+                for (auto& d : awaits->as_array())
+                    if (d.is_string()) dependencies.emplace_back(d.as_string());
             }
         } else if (target.starts_with("/v2/runs/")) {
-            e.job = target.substr(9);
-            e.kind = e.job.ends_with("/cancel") ? RequestKind::Cancellation : RequestKind::Poll;
-            if (e.kind == RequestKind::Cancellation) e.job.resize(e.job.size() - 7);
+            record.job = target.substr(9);
+            record.kind =
+                record.job.ends_with("/cancel") ? RequestKind::Cancellation : RequestKind::Poll;
+            if (record.kind == RequestKind::Cancellation) record.job.resize(record.job.size() - 7);
         } else {
             return kNotRecorded;
         }
-        history.requests.push_back(std::move(e));
+        history.requests.push_back(std::move(record));
         return history.requests.size() - 1;
     }
     RequestHistory history;
-    // What a user asked of a controller that the test plays: it was accepted there, or its
-    // cancellation taken.
+    // Records a submission, and optionally a cancellation, that a controller accepted which the
+    // test simulates by writing to the state service itself.
     void record_external_submission(const std::string& id, bool cancelled = false) {
         double now = steady_now();
         history.requests.push_back(
@@ -249,6 +261,7 @@
             history.requests.push_back(
                 {RequestKind::Cancellation, id, now, now, 0, "", "the test"});
     }
+    // Returns the JSON body of a submission.
     static std::string submission_body(const std::string& id, const std::string& kind, int tasks,
                                        double cpus = 1) {
         return json::serialize(json::object{{"name_id", id},
@@ -269,6 +282,7 @@
                                             {"tally_s", 0.0},
                                             {"bank_s", 0.0}});
     }
+    // Submits a job whose tasks behave as `job` says; returns the HTTP status.
     int submit(const std::string& id, const std::string& kind, int tasks, fakes::Job job = {}) {
         job.gang = kind == "ensemble";
         job.tasks = static_cast<uint32_t>(tasks);
@@ -278,13 +292,14 @@
         cloud->jobs[id] = std::move(job);
         return request_any_node("POST", "/v2/runs", body).status;
     }
-    int submit_with_dependencies(const std::string& id, std::vector<std::string> awaits,
+    int submit_with_dependencies(const std::string& id, std::vector<std::string> dependencies,
                                  double run_s = 0.2) {
         fakes::Job job;
         job.run_s = run_s;
-        job.dependencies = std::move(awaits);
+        job.dependencies = std::move(dependencies);
         return submit(id, "array", 2, job);
     }
+    // Returns a copy of the JSON object `body` with one field set.
     static std::string with_field(const std::string& body, const char* field, json::value value) {
         auto o = json::parse(body).as_object();
         o[field] = std::move(value);
@@ -295,16 +310,18 @@
         crash(old.back() - '0');
         EXPECT_TRUE(wait_until([&] { return !leader_name().empty() && leader_name() != old; }));
     }
+    // Returns the status of a job, or the HTTP status if that is not 200.
     std::string job_status(const std::string& id) {
         auto a = request_any_node("GET", "/v2/runs/" + id);
         return a.status == 200 ? std::string(json::parse(a.body).at("status").as_string())
                                : std::to_string(a.status);
     }
+    // Waits until the final state of the job is stored; returns whether that is "done".
     bool wait_until_done(const std::string& id) {
         return wait_until([&] { return state_service->snapshot().count("f/" + id) > 0; }) &&
                job_status(id) == "done";
     }
-    // Whether some segment of the log holds this text.
+    // Returns whether a segment of the state log contains this text.
     bool log_contains(const std::string& text) {
         auto keys = state_service->snapshot();
         return std::any_of(keys.begin(), keys.end(), [&](auto& k) {
@@ -312,6 +329,7 @@
                    json::serialize(k.second).find(text) != std::string::npos;
         });
     }
+    // Returns the name in the leader key, or an empty string if no controller leads.
     std::string leader_name() {
         auto keys = state_service->snapshot();
         auto it = keys.find("leader");
