--- a/tests/fakes/fakes.cpp
+++ b/tests/fakes/fakes.cpp
@@ -244,7 +244,7 @@
 }
 
 void Worker::update_tasks() {
-    if (hung) return;
+    if (paused) return;
     double now = steady_now();
     if (now - lease_started_at_ > cloud_.settings.lease_s) {
         tasks_.clear();
@@ -296,7 +296,7 @@
 
 asio::awaitable<HttpReply> Worker::handle(HttpRequest request) {
     auto self = shared_from_this();
-    while ((hold_commands || hung) && !dead_) co_await sleep_s(0.01);
+    while ((hold_commands || paused) && !dead_) co_await sleep_s(0.01);
     if (dead_ || unreachable || downlink_lost || lose_commands) co_return HttpReply{500, "{}"};
     update_tasks();
     auto v = json::parse(request.body).as_object();
@@ -333,7 +333,7 @@
     while (!dead_) {
         co_await sleep_s(cloud_.settings.heartbeat_interval_s);
         update_tasks();
-        if (dead_ || unreachable || hung || uplink_lost || cloud_.controllers.empty()) continue;
+        if (dead_ || unreachable || paused || uplink_lost || cloud_.controllers.empty()) continue;
         if (only_controller >= 0) controller = static_cast<size_t>(only_controller);
         if (unreachable_controller >= 0 &&
             static_cast<size_t>(unreachable_controller) == controller % cloud_.controllers.size())
@@ -355,9 +355,9 @@
         }
         auto reply =
             co_await client.request("POST", "/v1/report", body, cloud_.settings.worker_patience_s);
-        if (hung || uplink_lost)
+        if (paused || uplink_lost)
             reply.reset();  // the request has timed out by the time that the worker goes on
-        while (hung && !dead_) co_await sleep_s(0.01);
+        while (paused && !dead_) co_await sleep_s(0.01);
         if (dead_ || unreachable) continue;
         if (downlink_lost) {
             ++controller;
@@ -390,7 +390,7 @@
     double used = job.cpus;
     for (auto& [name, other] : workers) {
         // A paused worker whose lease has expired ends its tasks before it does anything else.
-        bool expired = other->hung && steady_now() - other->lease_started_at_ > settings.lease_s;
+        bool expired = other->paused && steady_now() - other->lease_started_at_ > settings.lease_s;
         if (other->dead() || expired) continue;
         for (auto& [other_task, t] : other->tasks_) {
             if (t.state == "exited") continue;
--- a/tests/fakes/fakes.h
+++ b/tests/fakes/fakes.h
@@ -109,7 +109,7 @@
     int stale_copies = 0;             // earlier heartbeats resent with each heartbeat
     bool uplink_lost = false;         // its own connections fail; commands arrive
     int only_controller = -1;         // index of the only controller that it connects to
-    bool hung = false;                // its process is paused; its lease runs on
+    bool paused = false;              // its process is paused; its lease runs on
     // Sends the heartbeat with index `n` to every controller again.
     void resend_heartbeat(size_t n);
     size_t heartbeat_count() const { return sent_heartbeats_.size(); }
--- a/tests/fault_scenarios_service_test.cpp
+++ b/tests/fault_scenarios_service_test.cpp
@@ -132,12 +132,12 @@
 // leader once gave up each renewal after a quarter and lost its leadership, while no other
 // controller could be elected.
 TEST(FaultScenarios, SlowLeaseRenewalsKeepTheLeader) {
-    ServiceFixture::Options with;
-    with.election_lease_s = 6;
-    FaultScenarioFixture service(2, with);
+    ServiceFixture::Options options;
+    options.election_lease_s = 6;
+    FaultScenarioFixture service(2, options);
     auto leader = service.leader_name();
-    service.state_service->lease_response_delay_s = 0.4 * with.election_lease_s;
-    service.run_for(1.2 * with.election_lease_s);  // longer than any lease renewed before
+    service.state_service->lease_response_delay_s = 0.4 * options.election_lease_s;
+    service.run_for(1.2 * options.election_lease_s);  // longer than any lease renewed before
     for (int i = 0; i < 5; ++i) {
         auto id = "req-" + std::to_string(10 + i);
         service.cloud->jobs[id] = {};
@@ -409,9 +409,9 @@
 // The leader crashes, the next leader crashes as well, and one controller restarts at once while a
 // transaction of its former process is still to be executed. Running tasks must not be restarted.
 TEST(FaultScenarios, TasksSurviveRestartDuringElection) {
-    ServiceFixture::Options with;
-    with.faulty_links = true;  // the worker lease outlasts the changes of leader
-    FaultScenarioFixture service(2, with);
+    ServiceFixture::Options options;
+    options.faulty_links = true;  // the worker lease outlasts the changes of leader
+    FaultScenarioFixture service(2, options);
     service.start_job("req-2", 3, 4);
     service.crash_leader();
     int second = service.leader_index();
--- a/tests/invalid_submissions_service_test.cpp
+++ b/tests/invalid_submissions_service_test.cpp
@@ -1,6 +1,6 @@
-// Submissions that make no sense, at a leader, at a follower that relays them and at a door:
-// refused for good as the protocol says, and never accepted. Under the id of a job that was
-// accepted they tell its state.
+// Tests that the leader, a follower that forwards to it and a standby controller reject invalid
+// submissions with the status of the protocol. With the id of an accepted job, the response to the
+// same body is the status of that job.
 #include "fault_scenario.h"
 
 namespace weirmill {
@@ -11,10 +11,10 @@
 using test::isolated_peers;
 using test::ServiceFixture;
 
-TEST(OddRequests, AreRefusedAtEveryNodeAndNeverRefuseWhatWasAccepted) {
+TEST(InvalidSubmissions, RejectedAtEveryNode) {
     struct Row {
         const char* field;
-        json::value value;  // null: left out
+        json::value value;  // null removes the field
         int status;
     };
     std::vector<Row> rows;
@@ -49,8 +49,8 @@
         {"awaits", json::array{"req-99999"}, 422},
     };
     rows.insert(rows.end(), std::begin(others), std::end(others));
-    for (bool relays : {true, false}) {
-        FaultScenarioFixture service(2, relays ? ServiceFixture::Options{} : isolated_peers());
+    for (bool forwards : {true, false}) {
+        FaultScenarioFixture service(2, forwards ? ServiceFixture::Options{} : isolated_peers());
         auto leader = static_cast<size_t>(service.leader_index());
         int n = 1000;
         auto status_at = [&](size_t node, const std::string& body) {
@@ -62,7 +62,7 @@
             });
             return status;
         };
-        auto with = [&](const Row& row, const std::string& id) {
+        auto submission_with = [&](const Row& row, const std::string& id) {
             auto body = json::parse(ServiceFixture::submission_body(id, "array", 2)).as_object();
             if (row.value.is_null())
                 body.erase(row.field);
@@ -71,16 +71,17 @@
             return json::serialize(body);
         };
         for (size_t node : {leader, 1 - leader}) {
-            SCOPED_TRACE(node == leader ? "leader" : relays ? "follower" : "door");
+            SCOPED_TRACE(node == leader ? "leader" : forwards ? "follower" : "standby");
             for (auto& row : rows) {
                 auto id = "req-" + std::to_string(++n);
-                EXPECT_EQ(status_at(node, with(row, id)), row.status)
+                EXPECT_EQ(status_at(node, submission_with(row, id)), row.status)
                     << row.field << " " << row.value;
                 EXPECT_EQ(service.job_status(id), "404") << row.field << " " << row.value;
-                EXPECT_EQ(status_at(node, with(row, "req-1")), 200)
+                EXPECT_EQ(status_at(node, submission_with(row, "req-1")), 200)
                     << row.field << " " << row.value;
             }
-            // A limit of 32 CPUs: all tasks of a gang or service count, one of an array.
+            // The team limit of 32 CPUs applies to all tasks of a gang or service, but to each task
+            // of an array by itself.
             for (auto [kind, status] : {std::pair{"ensemble", 422}, std::pair{"standing", 422},
                                         std::pair{"array", 201}}) {
                 auto id = "req-" + std::to_string(++n);
--- a/tests/more_fault_scenarios_service_test.cpp
+++ b/tests/more_fault_scenarios_service_test.cpp
@@ -1,4 +1,5 @@
-// The further meetings of the operators' page, over loopback (docs/failures.md, "Meetings").
+// Tests of several faults at the same time, mostly of machines and of changes of leader, with real
+// controllers over loopback (docs/failures.md, "Meetings").
 #include "fault_scenario.h"
 
 namespace weirmill {
@@ -10,10 +11,10 @@
 using test::isolated_peers;
 using test::ServiceFixture;
 
-// A job of a team with a limit, or bound to a zone, as its user and its workers know it.
-void submit_as(FaultScenarioFixture& service, const std::string& id, const std::string& kind,
-               int tasks, double cpus, double run_s, const std::string& team,
-               const std::string& zone = "", const std::string& urgency = "normal") {
+// Submits a job of a team, optionally bound to a zone. The fakes check the team limit and the zone.
+void submit_for_team(FaultScenarioFixture& service, const std::string& id, const std::string& kind,
+                     int tasks, double cpus, double run_s, const std::string& team,
+                     const std::string& zone = "", const std::string& priority = "normal") {
     fakes::Job job;
     job.run_s = run_s;
     job.gang = kind == "ensemble";
@@ -25,15 +26,15 @@
     auto body = ServiceFixture::with_field(ServiceFixture::submission_body(id, kind, tasks, cpus),
                                            "consignor", json::string(team));
     body = ServiceFixture::with_field(
-        ServiceFixture::with_field(body, "urgency", json::string(urgency)), "expected_s", 60.0);
+        ServiceFixture::with_field(body, "urgency", json::string(priority)), "expected_s", 60.0);
     if (!zone.empty()) body = ServiceFixture::with_field(body, "yard", json::string(zone));
     ASSERT_EQ(service.request_any_node("POST", "/v2/runs", body).status, 201);
 }
 
-// A zone with workers and the leader is cut off for longer than a worker's lease: inside they hear
-// each other, outside another controller leads, cancels, and starts nothing of the zone's work
-// before it is proven gone.
-TEST(MoreFaultScenarios, AZoneWithItsControllerCutOffForLongerThanALease) {
+// A network partition isolates a zone with some workers and the leader for longer than a worker
+// lease. The next leader outside confirms a cancellation. The isolated tasks must stop in time, and
+// none may start elsewhere while it may still run in the zone.
+TEST(FaultScenarios, IsolatedZoneStopsCancelledTasksInTime) {
     FaultScenarioFixture service(3, isolated_peers());
     service.start_job("req-2", 4);
     service.start_job("req-3", 4, 12);
@@ -44,12 +45,12 @@
     }
     for (auto& [name, worker] : service.cloud->workers)
         if (worker->only_controller < 0) worker->unreachable_controller = old;
-    double cut = steady_now();
+    double partitioned_at = steady_now();
     service.state_service->refused_controllers.insert(old);
     service.wait_for_new_leader("node-" + std::to_string(old));
     ASSERT_EQ(service.cancel_at_node(service.leader_index(), "req-2"), "aborted");
     service.expect_stopped_in_time(steady_now(), "req-2");
-    EXPECT_GT(steady_now() - cut, service.base_settings.lease_s);
+    EXPECT_GT(steady_now() - partitioned_at, service.base_settings.lease_s);
     EXPECT_TRUE(is_active(service.job_status("req-3")) || service.job_status("req-3") == "done");
     service.state_service->refused_controllers.clear();
     for (auto& [name, worker] : service.cloud->workers)
@@ -60,11 +61,11 @@
     service.expect_no_violations();
 }
 
-// All controllers stand still, or end, for longer than a worker's lease: all work starts anew, each
-// task once more, and what users were told holds.
-TEST(MoreFaultScenarios, AllControllersAreAwayForLongerThanALease) {
-    for (bool end : {false, true}) {
-        SCOPED_TRACE(end);
+// All controllers are paused or down for longer than a worker lease. Every task must be started
+// exactly once more, and a confirmed cancellation must hold.
+TEST(FaultScenarios, TasksRestartAfterAllControllersAreDown) {
+    for (bool restart : {false, true}) {
+        SCOPED_TRACE(restart);
         FaultScenarioFixture service(3, isolated_peers());
         service.start_job("req-2", 3, 3);
         service.start_job("req-3", 2);
@@ -73,7 +74,7 @@
         service.run_for(1.5 * service.base_settings.lease_s);
         EXPECT_FALSE(service.cloud->is_running("req-2"));
         for (int i = 0; i < 3; ++i)
-            end ? service.add_node(i) : void(service.alive[static_cast<size_t>(i)] = true);
+            restart ? service.add_node(i) : void(service.alive[static_cast<size_t>(i)] = true);
         EXPECT_TRUE(service.wait_until_done("req-2"));
         EXPECT_EQ(service.job_status("req-3"), "aborted");
         for (int t = 0; t < 3; ++t)
@@ -82,23 +83,23 @@
     }
 }
 
-// Leaders change ten times, once inside an outage; at each change a job is submitted and another
-// cancelled.
-TEST(MoreFaultScenarios, LeadersChangeTenTimesAlsoInsideAnOutage) {
-    ServiceFixture::Options with = isolated_peers();
-    with.election_lease_s = 0.8;
-    FaultScenarioFixture service(3, with);
+// The leader changes ten times, once during an outage of the state service. A job is submitted and
+// another one cancelled at each change; no job or cancellation may be lost.
+TEST(FaultScenarios, JobsSurviveTenLeaderChangesAndOutage) {
+    ServiceFixture::Options options = isolated_peers();
+    options.election_lease_s = 0.8;
+    FaultScenarioFixture service(3, options);
     service.start_job("req-2", 2, 4);
     for (int n = 0; n < 10; ++n) {
-        auto work = "req-" + std::to_string(100 + n), off = "req-" + std::to_string(200 + n);
-        EXPECT_EQ(service.submit(work, "array", 1, {0.3}), 201);
-        EXPECT_EQ(service.submit(off, "array", 1, {1000}), 201);
+        auto kept = "req-" + std::to_string(100 + n), cancelled = "req-" + std::to_string(200 + n);
+        EXPECT_EQ(service.submit(kept, "array", 1, {0.3}), 201);
+        EXPECT_EQ(service.submit(cancelled, "array", 1, {1000}), 201);
         auto old = service.leader_name();
         service.state_service->refused_controllers = {old.back() - '0'};
-        EXPECT_EQ(service.cancel_at_node((old.back() - '0' + 1 + n % 2) % 3, off), "aborted");
+        EXPECT_EQ(service.cancel_at_node((old.back() - '0' + 1 + n % 2) % 3, cancelled), "aborted");
         if (n == 5) {
             service.state_service->unavailable = true;
-            service.run_for(2 * with.election_lease_s);
+            service.run_for(2 * options.election_lease_s);
             service.state_service->end_outage();
         }
         service.wait_for_new_leader(old);
@@ -112,31 +113,32 @@
     service.expect_no_violations();
 }
 
-// Old reports come to every controller once more: as a new leader begins, before any newer one
-// does, or once it has acted. What has ended is not brought back, what runs is not taken for lost.
-TEST(MoreFaultScenarios, OldReportsReachEveryControllerAsANewLeaderBeginsOrHasActed) {
-    for (bool acted : {false, true}) {
-        SCOPED_TRACE(acted);
-        ServiceFixture::Options with = isolated_peers();
-        with.election_lease_s = 0.6;  // leaders change well within a worker's lease
-        FaultScenarioFixture service(3, with);
+// Old heartbeats reach every controller again, either before a new leader receives any current one
+// or after it has started tasks. The leader must neither revive ended tasks nor take running ones
+// for lost.
+TEST(FaultScenarios, StaleHeartbeatsDoNotMisleadNewLeader) {
+    for (bool leader_active : {false, true}) {
+        SCOPED_TRACE(leader_active);
+        ServiceFixture::Options options = isolated_peers();
+        options.election_lease_s = 0.6;  // the leader changes well within a worker lease
+        FaultScenarioFixture service(3, options);
         service.start_job("req-2", 3, 0.5);
         EXPECT_TRUE(service.wait_until_done("req-2"));
-        std::map<fakes::Worker*, size_t> before;  // reports of the time before the next two jobs
+        std::map<fakes::Worker*, size_t> earlier;  // heartbeats sent before the next two jobs
         for (auto& [name, worker] : service.cloud->workers)
-            before[worker.get()] = worker->heartbeat_count();
+            earlier[worker.get()] = worker->heartbeat_count();
         service.start_job("req-3", 3, 5);
         service.start_job("req-4", 2);
         ASSERT_EQ(service.cancel_at_node(service.leader_index(), "req-4"), "aborted");
         auto old = service.leader_name();
         service.state_service->refused_controllers = {old.back() - '0'};
-        for (auto& [name, worker] : service.cloud->workers) worker->unreachable = !acted;
+        for (auto& [name, worker] : service.cloud->workers) worker->unreachable = !leader_active;
         service.wait_for_new_leader(old);
-        if (acted) {
+        if (leader_active) {
             EXPECT_EQ(service.submit("req-5", "array", 4, {0.3}), 201);
             EXPECT_TRUE(service.wait_until_done("req-5"));
         }
-        for (auto& [worker, n] : before)
+        for (auto& [worker, n] : earlier)
             for (size_t k = 0; k < n; k += std::max<size_t>(1, n / 10)) worker->resend_heartbeat(k);
         service.run_for(0.3);
         for (auto& [name, worker] : service.cloud->workers) worker->unreachable = false;
@@ -149,31 +151,31 @@
     }
 }
 
-// A team is at its limit as the leader changes; machines with its tasks are silent, hang or reach
-// no controller, and those jobs are cancelled. What may still be there counts toward the limit;
-// what waits begins once it is gone.
-TEST(MoreFaultScenarios, ATeamAtItsLimitCountsWhatMayStillBeOnMachinesOutOfReach) {
+// A team is at its limit when the leader changes, machines with its tasks become unreachable,
+// paused or lose their uplink, and the job on them is cancelled. Tasks that may still run there
+// count toward the limit; waiting tasks start once the others are gone.
+TEST(FaultScenarios, TeamLimitCountsTasksOfUnreachableMachines) {
     struct Row {
         const char* what;
-        void (*away)(fakes::Worker&, bool);
+        void (*set_fault)(fakes::Worker&, bool);
     };
     for (auto& row :
-         {Row{"silent", [](fakes::Worker& worker, bool away) { worker.unreachable = away; }},
-          Row{"hung", [](fakes::Worker& worker, bool away) { worker.hung = away; }},
-          Row{"mute", [](fakes::Worker& worker, bool away) { worker.uplink_lost = away; }}}) {
+         {Row{"unreachable", [](fakes::Worker& worker, bool on) { worker.unreachable = on; }},
+          Row{"paused", [](fakes::Worker& worker, bool on) { worker.paused = on; }},
+          Row{"uplink lost", [](fakes::Worker& worker, bool on) { worker.uplink_lost = on; }}}) {
         SCOPED_TRACE(row.what);
         FaultScenarioFixture service(3, isolated_peers());
-        service.cloud->team_cpu_limits["red"] = 32;  // as in the settings
-        submit_as(service, "req-2", "array", 16, 1, 1000, "red");
-        submit_as(service, "req-3", "array", 16, 1, 1000, "red");
+        service.cloud->team_cpu_limits["red"] = 32;  // the same as in small_settings()
+        submit_for_team(service, "req-2", "array", 16, 1, 1000, "red");
+        submit_for_team(service, "req-3", "array", 16, 1, 1000, "red");
         ASSERT_TRUE(service.wait_until(
             [&] { return service.running_tasks("req-2") + service.running_tasks("req-3") == 32; }));
-        submit_as(service, "req-5", "array", 16, 1, 0.5,
-                  "blue");  // for room that the limit alone keeps free
+        submit_for_team(service, "req-5", "array", 16, 1, 0.5,
+                        "blue");  // runs on capacity that only the limit keeps free
         EXPECT_TRUE(service.wait_until_done("req-5"));
-        submit_as(service, "req-4", "array", 16, 1, 0.5, "red");
-        auto away = service.workers_running("req-2");
-        for (auto* worker : away) row.away(*worker, true);
+        submit_for_team(service, "req-4", "array", 16, 1, 0.5, "red");
+        auto affected = service.workers_running("req-2");
+        for (auto* worker : affected) row.set_fault(*worker, true);
         auto old = service.leader_name();
         service.state_service->refused_controllers = {old.back() - '0'};
         service.wait_for_new_leader(old);
@@ -184,125 +186,131 @@
                    steady_now() > confirmed + 3 * service.base_settings.cancel_s;
         }));
         EXPECT_EQ(service.job_status("req-4"), "done");
-        for (auto* worker : away) row.away(*worker, false);
+        for (auto* worker : affected) row.set_fault(*worker, false);
         service.expect_stopped_in_time(confirmed, "req-2");
         EXPECT_EQ(service.cancel_at_node(service.leader_index(), "req-3"), "aborted");
         service.expect_no_violations();
     }
 }
 
-// New machines are up at once and get work while writes lag, and the leader ends: before its
-// placements are recorded, or with their record on its way.
-TEST(MoreFaultScenarios, MachinesThatAreUpAtOnceGetWorkWhileWritesLagAndTheLeaderEnds) {
+// New machines get work while transactions are executed late, and the leader crashes before its
+// placements are recorded or while their transaction is in flight. All tasks must complete.
+TEST(FaultScenarios, PlacementsSurviveSlowWritesAndLeaderCrash) {
     for (int lag : {1, 4}) {
         SCOPED_TRACE(lag);
-        ServiceFixture::Options with;
-        with.faulty_links = true;     // for a lease of the workers that outlasts the change
-        with.election_lease_s = 0.8;  // over before what lags is carried out
-        FaultScenarioFixture service(3, with);
-        service.base_settings.worker_patience_s = 1;             // longer than a report is held
-        submit_as(service, "req-2", "array", 24, 4, 2, "blue");  // more than is there has room for
+        ServiceFixture::Options options;
+        options.faulty_links = true;     // the worker lease outlasts the change of leader
+        options.election_lease_s = 0.8;  // expires before a delayed transaction is executed
+        FaultScenarioFixture service(3, options);
+        service.base_settings.worker_patience_s =
+            1;  // longer than a heartbeat response is deferred
+        submit_for_team(service, "req-2", "array", 24, 4, 2, "blue");  // needs more machines
         service.state_service->delay_txns = lag;
-        // For longer than a report is held for records, and not for as long as the first of them
-        // takes.
+        // Longer than a heartbeat response is deferred for records, but shorter than the delay of
+        // the first transaction.
         double until = steady_now() + 0.9;
         service.wait_until(
             [&] { return service.running_tasks("req-2") > 0 || steady_now() > until; });
         auto busy =
-            service.workers_running("req-2");  // none of them but by a placement that is recorded
+            service.workers_running("req-2");  // tasks run only after their placement is recorded
         for (auto* worker : busy) worker->unreachable = true;
         service.crash_leader();
         service.run_for(0.4 * service.base_settings.lease_s);
         for (auto* worker : busy) worker->unreachable = false;
         EXPECT_TRUE(service.wait_until_done("req-2"));
         EXPECT_GE(service.cloud->completed_tasks["req-2"],
-                  24);  // more where a lease ran out on a result that nobody had heard of
+                  24);  // more if a lease expired before a completion was reported
         service.expect_no_violations();
     }
 }
 
-// Users call jobs off at the very moment at which the state service refuses the leader alone; soon
-// after, it is out for all for longer than cancel_s. Whoever was told "aborted" finds it so, and
-// its tasks end in time.
-TEST(MoreFaultScenarios, CancellationsAtTheMomentAtWhichTheLeaderAloneIsRefusedBeforeALongOutage) {
-    for (double before : {-0.05, 0.0, 0.02}) {
-        bool ends = before > 0;  // the leader, which alone was asked, in the outage
-        SCOPED_TRACE(before);
+// Users cancel jobs while the state service starts to refuse the leader; soon after, it is
+// unavailable to all for longer than cancel_s. Confirmed cancellations must hold and their tasks
+// must stop in time.
+TEST(FaultScenarios, CancelsDuringLeaderRefusalHoldInOutage) {
+    for (double pause_s : {-0.05, 0.0, 0.02}) {
+        bool leader_crashes = pause_s > 0;  // and only the leader receives the cancellations
+        SCOPED_TRACE(pause_s);
         FaultScenarioFixture service(3, isolated_peers());
         for (int j = 2; j < 8; ++j) service.start_job("req-" + std::to_string(j), 2);
         int old = service.leader_index();
-        std::map<std::string, std::vector<std::shared_ptr<ServiceFixture::PendingRequest>>> asked;
+        std::map<std::string, std::vector<std::shared_ptr<ServiceFixture::PendingRequest>>>
+            requests;
         auto cancel = [&](int j) {
             auto id = "req-" + std::to_string(j);
             for (int node = 0; node < 3; ++node)
-                if (!ends || node == old)
-                    asked[id].push_back(service.send_request(static_cast<size_t>(node), "POST",
-                                                             "/v2/runs/" + id + "/cancel"));
+                if (!leader_crashes || node == old)
+                    requests[id].push_back(service.send_request(static_cast<size_t>(node), "POST",
+                                                                "/v2/runs/" + id + "/cancel"));
         };
-        if (before < 0) service.state_service->refused_controllers.insert(old);
+        if (pause_s < 0) service.state_service->refused_controllers.insert(old);
         for (int j = 2; j < 8; ++j) {
             cancel(j);
-            service.run_for(std::max(0.0, before));
+            service.run_for(std::max(0.0, pause_s));
             if (j == 4) service.state_service->refused_controllers.insert(old);
         }
-        double refused = steady_now();
+        double refused_at = steady_now();
         service.run_for(0.5);
         service.state_service->unavailable = true;
-        if (ends) service.crash(old);
+        if (leader_crashes) service.crash(old);
         std::map<std::string, double> confirmed;
-        double gone_at = 0;
+        double stop_delay_s = 0;
         service.wait_until([&] {
-            for (auto& [id, list] : asked)
+            for (auto& [id, list] : requests)
                 for (auto& a : list)
                     if (a->finished && a->job_status() == "aborted")
                         confirmed.emplace(id, steady_now());
             for (auto& [id, at] : confirmed)
-                if (service.cloud->is_running(id)) gone_at = std::max(gone_at, steady_now() - at);
-            return steady_now() > refused + 1.2 * service.base_settings.cancel_s;
+                if (service.cloud->is_running(id))
+                    stop_delay_s = std::max(stop_delay_s, steady_now() - at);
+            return steady_now() > refused_at + 1.2 * service.base_settings.cancel_s;
         });
-        EXPECT_LT(gone_at, service.base_settings.cancel_s);
+        EXPECT_LT(stop_delay_s, service.base_settings.cancel_s);
         service.state_service->refused_controllers.clear();
         service.state_service->end_outage();
         for (auto& [id, at] : confirmed) EXPECT_EQ(service.job_status(id), "aborted") << id;
-        for (auto& [id, list] : asked)
+        for (auto& [id, list] : requests)
             EXPECT_EQ(service.cancel_at_node((old + 1) % 3, id), "aborted");
         service.expect_no_violations();
     }
 }
 
-// Jobs are cancelled at all nodes in the moment in which one controller's work goes to another.
-TEST(MoreFaultScenarios, CancellationsWhileOneControllersWorkChangesHands) {
+// Jobs are cancelled at all nodes while the leadership moves to another controller. Every request
+// must be answered, and every cancellation must take effect.
+TEST(FaultScenarios, CancelsDuringLeaderChangeTakeEffect) {
     struct Row {
         const char* what;
-        std::function<void(FaultScenarioFixture&)> change;
+        std::function<void(FaultScenarioFixture&)> change_leader;
     };
     for (auto& row :
-         {Row{"ends", [](FaultScenarioFixture& service) { service.crash(service.leader_index()); }},
+         {Row{"crashes",
+              [](FaultScenarioFixture& service) { service.crash(service.leader_index()); }},
           Row{"refused",
               [](FaultScenarioFixture& service) {
                   service.state_service->refused_controllers = {service.leader_index()};
               }},
-          Row{"stands still", [](FaultScenarioFixture& service) {
+          Row{"paused", [](FaultScenarioFixture& service) {
                   service.alive[static_cast<size_t>(service.leader_index())] = false;
               }}}) {
         SCOPED_TRACE(row.what);
         FaultScenarioFixture service(3, isolated_peers());
         for (int j = 2; j < 12; ++j) service.start_job("req-" + std::to_string(j), 1);
         auto old = service.leader_name();
-        std::vector<std::shared_ptr<ServiceFixture::PendingRequest>> asked;
+        std::vector<std::shared_ptr<ServiceFixture::PendingRequest>> requests;
         for (int j = 2; j < 12; ++j) {
-            if (j == 5) row.change(service);
+            if (j == 5) row.change_leader(service);
             for (size_t node = 0; node < 3; ++node)
                 if (service.alive[node])
-                    asked.push_back(service.send_request(
+                    requests.push_back(service.send_request(
                         node, "POST", "/v2/runs/req-" + std::to_string(j) + "/cancel"));
             service.run_for(0.03);
         }
         service.wait_for_new_leader(old);
-        service.alive[static_cast<size_t>(old.back() - '0')] = std::string(row.what) != "ends";
+        service.alive[static_cast<size_t>(old.back() - '0')] = std::string(row.what) != "crashes";
         service.state_service->refused_controllers.clear();
         EXPECT_TRUE(service.wait_until([&] {
-            return std::all_of(asked.begin(), asked.end(), [](auto& a) { return a->finished; });
+            return std::all_of(requests.begin(), requests.end(),
+                               [](auto& a) { return a->finished; });
         }));
         for (int j = 2; j < 12; ++j) {
             auto id = "req-" + std::to_string(j);
@@ -313,25 +321,26 @@
     }
 }
 
-// The machine of a cancelled job hangs and goes on, within its lease or after it, and meanwhile the
-// leader may change.
-TEST(MoreFaultScenarios, ACancelledTaskWhoseMachineHangsAndGoesOnIsGoneInTimeAndNeverBegins) {
+// The machines of a cancelled job are paused and continue before or after their lease has expired;
+// the leader may change meanwhile. The tasks must stop in time and must not start again.
+TEST(FaultScenarios, CancelStopsTasksOfPausedMachines) {
     struct Row {
-        double leases;  // that it hangs
-        bool change;    // of the leader
+        double leases;        // duration of the pause, in worker leases
+        bool leader_changes;  // during the pause
     };
     for (auto& row : {Row{0.4, false}, Row{0.9, true}, Row{1.6, true}}) {
         SCOPED_TRACE(row.leases);
         FaultScenarioFixture service(3, isolated_peers());
         service.start_job("req-2", 3);
         auto machines = service.workers_running("req-2");
-        for (auto* worker : machines) worker->hung = true;
-        double hung = steady_now();
+        for (auto* worker : machines) worker->paused = true;
+        double paused_at = steady_now();
         ASSERT_EQ(service.cancel_at_node(service.leader_index(), "req-2"), "aborted");
         double confirmed = steady_now();
-        if (row.change) service.state_service->refused_controllers = {service.leader_index()};
-        service.run_for(hung + row.leases * service.base_settings.lease_s - steady_now());
-        for (auto* worker : machines) worker->hung = false;
+        if (row.leader_changes)
+            service.state_service->refused_controllers = {service.leader_index()};
+        service.run_for(paused_at + row.leases * service.base_settings.lease_s - steady_now());
+        for (auto* worker : machines) worker->paused = false;
         service.expect_stopped_in_time(confirmed, "req-2");
         for (int t = 0; t < 3; ++t)
             EXPECT_EQ(service.cloud->task_starts["req-2/" + std::to_string(t)], 1) << t;
@@ -339,46 +348,47 @@
     }
 }
 
-// Workers can't open connections to any controller, while commands reach them: they are not taken
-// for deaf, cancelled tasks are stopped by command long before their lease ends, and others start
-// elsewhere only after it.
-TEST(MoreFaultScenarios, MachinesThatReachNoControllerButHearCommands) {
-    ServiceFixture::Options with;
-    with.faulty_links = true;  // for a lease of 6 s
-    FaultScenarioFixture service(2, with);
+// Workers can't connect to any controller, but commands reach them. Commands must stop cancelled
+// tasks long before the lease expires, other tasks may start elsewhere only after it, and the
+// machines must not count as machines that lost their downlink.
+TEST(FaultScenarios, StopCommandsReachMachinesWithoutUplink) {
+    ServiceFixture::Options options;
+    options.faulty_links = true;  // worker lease of 6 s
+    FaultScenarioFixture service(2, options);
     service.start_job("req-2", 3);
     service.start_job("req-3", 2, 1.0 + 2 * service.base_settings.lease_s);
-    std::set<fakes::Worker*> mute;
+    std::set<fakes::Worker*> affected;
     for (const char* id : {"req-2", "req-3"})
-        for (auto* worker : service.workers_running(id)) mute.insert(worker);
-    for (auto* worker : mute) worker->uplink_lost = worker->lose_commands = true;
-    double began = steady_now();
+        for (auto* worker : service.workers_running(id)) affected.insert(worker);
+    for (auto* worker : affected) worker->uplink_lost = worker->lose_commands = true;
+    double started_at = steady_now();
     ASSERT_EQ(service.cancel_at_node(service.leader_index(), "req-2"), "aborted");
-    service.run_for(0.1 * service.base_settings.lease_s);  // the first stops are lost
-    for (auto* worker : mute) worker->lose_commands = false;
+    service.run_for(0.1 * service.base_settings.lease_s);  // the first stop commands are lost
+    for (auto* worker : affected) worker->lose_commands = false;
     EXPECT_TRUE(service.wait_until([&] { return !service.cloud->is_running("req-2"); }));
-    EXPECT_LT(steady_now() - began, 0.5 * service.base_settings.lease_s);
+    EXPECT_LT(steady_now() - started_at, 0.5 * service.base_settings.lease_s);
     EXPECT_TRUE(service.wait_until([&] {
         return service.cloud->task_starts["req-3/0"] > 1 ||
                service.cloud->task_starts["req-3/1"] > 1;
     }));
-    EXPECT_GT(steady_now() - began,
+    EXPECT_GT(steady_now() - started_at,
               service.base_settings.lease_s - 2 * service.base_settings.heartbeat_interval_s);
     auto page =
         service.request_node(static_cast<size_t>(service.leader_index()), "GET", "/metrics", "");
     ASSERT_TRUE(page);
     EXPECT_NE(page->body.find("\nweirmill_machines_deaf 0\n"), std::string::npos);
-    for (auto* worker : mute) worker->uplink_lost = false;
+    for (auto* worker : affected) worker->uplink_lost = false;
     EXPECT_TRUE(service.wait_until_done("req-3"));
     service.expect_no_violations();
 }
 
-// Jobs bound to one zone, a gang and an array, lose their machines: they go on in that zone alone.
-TEST(MoreFaultScenarios, JobsBoundToOneZoneLoseTheirMachines) {
+// An array and a gang that are bound to one zone lose machines. Their tasks must restart in that
+// zone.
+TEST(FaultScenarios, ZoneBoundJobsRestartInTheirZone) {
     FaultScenarioFixture service(2);
     for (const char* kind : {"array", "ensemble"}) {
         std::string id = kind[0] == 'a' ? "req-2" : "req-3";
-        submit_as(service, id, kind, 3, 4, 2, "blue", "b");
+        submit_for_team(service, id, kind, 3, 4, 2, "blue", "b");
         ASSERT_TRUE(service.wait_until([&] { return service.running_tasks(id) == 3; }));
         auto lost = service.workers_running(id);
         for (size_t i = 0; i < lost.size(); i += 2) lost[i]->kill();
@@ -388,33 +398,35 @@
     service.expect_no_violations();
 }
 
-// More work than a team's limit has room for, urgent and not: the limit holds, all of it runs in
-// the end, and the urgent part is not the last.
-TEST(MoreFaultScenarios, MoreWorkThanRoomUrgentAndNot) {
+// A team has more work than its limit allows. The limit must hold, all jobs must complete, and a
+// job of high priority must finish before the last one of low priority.
+TEST(FaultScenarios, HighPriorityFinishesBeforeLowAtTeamLimit) {
     FaultScenarioFixture service(3);
     service.cloud->team_cpu_limits["red"] = 32;
     for (int j = 0; j < 4; ++j)
-        submit_as(service, "req-" + std::to_string(10 + j), "array", 16, 1, 0.4, "red", "", "low");
+        submit_for_team(service, "req-" + std::to_string(10 + j), "array", 16, 1, 0.4, "red", "",
+                        "low");
     ASSERT_TRUE(service.wait_until([&] { return service.cloud->task_starts.size() > 8; }));
-    submit_as(service, "req-20", "array", 16, 1, 0.4, "red", "", "high");
+    submit_for_team(service, "req-20", "array", 16, 1, 0.4, "red", "", "high");
     ASSERT_TRUE(service.wait_until(
         [&] { return service.state_service->snapshot().count("f/req-20") > 0; }));
-    int left = 0;
+    int unfinished = 0;
     for (int j = 0; j < 4; ++j)
-        left += service.state_service->snapshot().count("f/req-" + std::to_string(10 + j)) == 0;
-    EXPECT_GT(left, 0);
+        unfinished +=
+            service.state_service->snapshot().count("f/req-" + std::to_string(10 + j)) == 0;
+    EXPECT_GT(unfinished, 0);
     for (int j = 0; j < 4; ++j)
         EXPECT_TRUE(service.wait_until_done("req-" + std::to_string(10 + j)));
     service.expect_no_violations();
 }
 
-// While no transaction is answered at all, each carried out late, the leader ends: another is
-// elected all the same. A campaign that was carried out late used to find its lease over, for as
-// long as that lasted.
-TEST(MoreFaultScenarios, ACampaignThatIsCarriedOutLateFindsItsLeaseAlive) {
-    ServiceFixture::Options with = isolated_peers();
-    with.election_lease_s = 0.7;  // half as long as a transaction takes here
-    FaultScenarioFixture service(2, with);
+// Every transaction is executed after the client's timeout when the leader crashes. Another leader
+// must still be elected. A late campaign once found its lease expired, for as long as the delays
+// lasted.
+TEST(FaultScenarios, DelayedCampaignFindsItsLeaseValid) {
+    ServiceFixture::Options options = isolated_peers();
+    options.election_lease_s = 0.7;  // half of the delay of a transaction
+    FaultScenarioFixture service(2, options);
     service.start_job("req-2", 2, 4);
     service.state_service->delay_txns = 1 << 20;
     service.crash_leader();
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,5 +1,5 @@
-// The whole service over loopback against stand-ins. Every case waits for conditions, never for a
-// time, and what must not happen is noted by the stand-ins when it does.
+// Tests of the whole service with real controllers over loopback. The tests wait for conditions
+// rather than fixed times, and the fakes record every violation of a scheduling rule.
 #include "service_fixture.h"
 
 namespace weirmill {
@@ -8,13 +8,13 @@
 namespace json = boost::json;
 using test::ServiceFixture;
 
-TEST(Service, RunsArraysAndGangsAndAnswersWhatItCannotTake) {
+TEST(Service, RunsJobsAndRejectsInvalidRequests) {
     ServiceFixture service(1);
     EXPECT_EQ(service.submit("req-1", "array", 3), 201);
     EXPECT_EQ(service.submit("req-2", "ensemble", 2), 201);
     EXPECT_TRUE(service.wait_until_done("req-1"));
     EXPECT_TRUE(service.wait_until_done("req-2"));
-    EXPECT_EQ(service.submit("req-1", "array", 3), 200);  // a retry, however late
+    EXPECT_EQ(service.submit("req-1", "array", 3), 200);  // a late retry
     struct Row {
         const char *method, *target;
         std::string body;
@@ -27,7 +27,7 @@
         {"POST", "/v2/runs", "{", 400},
         {"POST", "/v2/runs", json::serialize(unknown_team), 422},
         {"POST", "/v2/runs", ServiceFixture::submission_body("req-8", "array", 1, 100), 422},
-        // An id that was accepted is never refused for good, whatever comes under it again.
+        // A submission with the id of an accepted job is answered 200, whatever else it contains.
         {"POST", "/v2/runs", R"({"name_id":"req-1"})", 200},
         {"POST", "/v2/runs",
          ServiceFixture::with_field(ServiceFixture::submission_body("req-1", "array", 1), "lots",
@@ -59,7 +59,7 @@
     EXPECT_TRUE(service.cloud->violations.empty()) << service.cloud->violations[0];
 }
 
-TEST(Service, AFollowerForwardsAndTakesOverWhenTheLeaderCrashes) {
+TEST(Service, FollowerTakesOverFromCrashedLeader) {
     ServiceFixture service(3);
     EXPECT_EQ(service.submit("req-1", "array", 2), 201);
     EXPECT_TRUE(service.wait_until_done("req-1"));
@@ -74,32 +74,34 @@
     EXPECT_TRUE(service.cloud->violations.empty()) << service.cloud->violations[0];
 }
 
-TEST(Service, AControllerThatIsBackAtOnceDoesNotWaitForTheLeaseOfItsFormerLife) {
-    // Users and workers used to wait until it was over, which here is longer than a case waits.
-    ServiceFixture::Options with;
-    with.election_lease_s = 2 * test::kTestTimeout_s;
-    for (int lives : {1, 2}) {
-        ServiceFixture service(1, with);
+TEST(Service, RestartDoesNotWaitForOwnOldLease) {
+    // The leader key of a crashed process stays until its lease expires, here longer than a test
+    // waits. A restarted controller once left users and workers waiting for that.
+    ServiceFixture::Options options;
+    options.election_lease_s = 2 * test::kTestTimeout_s;
+    for (int restarts : {1, 2}) {
+        ServiceFixture service(1, options);
         EXPECT_EQ(service.submit("req-1", "array", 1), 201);
         EXPECT_TRUE(service.wait_until_done("req-1"));
-        for (int life = 0; life < lives; ++life) {
-            service.crash(life);
+        for (int i = 0; i < restarts; ++i) {
+            service.crash(i);
             service.add_node(0);
         }
-        EXPECT_EQ(service.submit("req-2", "array", 1), 201) << lives;
+        EXPECT_EQ(service.submit("req-2", "array", 1), 201) << restarts;
         EXPECT_TRUE(service.wait_until_done("req-2"));
         EXPECT_EQ(service.job_status("req-1"), "done");
         EXPECT_TRUE(service.cloud->violations.empty()) << service.cloud->violations[0];
     }
 }
 
-TEST(Service, AFormerLifesLeadershipIsEndedWhileACampaignIsStillUnsure) {
-    // The answers to the campaign and to the end of the former leadership are lost: the key then
-    // names this controller under another lease than the one it is unsure of. Nothing may wait for
-    // either, nor ask without a pause.
-    ServiceFixture::Options with;
-    with.election_lease_s = 2 * test::kTestTimeout_s;
-    ServiceFixture service(1, with);
+TEST(Service, RestartSurvivesLostElectionResponses) {
+    // The responses to the campaign and to the removal of the former leadership are lost. The
+    // leader key then names this controller with another lease than the one of the undecided
+    // campaign. The controller must neither wait for one of the leases to expire nor retry without
+    // a delay.
+    ServiceFixture::Options options;
+    options.election_lease_s = 2 * test::kTestTimeout_s;
+    ServiceFixture service(1, options);
     EXPECT_EQ(service.submit("req-1", "array", 1), 201);
     EXPECT_TRUE(service.wait_until_done("req-1"));
     service.crash(0);
@@ -110,13 +112,16 @@
     EXPECT_TRUE(service.cloud->violations.empty()) << service.cloud->violations[0];
 }
 
-TEST(Service, ALateDropOfAFormerLeadershipEndsNoOther) {
-    // The transaction names the version of the leadership that it ends; a copy of it finds another.
+TEST(Service, DelayedResignationKeepsNewLeadership) {
+    // A restarted controller removes the leader key of its former process by a transaction that is
+    // conditional on the version of the key. A late copy of it must fail, as the version has
+    // changed.
     ServiceFixture service(2);
     EXPECT_EQ(service.submit("req-1", "array", 1, {2.0}), 201);
     auto old = service.leader_name();
     service.crash(old.back() - '0');
-    service.state_service->delay_txns = 1;  // the next is executed late, after its sender gave up
+    service.state_service->delay_txns =
+        1;  // the next transaction is executed after the client's timeout
     service.add_node(old.back() - '0');
     EXPECT_TRUE(service.wait_until_done("req-1"));
     EXPECT_EQ(service.submit("req-2", "array", 2), 201);
@@ -124,7 +129,7 @@
     EXPECT_TRUE(service.cloud->violations.empty()) << service.cloud->violations[0];
 }
 
-TEST(Service, AFollowerRelaysForAWorkerThatCannotReachTheLeader) {
+TEST(Service, FollowerRelaysForWorkersWithoutLeader) {
     ServiceFixture service(2);
     EXPECT_EQ(service.submit("req-1", "array", 1, {3.0}), 201);
     ASSERT_TRUE(service.wait_until([&] { return service.cloud->is_running("req-1"); }));
@@ -139,9 +144,9 @@
     EXPECT_TRUE(service.cloud->violations.empty()) << service.cloud->violations[0];
 }
 
-TEST(Service, ALeaderRefusedByTheStateServiceAloneHandsOverAndServesItsUsersThroughTheOthers) {
-    // It used to go on as an unsure leader, and to turn its users away for as long as it was
-    // refused.
+TEST(Service, RefusedLeaderHandsOverAndForwardsUsers) {
+    // The leader once kept an undecided leadership and answered its users 503 for as long as the
+    // state service refused it.
     ServiceFixture service(3);
     EXPECT_EQ(service.submit("req-1", "array", 1), 201);
     EXPECT_TRUE(service.wait_until_done("req-1"));
@@ -162,12 +167,12 @@
     EXPECT_TRUE(service.cloud->violations.empty()) << service.cloud->violations[0];
 }
 
-TEST(Service, AJobThatFailsEverywhereStaysAcceptedAndDoesNotEatTheFleet) {
+TEST(Service, FailingJobStaysAcceptedWithoutUsingFleet) {
     ServiceFixture service(1);
-    fakes::Job bad;
-    bad.fails = true;
-    bad.run_s = 0.01;
-    EXPECT_EQ(service.submit("req-1", "array", 2, bad), 201);
+    fakes::Job failing;
+    failing.fails = true;
+    failing.run_s = 0.01;
+    EXPECT_EQ(service.submit("req-1", "array", 2, failing), 201);
     ASSERT_TRUE(service.wait_until([&] {
         return service.cloud->task_starts["req-1/0"] >= 2 ||
                service.cloud->task_starts["req-1/1"] >= 2;
@@ -180,19 +185,18 @@
     EXPECT_TRUE(service.cloud->violations.empty()) << service.cloud->violations[0];
 }
 
-TEST(Service, ATransactionWhoseAnswerIsLostIsNotAppliedTwiceNorForgotten) {
+TEST(Service, LostTxnResponseKeepsSubmission) {
     ServiceFixture service(1);
     EXPECT_EQ(service.submit("req-1", "array", 1), 201);
     EXPECT_TRUE(service.wait_until_done("req-1"));
     service.state_service->lose_txn_responses = 1;
-    int status =
-        service.submit("req-2", "array", 2);  // 503 first, as the outcome is unknown; then known
+    int status = service.submit("req-2", "array", 2);  // 503 while the outcome is not known
     EXPECT_TRUE(status == 200 || status == 201) << status;
     EXPECT_TRUE(service.wait_until_done("req-2"));
     EXPECT_TRUE(service.cloud->violations.empty()) << service.cloud->violations[0];
 }
 
-TEST(Service, ATransactionAppliedLateChangesNothing) {
+TEST(Service, DelayedTxnDoesNotReviveJob) {
     ServiceFixture service(1);
     EXPECT_EQ(service.submit("req-1", "array", 1), 201);
     EXPECT_TRUE(service.wait_until_done("req-1"));
@@ -200,7 +204,7 @@
     int status = service.submit("req-2", "array", 2);
     EXPECT_TRUE(status == 200 || status == 201) << status;
     EXPECT_TRUE(service.wait_until_done("req-2"));
-    // What the next leader would read: no job is left, and none was brought back.
+    // The log that the next leader would read contains no job.
     test::ClusterFixture fresh;
     StateLog state_log(fresh.cluster, 1, {12, 4});
     for (auto& [key, value] : service.state_service->snapshot())
@@ -210,7 +214,7 @@
     EXPECT_TRUE(service.cloud->violations.empty()) << service.cloud->violations[0];
 }
 
-TEST(Service, ASilentMachinesTasksRunElsewhereOnlyAfterItsLease) {
+TEST(Service, TasksMoveOnlyAfterWorkerLease) {
     ServiceFixture service(1);
     EXPECT_EQ(service.submit("req-1", "array", 1, {1.0}), 201);
     ASSERT_TRUE(service.wait_until([&] { return service.cloud->is_running("req-1"); }));
@@ -220,16 +224,16 @@
     EXPECT_TRUE(service.cloud->violations.empty()) << service.cloud->violations[0];
 }
 
-TEST(Service, ACancellationReachesTasksWhoseStartIsUnderWay) {
+TEST(Service, CancelStopsTasksBeingLaunched) {
     ServiceFixture service(1);
     service.cloud->hold_launches = true;
     EXPECT_EQ(service.submit("req-1", "standing", 2, {1000}), 201);
     ASSERT_TRUE(service.wait_until([&] {
         return service.log_contains(R"(["t","req-1")") && !service.cloud->workers.empty();
     }));
-    auto a = service.request_any_node("POST", "/v2/runs/req-1/cancel");
-    EXPECT_EQ(a.status, 200);
-    EXPECT_EQ(json::parse(a.body).at("status"), "aborted");
+    auto cancellation = service.request_any_node("POST", "/v2/runs/req-1/cancel");
+    EXPECT_EQ(cancellation.status, 200);
+    EXPECT_EQ(json::parse(cancellation.body).at("status"), "aborted");
     service.cloud->hold_launches = false;
     ASSERT_TRUE(
         service.wait_until([&] { return service.state_service->snapshot().count("f/req-1") > 0; }));
@@ -238,7 +242,7 @@
     EXPECT_EQ(service.submit("req-1", "standing", 2), 200);
 }
 
-TEST(Service, AnOutageOfTheStateServiceIsAnsweredAtOnceAndWorkOutlivesIt) {
+TEST(Service, TasksSurviveStateServiceOutage) {
     ServiceFixture service(1);
     EXPECT_EQ(service.submit("req-1", "array", 1, {2.0}), 201);
     ASSERT_TRUE(service.wait_until([&] { return service.cloud->is_running("req-1"); }));
@@ -255,7 +259,7 @@
     EXPECT_TRUE(service.cloud->violations.empty()) << service.cloud->violations[0];
 }
 
-TEST(Pipelines, EachAnswerToASubmissionThatNamesOthers) {
+TEST(Pipelines, ResponsesToSubmissionsWithDependencies) {
     ServiceFixture service(1);
     EXPECT_EQ(service.submit("req-1", "array", 1), 201);
     EXPECT_TRUE(service.wait_until_done("req-1"));
@@ -264,8 +268,8 @@
     EXPECT_EQ(service.request_any_node("POST", "/v2/runs/req-3/cancel").status, 200);
     struct Row {
         const char *id, *awaits;
-        int status, again;    // and of the same submission repeated
-        const char* becomes;  // what the job is called in the end
+        int status, retry_status;  // of the first submission and of the same one repeated
+        const char* final_status;
     };
     const Row rows[] = {
         {"req-11", "null", 201, 200, "done"},
@@ -293,12 +297,15 @@
                                                "awaits", json::parse(row.awaits));
         service.cloud->jobs[row.id] = {};
         EXPECT_EQ(service.request_any_node("POST", "/v2/runs", body).status, row.status) << row.id;
-        EXPECT_EQ(service.request_any_node("POST", "/v2/runs", body).status, row.again) << row.id;
+        EXPECT_EQ(service.request_any_node("POST", "/v2/runs", body).status, row.retry_status)
+            << row.id;
     }
     for (auto& row : rows)
-        EXPECT_TRUE(service.wait_until([&] { return service.job_status(row.id) == row.becomes; }))
-            << row.id << service.job_status(row.id);
-    // What became of those before it does not change the answer to a repetition.
+        EXPECT_TRUE(service.wait_until([&] {
+            return service.job_status(row.id) == row.final_status;
+        })) << row.id
+            << service.job_status(row.id);
+    // The outcome of its dependencies does not change the response to a repeated submission.
     EXPECT_EQ(service.request_any_node("POST", "/v2/runs/req-2/cancel").status, 200);
     for (const char* id : {"req-24", "req-25"}) {
         EXPECT_EQ(service.job_status(id), "aborted");
@@ -307,7 +314,8 @@
         EXPECT_EQ(service.request_any_node("POST", "/v2/runs", body).status, 200);
     }
     EXPECT_EQ(service.job_status("req-22"), "done");
-    // Whether a job was ever accepted can't be read: the user is told to come back, at once.
+    // The controller can't read whether the dependency was ever accepted, so it answers 503 at
+    // once.
     service.state_service->unavailable = true;
     auto body = ServiceFixture::with_field(ServiceFixture::submission_body("req-30", "array", 1),
                                            "awaits", json::array{"req-998"});
@@ -323,7 +331,7 @@
     EXPECT_TRUE(service.cloud->violations.empty()) << service.cloud->violations[0];
 }
 
-TEST(Pipelines, StagesRunInOrderAcrossAChangeOfLeader) {
+TEST(Pipelines, StagesRunInOrderAcrossLeaderChanges) {
     ServiceFixture service(3);
     EXPECT_EQ(service.submit_with_dependencies("req-1", {}, 1.0), 201);
     EXPECT_EQ(service.submit_with_dependencies("req-2", {"req-1"}), 201);
@@ -334,24 +342,24 @@
     ASSERT_TRUE(service.wait_until([&] { return service.cloud->is_running("req-3"); }));
     service.crash_leader();
     EXPECT_EQ(service.submit_with_dependencies("req-5", {"req-1", "req-4"}),
-              201);  // the first is over, and of an earlier leader
+              201);  // req-1 ended under an earlier leader
     for (const char* id : {"req-1", "req-2", "req-3", "req-4", "req-5"})
         EXPECT_TRUE(service.wait_until_done(id)) << id;
     EXPECT_TRUE(service.cloud->violations.empty()) << service.cloud->violations[0];
 }
 
-TEST(Pipelines, ACancellationIsThatOfAllWhoNeedTheJobWhateverBecomesOfTheLeader) {
+TEST(Pipelines, CancelIncludesDependentJobs) {
     struct Row {
-        const char* why;
-        bool lose_answer, late, crash, outage;
+        const char* what;
+        bool lose_response, late, crash, outage;
     };
     const Row rows[] = {
-        {"told", false, false, false, false},
-        {"its record's answer is lost", true, false, false, false},
+        {"confirmed", false, false, false, false},
+        {"the response to its record is lost", true, false, false, false},
         {"its record is executed late", false, true, false, false},
-        {"the leader ends at once", false, false, true, false},
-        {"the record's answer is lost, and the leader ends at once", true, false, true, false},
-        {"an outage begins at once, and the leader ends in it", false, false, true, true}};
+        {"the leader crashes at once", false, false, true, false},
+        {"the response is lost, and the leader crashes at once", true, false, true, false},
+        {"an outage begins at once, and the leader crashes in it", false, false, true, true}};
     for (auto& row : rows) {
         ServiceFixture service(2);
         EXPECT_EQ(service.submit_with_dependencies("req-1", {}, 1000), 201);
@@ -360,21 +368,21 @@
         EXPECT_EQ(service.submit_with_dependencies("req-4", {}, 1000), 201);
         EXPECT_EQ(service.submit_with_dependencies("req-5", {"req-4", "req-3"}), 201);
         ASSERT_TRUE(service.wait_until([&] { return service.cloud->is_running("req-1"); }));
-        service.state_service->lose_txn_responses = row.lose_answer;
+        service.state_service->lose_txn_responses = row.lose_response;
         service.state_service->delay_txns = row.late;
-        auto a = service.request_any_node("POST", "/v2/runs/req-1/cancel");
-        EXPECT_EQ(json::parse(a.body).at("status"), "aborted") << row.why;
+        auto cancellation = service.request_any_node("POST", "/v2/runs/req-1/cancel");
+        EXPECT_EQ(json::parse(cancellation.body).at("status"), "aborted") << row.what;
         EXPECT_EQ(json::parse(service.request_any_node("POST", "/v2/runs/req-1/cancel").body)
                       .at("status"),
                   "aborted")
-            << row.why;
+            << row.what;
         service.state_service->unavailable = row.outage;
         if (row.crash) service.crash(service.leader_name().back() - '0');
         if (row.outage) service.state_service->end_outage();
         for (int i = 0; i < 2; ++i)
             for (const char* id : {"req-1", "req-2", "req-3", "req-5"})
-                EXPECT_EQ(service.job_status(id), "aborted") << id << " " << row.why;
-        EXPECT_NE(service.job_status("req-4"), "aborted") << row.why;
+                EXPECT_EQ(service.job_status(id), "aborted") << id << " " << row.what;
+        EXPECT_NE(service.job_status("req-4"), "aborted") << row.what;
         for (const char* id : {"req-1", "req-2", "req-3", "req-5"})
             EXPECT_TRUE(service.wait_until([&] {
                 return service.state_service->snapshot().count(final_key(id)) > 0;
@@ -386,7 +394,7 @@
     }
 }
 
-TEST(Pipelines, ACancellationAnsweredDoneLetsTheNextStagesGoOn) {
+TEST(Pipelines, CancelOfDoneJobKeepsDependentJobs) {
     ServiceFixture service(1);
     EXPECT_EQ(service.submit_with_dependencies("req-1", {}), 201);
     EXPECT_EQ(service.submit_with_dependencies("req-2", {"req-1"}), 201);
@@ -398,7 +406,7 @@
     EXPECT_TRUE(service.cloud->violations.empty()) << service.cloud->violations[0];
 }
 
-TEST(LowerLimits, ALongJobThatEndedIsKnownToALeaderThatCouldNotRecordIt) {
+TEST(LowerLimits, OversizedEndedJobStaysKnown) {
     ServiceFixture service(1);
     auto body = ServiceFixture::submission_body("req-1", "array", 1);
     json::array rigs{"std"};
@@ -416,9 +424,10 @@
     EXPECT_EQ(service.job_status("req-1"), "done");
 }
 
-TEST(LowerLimits, ATransactionWithoutAnAnswerIsUnknownEvenWhenItsNextCopyIsRefused) {
-    // The second copy comes back as malformed, since the limits fell meanwhile. That says nothing
-    // of the first: taken for not executed, what it told would have been told again beside it.
+TEST(LowerLimits, RejectedRetryLeavesFirstTxnUndecided) {
+    // The value limit is lowered after the first copy of a transaction, whose response is lost. The
+    // second copy is rejected as invalid, which does not tell whether the first was executed. A
+    // leader that took the first for not executed would record its contents twice.
     for (bool late : {false, true}) {
         ServiceFixture service(1);
         EXPECT_EQ(service.submit("req-1", "array", 1), 201);
@@ -437,7 +446,7 @@
         EXPECT_TRUE(status == 200 || status == 201) << status;
         EXPECT_TRUE(service.wait_until_done("req-2"));
         EXPECT_GT(service.state_service->oversized_txns, 0);
-        // From here on all goes in what the state service takes.
+        // Later transactions stay within the lower limit.
         for (int i = 3; i < 12; ++i)
             EXPECT_EQ(service.submit("req-" + std::to_string(i), "array", 3), 201) << i;
         for (int i = 3; i < 12; ++i)
