--- a/tests/fakes/fakes.cpp
+++ b/tests/fakes/fakes.cpp
@@ -6,6 +6,9 @@
 
 namespace {
 
+// Delay after which the controllers' requests to the state service have timed out.
+constexpr double kBeyondClientTimeout_s = 1.6;
+
 std::string query_parameter(const std::string& target, const std::string& name) {
     auto at = target.find(name + "=");
     if (at == std::string::npos) return "";
@@ -164,7 +167,7 @@
             std::min(max_value_bytes, std::exchange(next_max_value_bytes, max_value_bytes));
         if (delay_txns > 0) {
             --delay_txns;
-            co_await sleep_s(1.6);
+            co_await sleep_s(kBeyondClientTimeout_s);
             co_return apply(txn);
         }
         auto reply = apply(txn);
@@ -173,7 +176,7 @@
             request.body.find("\"" + lose_response_for_key + "\"") != std::string::npos;
         if (response_lost || lose_txn_responses > 0) {
             lose_txn_responses = std::max(0, lose_txn_responses - 1);
-            co_await sleep_s(1.6);
+            co_await sleep_s(kBeyondClientTimeout_s);
         }
         co_return reply;
     }
--- a/tests/fakes/fakes.h
+++ b/tests/fakes/fakes.h
@@ -28,13 +28,12 @@
     Endpoint endpoint_for(int controller);
     std::set<int> refused_controllers;  // their requests are answered 503
 
-    bool unavailable = false;  // answers 503 to all; leases don't expire meanwhile
-    int lose_txn_responses =
-        0;  // this many transactions are executed, but answered after the client's timeout
+    bool unavailable = false;    // answers 503 to all; leases don't expire meanwhile
+    int lose_txn_responses = 0;  // transactions to execute at once and answer after the timeout
     std::string lose_response_for_key;  // the same for every transaction that names this key
     bool refuse_deletes = false;        // answers 503 to transactions that delete keys
-    int delay_txns = 0;  // this many transactions are executed after the client's timeout
-    bool refuse_key_reads = false;      // answers 503 to reads of single keys
+    int delay_txns = 0;             // transactions to execute and answer after the client's timeout
+    bool refuse_key_reads = false;  // answers 503 to reads of single keys
     double lease_response_delay_s = 0;  // lease renewals are executed at once and answered later
     size_t max_value_bytes = 1 << 20;   // transactions with longer values are rejected
     size_t next_max_value_bytes = 1 << 20;  // replaces a higher limit after the next transaction
@@ -116,7 +115,7 @@
     void restart();  // drops all tasks and counters, as a reboot does
     uint64_t agent_epoch() const { return agent_epoch_; }
     bool is_running(const std::string& job) { return count_running(job) > 0; }
-    int count_running(const std::string& job);  // its tasks that have not exited
+    int count_running(const std::string& job);  // tasks of the job that have not exited
     bool unreachable = false;  // all its packets are lost; tasks run until its lease expires
     const std::string name, type, zone;
     const bool spot;
@@ -156,7 +155,7 @@
 
     std::vector<Endpoint> controllers;  // endpoints that workers send heartbeats to
     std::vector<std::string> controller_names;
-    std::map<std::string, Job> jobs;  // by id
+    std::map<std::string, Job> jobs;  // behavior of each job in the workers, by its id
     std::map<std::string, std::shared_ptr<Worker>> workers;
     std::vector<std::string> violations;              // code of the broken rule and task
     std::map<std::string, int> task_starts;           // launches by task
@@ -164,7 +163,7 @@
     std::map<std::string, double> task_completed_at;  // first completion, by task
     std::set<std::string> provision_requests;
     std::map<std::string, double> team_cpu_limits;  // limit on the CPUs in use, by team
-    bool hold_launches = false;                     // commands are received but not executed
+    bool hold_launches = false;  // workers receive commands without executing them
     const Settings& settings;
     // Returns whether a live worker runs a task of the job.
     bool is_running(const std::string& job) const;
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -14,8 +14,8 @@
 
 using test::ClusterFixture;
 
-// Classes: `short` is to be done within 60 s, its jobs are those of ClusterFixture::spec but for
-// what is named.
+// Classes: `short` is to be done within 60 s, its jobs are those of ClusterFixture::job_spec but
+// for what is named.
 struct Cluster : ClusterFixture {
     Index job_class = cluster.names.classes.intern("short");
     Forecast seen;
