--- a/tests/fault_scenario.h
+++ b/tests/fault_scenario.h
@@ -53,9 +53,10 @@
         });
         return job_status;
     }
-    // Waits until a controller other than `old` leads.
-    void wait_for_new_leader(const std::string& old) {
-        ASSERT_TRUE(wait_until([&] { return !leader_name().empty() && leader_name() != old; }));
+    // Waits until a controller other than `old_leader` leads.
+    void wait_for_new_leader(const std::string& old_leader) {
+        ASSERT_TRUE(
+            wait_until([&] { return !leader_name().empty() && leader_name() != old_leader; }));
     }
     // Runs the controllers and fakes for a time.
     void run_for(double seconds) {
--- a/tests/fault_scenarios_service_test.cpp
+++ b/tests/fault_scenarios_service_test.cpp
@@ -29,10 +29,10 @@
                       Row{"peers are reachable", false, false, true}}) {
         FaultScenarioFixture service(3, row.peers ? ServiceFixture::Options{} : isolated_peers());
         service.start_job("req-2", 3);
-        auto old = service.leader_name();
+        auto old_leader = service.leader_name();
         for (auto& [name, worker] : service.cloud->workers) worker->lose_commands = !row.commands;
-        service.state_service->refused_controllers.insert(old.back() - '0');
-        service.wait_for_new_leader(old);
+        service.state_service->refused_controllers.insert(old_leader.back() - '0');
+        service.wait_for_new_leader(old_leader);
         auto next = service.leader_index();
         ASSERT_EQ(service.cancel_at_node(next, "req-2"), "aborted") << row.what;
         double confirmed = steady_now();
@@ -189,9 +189,9 @@
         ASSERT_TRUE(service.wait_until(
             [&] { return service.cloud->completed_tasks["req-2"] >= completed; }));
         EXPECT_TRUE(is_active(service.job_status("req-2"))) << completed;
-        auto old = service.leader_name();
-        service.state_service->refused_controllers = {old.back() - '0'};
-        service.wait_for_new_leader(old);
+        auto old_leader = service.leader_name();
+        service.state_service->refused_controllers = {old_leader.back() - '0'};
+        service.wait_for_new_leader(old_leader);
         EXPECT_NE(service.job_status("req-2"), "done");
         EXPECT_LT(service.cloud->completed_tasks["req-2"], 3);
     }
@@ -213,9 +213,9 @@
         return service.state_service->snapshot().count("f/req-2") > 0;
     }));  // stopped by heartbeat responses
     service.start_job("req-3", 3, 1.5);
-    auto old = service.leader_name();
-    service.state_service->refused_controllers.insert(old.back() - '0');
-    service.wait_for_new_leader(old);
+    auto old_leader = service.leader_name();
+    service.state_service->refused_controllers.insert(old_leader.back() - '0');
+    service.wait_for_new_leader(old_leader);
     for (auto& [name, worker] : service.cloud->workers) worker->hold_commands = false;
     EXPECT_TRUE(service.wait_until_done("req-3"));
     for (int t = 0; t < 3; ++t)
@@ -253,18 +253,18 @@
                 }
             }
     };
-    auto old = service.leader_name();
+    auto old_leader = service.leader_name();
     service.state_service->lease_response_delay_s = 0.5;
     service.state_service->delay_txns = 3;
     (void)service.request_node(static_cast<size_t>(service.leader_index()), "POST",
                                "/v2/runs/req-2/cancel", "");
     poll_all_nodes();
-    service.state_service->refused_controllers.insert(old.back() - '0');
+    service.state_service->refused_controllers.insert(old_leader.back() - '0');
     poll_all_nodes();
-    confirmed =
-        service.cancel_at_node((old.back() - '0' + 1) % 3, "req-2") == "aborted" || confirmed;
+    confirmed = service.cancel_at_node((old_leader.back() - '0' + 1) % 3, "req-2") == "aborted" ||
+                confirmed;
     EXPECT_TRUE(confirmed);
-    service.wait_for_new_leader(old);
+    service.wait_for_new_leader(old_leader);
     next_confirmed = service.cancel_at_node(service.leader_index(), "req-4") == "aborted";
     EXPECT_TRUE(next_confirmed);
     poll_all_nodes();
@@ -406,8 +406,9 @@
     }
 }
 
-// The leader crashes, the next leader crashes as well, and one controller restarts at once while a
-// transaction of its former process is still to be executed. Running tasks must not be restarted.
+// The leader crashes, and the next one crashes and restarts at once. Its first transaction, which
+// is a campaign or the removal of its former leadership, is executed late. Running tasks must not
+// be restarted.
 TEST(FaultScenarios, TasksSurviveRestartDuringElection) {
     ServiceFixture::Options options;
     options.faulty_links = true;  // the worker lease outlasts the changes of leader
@@ -416,7 +417,7 @@
     service.crash_leader();
     int second = service.leader_index();
     service.crash(second);
-    service.state_service->delay_txns = 1;  // a transaction of the election is executed late
+    service.state_service->delay_txns = 1;
     service.add_node(second);
     EXPECT_TRUE(service.wait_until_done("req-2"));
     for (int t = 0; t < 3; ++t)
--- a/tests/links_service_test.cpp
+++ b/tests/links_service_test.cpp
@@ -73,15 +73,15 @@
     // controllers reached all workers.
     ServiceFixture service(3, faulty_link_options());
     start_long_tasks(service);
-    int old = service.leader_name().back() - '0';
+    int old_leader = service.leader_name().back() - '0';
     Links links{service};
     links.peers(Mode::RefuseConnections);
-    links.workers(old, GetParam());
+    links.workers(old_leader, GetParam());
     EXPECT_TRUE(service.wait_until([&] {
-        return !service.leader_name().empty() && service.leader_name().back() - '0' != old;
+        return !service.leader_name().empty() && service.leader_name().back() - '0' != old_leader;
     }));
     expect_tasks_ran_once(service, "leader without workers");
-    EXPECT_EQ(metric(service, old, "hand_overs_total"), 1);
+    EXPECT_EQ(metric(service, old_leader, "hand_overs_total"), 1);
 }
 
 INSTANTIATE_TEST_SUITE_P(Links, WorkerLinkFault,
@@ -120,20 +120,20 @@
     // no response that may be outdated.
     ServiceFixture service(3, faulty_link_options());
     start_long_tasks(service);
-    int old = service.leader_name().back() - '0';
+    int old_leader = service.leader_name().back() - '0';
     Links links{service};
-    links.state(old, Mode::RefuseConnections);
-    for (int other : {(old + 1) % 3, (old + 2) % 3})
-        links.peer(old, other, Mode::RefuseConnections);
+    links.state(old_leader, Mode::RefuseConnections);
+    for (int other : {(old_leader + 1) % 3, (old_leader + 2) % 3})
+        links.peer(old_leader, other, Mode::RefuseConnections);
     ASSERT_TRUE(service.wait_until([&] {
-        return !service.leader_name().empty() && service.leader_name().back() - '0' != old;
+        return !service.leader_name().empty() && service.leader_name().back() - '0' != old_leader;
     }));
     auto next = service.leader_name();
     ASSERT_TRUE(service.wait_until(
         [&] { return metric(service, next.back() - '0', "workers_direct") >= kTaskCount; }));
     auto status_at_old = [&](const char* method, const std::string& target,
                              const std::string& body = "") {
-        auto reply = service.request_node(static_cast<size_t>(old), method, target, body);
+        auto reply = service.request_node(static_cast<size_t>(old_leader), method, target, body);
         return reply ? reply->status : 0;
     };
     EXPECT_TRUE(service.wait_until([&] { return status_at_old("GET", "/healthz") == 503; }));
@@ -142,10 +142,11 @@
     EXPECT_EQ(
         status_at_old("POST", "/v2/runs", ServiceFixture::submission_body("req-2", "array", 1)),
         503);
-    links.state(old, Mode::PassThrough);
-    for (int other : {(old + 1) % 3, (old + 2) % 3}) links.peer(old, other, Mode::PassThrough);
+    links.state(old_leader, Mode::PassThrough);
+    for (int other : {(old_leader + 1) % 3, (old_leader + 2) % 3})
+        links.peer(old_leader, other, Mode::PassThrough);
     EXPECT_TRUE(service.wait_until([&] { return status_at_old("GET", "/v2/runs/req-1") == 200; }));
-    EXPECT_EQ(metric(service, old, "leading"), 0);
+    EXPECT_EQ(metric(service, old_leader, "leading"), 0);
     EXPECT_EQ(service.leader_name(), next);
     expect_tasks_ran_once(service, "isolated leader");
 }
@@ -181,14 +182,14 @@
     start_long_tasks(service);
     Links links{service};
     for (int round = 0; round < 3; ++round) {
-        auto old = service.leader_name();
-        ASSERT_FALSE(old.empty());
-        links.state(old.back() - '0', Mode::RefuseConnections);
+        auto old_leader = service.leader_name();
+        ASSERT_FALSE(old_leader.empty());
+        links.state(old_leader.back() - '0', Mode::RefuseConnections);
         ASSERT_TRUE(service.wait_until([&] {
-            return !service.leader_name().empty() && service.leader_name() != old;
+            return !service.leader_name().empty() && service.leader_name() != old_leader;
         })) << round;
         for (int i = 0; i < 3; ++i)
-            if (service.node_settings[i]->name != old) links.state(i, Mode::PassThrough);
+            if (service.node_settings[i]->name != old_leader) links.state(i, Mode::PassThrough);
     }
     expect_tasks_ran_once(service, "state service lost in turn");
 }
@@ -196,10 +197,10 @@
 TEST(LinksService, FlappingLinkMovesLeadershipAtMostOnce) {
     ServiceFixture service(3, faulty_link_options());
     start_long_tasks(service);
-    int old = service.leader_name().back() - '0';
+    int old_leader = service.leader_name().back() - '0';
     Links links{service};
     for (int i = 0; i < 12; ++i) {
-        links.workers(old, i % 2 ? Mode::PassThrough : Mode::HoldData);
+        links.workers(old_leader, i % 2 ? Mode::PassThrough : Mode::HoldData);
         double until = steady_now() + 0.25;
         service.wait_until([&] { return steady_now() > until; });
     }
@@ -212,15 +213,15 @@
 TEST(LinksService, LeaderEmergesAfterInterruptedHandOver) {
     ServiceFixture service(3, faulty_link_options());
     start_long_tasks(service);
-    int old = service.leader_name().back() - '0';
+    int old_leader = service.leader_name().back() - '0';
     Links links{service};
     // The transaction that yields is executed, but its response is lost: the leader that yielded
     // must not lead again on its own.
     service.state_service->lose_response_for_key = "m/yield";
     links.peers(Mode::RefuseConnections);
-    links.workers(old, Mode::HoldData);
+    links.workers(old_leader, Mode::HoldData);
     ASSERT_TRUE(service.wait_until([&] {
-        return !service.leader_name().empty() && service.leader_name().back() - '0' != old;
+        return !service.leader_name().empty() && service.leader_name().back() - '0' != old_leader;
     }));
     int next = service.leader_name().back() - '0';
     service.crash(next);
@@ -228,7 +229,7 @@
         auto now = service.leader_name();
         return !now.empty() && now.back() - '0' != next;
     }));
-    links.workers(old, Mode::PassThrough);
+    links.workers(old_leader, Mode::PassThrough);
     links.peers(Mode::PassThrough);
     expect_tasks_ran_once(service, "interrupted hand-over");
 }
@@ -269,7 +270,8 @@
     for (bool leads : {true, false}) {
         ServiceFixture service(3, faulty_link_options());
         start_long_tasks(service);
-        int old = service.leader_name().back() - '0', paused = leads ? old : (old + 1) % 3;
+        int old_leader = service.leader_name().back() - '0',
+            paused = leads ? old_leader : (old_leader + 1) % 3;
         Links links{service};
         links.peers(Mode::RefuseConnections);
         service.crash(paused);  // its process is paused, and its connections stay open
@@ -281,19 +283,19 @@
         links.workers(paused, Mode::PassThrough);
         links.peers(Mode::PassThrough);
         expect_tasks_ran_once(service, leads ? "paused leader" : "paused follower");
-        EXPECT_EQ(service.leader_name().back() - '0' == old, !leads);
+        EXPECT_EQ(service.leader_name().back() - '0' == old_leader, !leads);
     }
 }
 
 TEST(LinksService, LeaderWithOnlyUserLinksReportsUnhealthy) {
     ServiceFixture service(3, faulty_link_options());
     start_long_tasks(service);
-    int old = service.leader_name().back() - '0';
+    int old_leader = service.leader_name().back() - '0';
     Links links{service};
     links.peers(Mode::RefuseConnections);
-    links.state(old, Mode::HoldData);
+    links.state(old_leader, Mode::HoldData);
     EXPECT_TRUE(service.wait_until([&] {
-        auto health = service.request_node(static_cast<size_t>(old), "GET", "/healthz", "");
+        auto health = service.request_node(static_cast<size_t>(old_leader), "GET", "/healthz", "");
         return health && health->status == 503;
     }));
     expect_tasks_ran_once(service, "leader with only user links");
--- a/tests/more_fault_scenarios_service_test.cpp
+++ b/tests/machine_fault_scenarios_service_test.cpp
@@ -38,16 +38,16 @@
     FaultScenarioFixture service(3, isolated_peers());
     service.start_job("req-2", 4);
     service.start_job("req-3", 4, 12);
-    int old = service.leader_index();
+    int old_leader = service.leader_index();
     for (auto* worker : service.workers_running("req-2")) {
-        worker->only_controller = old;
+        worker->only_controller = old_leader;
         worker->lose_commands = true;
     }
     for (auto& [name, worker] : service.cloud->workers)
-        if (worker->only_controller < 0) worker->unreachable_controller = old;
+        if (worker->only_controller < 0) worker->unreachable_controller = old_leader;
     double partitioned_at = steady_now();
-    service.state_service->refused_controllers.insert(old);
-    service.wait_for_new_leader("node-" + std::to_string(old));
+    service.state_service->refused_controllers.insert(old_leader);
+    service.wait_for_new_leader("node-" + std::to_string(old_leader));
     ASSERT_EQ(service.cancel_at_node(service.leader_index(), "req-2"), "aborted");
     service.expect_stopped_in_time(steady_now(), "req-2");
     EXPECT_GT(steady_now() - partitioned_at, service.base_settings.lease_s);
@@ -94,15 +94,16 @@
         auto kept = "req-" + std::to_string(100 + n), cancelled = "req-" + std::to_string(200 + n);
         EXPECT_EQ(service.submit(kept, "array", 1, {0.3}), 201);
         EXPECT_EQ(service.submit(cancelled, "array", 1, {1000}), 201);
-        auto old = service.leader_name();
-        service.state_service->refused_controllers = {old.back() - '0'};
-        EXPECT_EQ(service.cancel_at_node((old.back() - '0' + 1 + n % 2) % 3, cancelled), "aborted");
+        auto old_leader = service.leader_name();
+        service.state_service->refused_controllers = {old_leader.back() - '0'};
+        EXPECT_EQ(service.cancel_at_node((old_leader.back() - '0' + 1 + n % 2) % 3, cancelled),
+                  "aborted");
         if (n == 5) {
             service.state_service->unavailable = true;
             service.run_for(2 * options.election_lease_s);
             service.state_service->end_outage();
         }
-        service.wait_for_new_leader(old);
+        service.wait_for_new_leader(old_leader);
     }
     service.state_service->refused_controllers.clear();
     for (int n = 0; n < 10; ++n) {
@@ -130,10 +131,10 @@
         service.start_job("req-3", 3, 5);
         service.start_job("req-4", 2);
         ASSERT_EQ(service.cancel_at_node(service.leader_index(), "req-4"), "aborted");
-        auto old = service.leader_name();
-        service.state_service->refused_controllers = {old.back() - '0'};
+        auto old_leader = service.leader_name();
+        service.state_service->refused_controllers = {old_leader.back() - '0'};
         for (auto& [name, worker] : service.cloud->workers) worker->unreachable = !leader_active;
-        service.wait_for_new_leader(old);
+        service.wait_for_new_leader(old_leader);
         if (leader_active) {
             EXPECT_EQ(service.submit("req-5", "array", 4, {0.3}), 201);
             EXPECT_TRUE(service.wait_until_done("req-5"));
@@ -176,9 +177,9 @@
         submit_for_team(service, "req-4", "array", 16, 1, 0.5, "red");
         auto affected = service.workers_running("req-2");
         for (auto* worker : affected) row.set_fault(*worker, true);
-        auto old = service.leader_name();
-        service.state_service->refused_controllers = {old.back() - '0'};
-        service.wait_for_new_leader(old);
+        auto old_leader = service.leader_name();
+        service.state_service->refused_controllers = {old_leader.back() - '0'};
+        service.wait_for_new_leader(old_leader);
         ASSERT_EQ(service.cancel_at_node(service.leader_index(), "req-2"), "aborted");
         double confirmed = steady_now();
         EXPECT_TRUE(service.wait_until([&] {
@@ -233,26 +234,26 @@
         SCOPED_TRACE(pause_s);
         FaultScenarioFixture service(3, isolated_peers());
         for (int j = 2; j < 8; ++j) service.start_job("req-" + std::to_string(j), 2);
-        int old = service.leader_index();
+        int old_leader = service.leader_index();
         std::map<std::string, std::vector<std::shared_ptr<ServiceFixture::PendingRequest>>>
             requests;
         auto cancel = [&](int j) {
             auto id = "req-" + std::to_string(j);
             for (int node = 0; node < 3; ++node)
-                if (!leader_crashes || node == old)
+                if (!leader_crashes || node == old_leader)
                     requests[id].push_back(service.send_request(static_cast<size_t>(node), "POST",
                                                                 "/v2/runs/" + id + "/cancel"));
         };
-        if (pause_s < 0) service.state_service->refused_controllers.insert(old);
+        if (pause_s < 0) service.state_service->refused_controllers.insert(old_leader);
         for (int j = 2; j < 8; ++j) {
             cancel(j);
             service.run_for(std::max(0.0, pause_s));
-            if (j == 4) service.state_service->refused_controllers.insert(old);
+            if (j == 4) service.state_service->refused_controllers.insert(old_leader);
         }
         double refused_at = steady_now();
         service.run_for(0.5);
         service.state_service->unavailable = true;
-        if (leader_crashes) service.crash(old);
+        if (leader_crashes) service.crash(old_leader);
         std::map<std::string, double> confirmed;
         double stop_delay_s = 0;
         service.wait_until([&] {
@@ -270,7 +271,7 @@
         service.state_service->end_outage();
         for (auto& [id, at] : confirmed) EXPECT_EQ(service.job_status(id), "aborted") << id;
         for (auto& [id, list] : requests)
-            EXPECT_EQ(service.cancel_at_node((old + 1) % 3, id), "aborted");
+            EXPECT_EQ(service.cancel_at_node((old_leader + 1) % 3, id), "aborted");
         service.expect_no_violations();
     }
 }
@@ -295,7 +296,7 @@
         SCOPED_TRACE(row.what);
         FaultScenarioFixture service(3, isolated_peers());
         for (int j = 2; j < 12; ++j) service.start_job("req-" + std::to_string(j), 1);
-        auto old = service.leader_name();
+        auto old_leader = service.leader_name();
         std::vector<std::shared_ptr<ServiceFixture::PendingRequest>> requests;
         for (int j = 2; j < 12; ++j) {
             if (j == 5) row.change_leader(service);
@@ -305,8 +306,9 @@
                         node, "POST", "/v2/runs/req-" + std::to_string(j) + "/cancel"));
             service.run_for(0.03);
         }
-        service.wait_for_new_leader(old);
-        service.alive[static_cast<size_t>(old.back() - '0')] = std::string(row.what) != "crashes";
+        service.wait_for_new_leader(old_leader);
+        service.alive[static_cast<size_t>(old_leader.back() - '0')] =
+            std::string(row.what) != "crashes";
         service.state_service->refused_controllers.clear();
         EXPECT_TRUE(service.wait_until([&] {
             return std::all_of(requests.begin(), requests.end(),
@@ -425,7 +427,7 @@
 // lasted.
 TEST(FaultScenarios, DelayedCampaignFindsItsLeaseValid) {
     ServiceFixture::Options options = isolated_peers();
-    options.election_lease_s = 0.7;  // half of the delay of a transaction
+    options.election_lease_s = 0.7;  // less than half of the delay of a transaction
     FaultScenarioFixture service(2, options);
     service.start_job("req-2", 2, 4);
     service.state_service->delay_txns = 1 << 20;
--- a/tests/service_fixture.h
+++ b/tests/service_fixture.h
@@ -306,9 +306,10 @@
         return json::serialize(o);
     }
     void crash_leader() {
-        auto old = leader_name();
-        crash(old.back() - '0');
-        EXPECT_TRUE(wait_until([&] { return !leader_name().empty() && leader_name() != old; }));
+        auto old_leader = leader_name();
+        crash(old_leader.back() - '0');
+        EXPECT_TRUE(
+            wait_until([&] { return !leader_name().empty() && leader_name() != old_leader; }));
     }
     // Returns the status of a job, or the HTTP status if that is not 200.
     std::string job_status(const std::string& id) {
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -65,10 +65,10 @@
     EXPECT_TRUE(service.wait_until_done("req-1"));
     EXPECT_EQ(service.submit("req-2", "array", 4, {3.0}), 201);
     ASSERT_TRUE(service.wait_until([&] { return service.cloud->is_running("req-2"); }));
-    auto old = service.leader_name();
-    service.crash(old.back() - '0');
+    auto old_leader = service.leader_name();
+    service.crash(old_leader.back() - '0');
     ASSERT_TRUE(service.wait_until(
-        [&] { return !service.leader_name().empty() && service.leader_name() != old; }));
+        [&] { return !service.leader_name().empty() && service.leader_name() != old_leader; }));
     EXPECT_TRUE(service.wait_until_done("req-2"));
     EXPECT_EQ(service.job_status("req-1"), "done");
     EXPECT_TRUE(service.cloud->violations.empty()) << service.cloud->violations[0];
@@ -118,11 +118,11 @@
     // changed.
     ServiceFixture service(2);
     EXPECT_EQ(service.submit("req-1", "array", 1, {2.0}), 201);
-    auto old = service.leader_name();
-    service.crash(old.back() - '0');
+    auto old_leader = service.leader_name();
+    service.crash(old_leader.back() - '0');
     service.state_service->delay_txns =
         1;  // the next transaction is executed after the client's timeout
-    service.add_node(old.back() - '0');
+    service.add_node(old_leader.back() - '0');
     EXPECT_TRUE(service.wait_until_done("req-1"));
     EXPECT_EQ(service.submit("req-2", "array", 2), 201);
     EXPECT_TRUE(service.wait_until_done("req-2"));
@@ -150,11 +150,11 @@
     ServiceFixture service(3);
     EXPECT_EQ(service.submit("req-1", "array", 1), 201);
     EXPECT_TRUE(service.wait_until_done("req-1"));
-    auto old = service.leader_name();
-    int refused = old.back() - '0';
+    auto old_leader = service.leader_name();
+    int refused = old_leader.back() - '0';
     service.state_service->refused_controllers.insert(refused);
     ASSERT_TRUE(service.wait_until(
-        [&] { return !service.leader_name().empty() && service.leader_name() != old; }));
+        [&] { return !service.leader_name().empty() && service.leader_name() != old_leader; }));
     std::optional<HttpAnswer> reply;
     ASSERT_TRUE(service.wait_until([&] {
         reply = service.request_node(refused, "POST", "/v2/runs",
@@ -425,9 +425,9 @@
 }
 
 TEST(LowerLimits, RejectedRetryLeavesFirstTxnUndecided) {
-    // The value limit is lowered after the first copy of a transaction, whose response is lost. The
-    // second copy is rejected as invalid, which does not tell whether the first was executed. A
-    // leader that took the first for not executed would record its contents twice.
+    // The value limit is lowered after the first copy of a transaction, whose response is lost or
+    // late. The second copy is rejected as invalid, which does not tell whether the first was
+    // executed. A leader that took the first for not executed would record its contents twice.
     for (bool late : {false, true}) {
         ServiceFixture service(1);
         EXPECT_EQ(service.submit("req-1", "array", 1), 201);
