--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -21,7 +21,7 @@
 }
 
 TEST(UserCodec, RoundTripsSubmission) {
-    test::World world;
+    test::ClusterFixture world;
     auto first = parse_submission(json::serialize(valid_submission()), world.cluster.names);
     EXPECT_EQ(first.id, "req-000412");
     EXPECT_EQ(first.kind, JobKind::Gang);
@@ -58,14 +58,14 @@
         {"expected_s", nullptr}, {"consignor", nullptr},
     };
     for (auto& test_case : cases) {
-        test::World world;
+        test::ClusterFixture world;
         auto submission = valid_submission();
         test_case.value.is_null() ? (void)submission.erase(test_case.field)
                                   : (void)(submission[test_case.field] = test_case.value);
         EXPECT_THROW(parse_submission(json::serialize(submission), world.cluster.names), BadMessage)
             << test_case.field << " " << test_case.value;
     }
-    test::World world;
+    test::ClusterFixture world;
     for (const char* text : {"", "{", "[]", "7", "null", "{\"name_id\":1e999}"})
         EXPECT_THROW(parse_submission(std::string_view(text), world.cluster.names), BadMessage)
             << text;
@@ -82,7 +82,7 @@
                           {json::array{}, {}},
                           {json::array{"req-2", "req-1", "req-2"}, {"req-1", "req-2"}}};
     for (auto& test_case : cases) {
-        test::World world;
+        test::ClusterFixture world;
         auto submission = valid_submission();
         submission["awaits"] = test_case.awaits;
         auto spec = parse_submission(json::serialize(submission), world.cluster.names);
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 using test::any_machine;
-using test::World;
+using test::ClusterFixture;
 
 // The example in figure 5 of the Aryl paper, with its servers 1 to 6 as machines 0 to 5: job a runs
 // on servers 1 and 2, job b on 3, job c on 4 and 5, and job d on 5 and 6.
@@ -53,10 +53,11 @@
 }
 
 TEST(Preemption, StopsTasksOnlyOnTheCheapestMachine) {
-    World w;
-    auto m0 = w.machine("m0"), m1 = w.machine("m1");
-    auto array = w.running(w.spec("req-1", JobKind::Array, 3, 2, 0, Priority::Low), {m0, m0, m1});
-    auto large = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
+    ClusterFixture w;
+    auto m0 = w.add_machine("m0"), m1 = w.add_machine("m1");
+    auto array = w.add_running_job(w.job_spec("req-1", JobKind::Array, 3, 2, 0, Priority::Low),
+                                   {m0, m0, m1});
+    auto large = w.add_job(w.job_spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
     auto round = plan_preemption(w.cluster, any_machine, w.now);
     ASSERT_EQ(round.evictions.size(), 1u);
     EXPECT_EQ(round.evictions[0].job, large);
@@ -65,11 +66,12 @@
 }
 
 TEST(Preemption, StopsWholeGangsAndUsesAllTheirMachines) {
-    World w;
-    auto m0 = w.machine("m0"), m1 = w.machine("m1"), m2 = w.machine("m2");
-    w.running(w.spec("req-1", JobKind::Array, 1, 4, 0, Priority::Low), {m0});
-    auto gang = w.running(w.spec("req-2", JobKind::Gang, 2, 4, 0, Priority::Low), {m1, m2});
-    w.job(w.spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High));
+    ClusterFixture w;
+    auto m0 = w.add_machine("m0"), m1 = w.add_machine("m1"), m2 = w.add_machine("m2");
+    w.add_running_job(w.job_spec("req-1", JobKind::Array, 1, 4, 0, Priority::Low), {m0});
+    auto gang =
+        w.add_running_job(w.job_spec("req-2", JobKind::Gang, 2, 4, 0, Priority::Low), {m1, m2});
+    w.add_job(w.job_spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High));
     auto round = plan_preemption(w.cluster, any_machine, w.now);
     ASSERT_EQ(round.evictions.size(), 1u);
     EXPECT_EQ(round.evictions[0].machines, (std::vector<Index>{m1, m2}));
@@ -95,21 +97,22 @@
          0},
     };
     for (auto& row : rows) {
-        World w;
-        auto machine = w.machine("m0");
-        w.running(w.spec("req-1", JobKind::Array, 1, 8, 0, row.victim, row.victim_team), {machine});
-        w.job(
-            w.spec("req-2", JobKind::Array, 1, row.waiting_cpus, 0, row.waiting, row.waiting_team));
+        ClusterFixture w;
+        auto machine = w.add_machine("m0");
+        w.add_running_job(w.job_spec("req-1", JobKind::Array, 1, 8, 0, row.victim, row.victim_team),
+                          {machine});
+        w.add_job(w.job_spec("req-2", JobKind::Array, 1, row.waiting_cpus, 0, row.waiting,
+                             row.waiting_team));
         EXPECT_EQ(plan_preemption(w.cluster, any_machine, w.now).evictions.size(), row.evictions)
             << row.description;
     }
 }
 
 TEST(Preemption, EvictsMachinesOnlyOnceForAJob) {
-    World w;
-    auto m0 = w.machine("m0"), m1 = w.machine("m1");
-    w.running(w.spec("req-1", JobKind::Array, 2, 4, 0, Priority::Low), {m0, m1});
-    auto large = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
+    ClusterFixture w;
+    auto m0 = w.add_machine("m0"), m1 = w.add_machine("m1");
+    w.add_running_job(w.job_spec("req-1", JobKind::Array, 2, 4, 0, Priority::Low), {m0, m1});
+    auto large = w.add_job(w.job_spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
     w.cluster.machines[m0]->reserved_for = large;
     w.cluster.machines[m0]->reserved_until = w.now + 10;
     EXPECT_TRUE(plan_preemption(w.cluster, any_machine, w.now).evictions.empty());
@@ -118,16 +121,17 @@
 TEST(Preemption, JobsOfARoundDoNotShareFreeMachines) {
     // If each of eight gangs of 32 tasks counted on the same 13 free machines, 19 machines would be
     // evicted for each of them and none could start.
-    World w;
-    auto free = w.machine("free");
+    ClusterFixture w;
+    auto free = w.add_machine("free");
     std::vector<Index> busy;
     for (int i = 0; i < 3; ++i) {
-        busy.push_back(w.machine("m" + std::to_string(i)));
-        w.running(w.spec("req-1" + std::to_string(i), JobKind::Array, 1, 8, 0, Priority::Low),
-                  {busy.back()});
+        busy.push_back(w.add_machine("m" + std::to_string(i)));
+        w.add_running_job(
+            w.job_spec("req-1" + std::to_string(i), JobKind::Array, 1, 8, 0, Priority::Low),
+            {busy.back()});
     }
-    auto first = w.job(w.spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
-    auto second = w.job(w.spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High));
+    auto first = w.add_job(w.job_spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
+    auto second = w.add_job(w.job_spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High));
     w.cluster.jobs[first]->submitted_wall = 1;
     auto round = plan_preemption(w.cluster, any_machine, w.now);
     ASSERT_EQ(round.evictions.size(), 2u);
@@ -140,15 +144,15 @@
 }
 
 TEST(Placement, ReleasesReservationsOfPlacedJobs) {
-    World w;
-    auto m0 = w.machine("m0"), m1 = w.machine("m1");
-    auto gang = w.job(w.spec("req-1", JobKind::Gang, 1, 7, 0, Priority::High));
+    ClusterFixture w;
+    auto m0 = w.add_machine("m0"), m1 = w.add_machine("m1");
+    auto gang = w.add_job(w.job_spec("req-1", JobKind::Gang, 1, 7, 0, Priority::High));
     for (auto i : {m0, m1}) {
         w.cluster.machines[i]->reserved_for = gang;
         w.cluster.machines[i]->reserved_until = w.now + 50;
     }
     place_waiting_jobs(w.cluster, any_machine, w.now);
-    auto next = w.job(w.spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
+    auto next = w.add_job(w.job_spec("req-2", JobKind::Gang, 1, 7, 0, Priority::High));
     EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now),
               (std::vector<Placement>{{next, 0, m1, 1}}));
 }
@@ -170,16 +174,16 @@
         {"capacity beyond its tasks does not count", 1, {"a2", "b0", "b1"}, {"a2"}},
     };
     for (auto& row : rows) {
-        World w;
+        ClusterFixture w;
         for (auto* name : {"a0", "a1", "a2", "b0", "b1", "b2"})
-            w.machine(name, "std", std::string(1, name[0]));
-        w.machine("as", "std", "a", true);
-        auto spec = w.spec("req-1", JobKind::Gang, row.tasks, 7);
+            w.add_machine(name, "std", std::string(1, name[0]));
+        w.add_machine("as", "std", "a", true);
+        auto spec = w.job_spec("req-1", JobKind::Gang, row.tasks, 7);
         spec.one_zone = true;
         spec.image_gb = 6;
         for (auto& name : row.image_on)
             w.cluster.machines[w.cluster.find_machine(name)]->cached_images = {spec.image};
-        w.job(spec);
+        w.add_job(spec);
         std::vector<std::string> used_machines;
         for (auto& placement : place_waiting_jobs(w.cluster, any_machine, w.now))
             used_machines.push_back(w.cluster.machines[placement.machine]->name);
@@ -188,14 +192,14 @@
 }
 
 TEST(ClusterState, EvictsLeastRecentlyUsedImages) {
-    World w;
-    auto machine_index = w.machine("m0");  // its image cache holds 50 GB
+    ClusterFixture w;
+    auto machine_index = w.add_machine("m0");  // its image cache holds 50 GB
     std::vector<JobSpec> specs;
     for (int i = 0; i < 4; ++i) {
-        specs.push_back(w.spec("req-" + std::to_string(i), JobKind::Array, 1, 1));
+        specs.push_back(w.job_spec("req-" + std::to_string(i), JobKind::Array, 1, 1));
         specs.back().image = w.cluster.names.images.intern("i" + std::to_string(i));
         specs.back().image_gb = 20;
-        w.job(specs.back());
+        w.add_job(specs.back());
     }
     auto& machine = *w.cluster.machines[machine_index];
     for (int i : {0, 1, 0, 2}) w.cluster.mark_image_used(machine, specs[i]);
@@ -234,11 +238,11 @@
         {"no machine has the image", 30, false, 0, {false, false, false}, {true, true, true}},
     };
     for (auto& row : rows) {
-        World w;
-        std::vector<Index> machines{w.machine("m0"), w.machine("m1"), w.machine("m2")};
-        auto spec = w.spec("req-1", JobKind::Gang, 3, 7);
+        ClusterFixture w;
+        std::vector<Index> machines{w.add_machine("m0"), w.add_machine("m1"), w.add_machine("m2")};
+        auto spec = w.job_spec("req-1", JobKind::Gang, 3, 7);
         spec.image_gb = row.image_gb;
-        auto job_index = w.running(spec, machines);
+        auto job_index = w.add_running_job(spec, machines);
         auto& job = *w.cluster.jobs[job_index];
         for (uint32_t t = 0; t < 3; ++t)
             if (row.has_image[t]) w.cluster.machines[machines[t]]->cached_images = {spec.image};
@@ -255,17 +259,17 @@
 TEST(Placement, LowPriorityTasksLeaveHeadroomEmpty) {
     // Without headroom, small tasks fill each machine that a gang releases, and are preempted for
     // the next gang seconds later.
-    World w;
-    auto partly_used = w.machine("m0");
-    for (auto* name : {"m1", "m2", "m3"}) w.machine(name);
-    w.running(w.spec("req-9", JobKind::Array, 1, 4), {partly_used});
-    auto gang = w.spec("req-8", JobKind::Gang, 1, 7, 0, Priority::High);
+    ClusterFixture w;
+    auto partly_used = w.add_machine("m0");
+    for (auto* name : {"m1", "m2", "m3"}) w.add_machine(name);
+    w.add_running_job(w.job_spec("req-9", JobKind::Array, 1, 4), {partly_used});
+    auto gang = w.job_spec("req-8", JobKind::Gang, 1, 7, 0, Priority::High);
     std::vector<Headroom> headroom{{&gang, 2, 2}};
-    w.job(w.spec("req-1", JobKind::Array, 20, 4, 0, Priority::Low));
+    w.add_job(w.job_spec("req-1", JobKind::Array, 20, 4, 0, Priority::Low));
     auto placed = place_waiting_jobs(w.cluster, any_machine, w.now, 100, headroom);
     // One task fits on the machine in use and two on the one empty machine that is not headroom.
     EXPECT_EQ(placed.size(), 3u);
-    auto high = w.job(w.spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
+    auto high = w.add_job(w.job_spec("req-2", JobKind::Gang, 2, 7, 0, Priority::High));
     place_waiting_jobs(w.cluster, any_machine, w.now, 100, headroom);
     EXPECT_EQ(w.cluster.jobs[high]->placed, 2u);
 }
@@ -289,12 +293,13 @@
         {"a fleet of three keeps none empty", JobKind::Gang, 7, 25, 10, 3, {{6, 0}}},
     };
     for (auto& row : rows) {
-        World w;
+        ClusterFixture w;
         w.cluster.classes.resize(w.cluster.names.classes.intern("class") + 1);
         w.cluster.classes.back().start_within_s = row.start_within_s;
-        for (int i = 0; i < row.machines; ++i) w.machine("m" + std::to_string(i));
+        for (int i = 0; i < row.machines; ++i) w.add_machine("m" + std::to_string(i));
         for (int i = 0; i < 6; ++i)
-            w.job(w.spec("req-" + std::to_string(i), row.kind, 2, row.cpus, 0, Priority::High));
+            w.add_job(
+                w.job_spec("req-" + std::to_string(i), row.kind, 2, row.cpus, 0, Priority::High));
         AutoscalerSettings settings;
         settings.heartbeat_interval_s = 2;
         settings.preemption_duration_s = row.preemption_duration_s;
@@ -323,13 +328,15 @@
         {"a limit below the guarantee", {"t", 16, 6, 4, 0}, 4, 1, false, false, true},
     };
     for (auto& row : rows) {
-        World w;
+        ClusterFixture w;
         w.settings.teams = {row.team};
         ClusterState cluster(w.settings);
         cluster.set_types({w.cluster.types[0].type, w.cluster.types[1].type});
         std::swap(w.cluster, cluster);
-        auto spec = w.spec("req-1", JobKind::Array, 2, row.cpus, row.gpus, Priority::Normal, "t");
-        auto job = w.running(spec, {w.machine("m0", "gpu"), w.machine("m1", "gpu")});
+        auto spec =
+            w.job_spec("req-1", JobKind::Array, 2, row.cpus, row.gpus, Priority::Normal, "t");
+        auto job =
+            w.add_running_job(spec, {w.add_machine("m0", "gpu"), w.add_machine("m1", "gpu")});
         auto& team = w.cluster.teams[0];
         EXPECT_EQ(w.cluster.jobs[job]->guaranteed, row.guaranteed) << row.description;
         EXPECT_EQ(w.cluster.exceeds_guarantee(team, spec.demand), row.above) << row.description;
@@ -339,12 +346,12 @@
 }
 
 TEST(Placement, UsesBestFitAndAvoidsGpuMachines) {
-    World w;
-    auto gpu = w.machine("gpu", "gpu");
-    auto empty = w.machine("empty"), partly_used = w.machine("partly_used");
-    w.running(w.spec("req-1", JobKind::Array, 1, 5), {partly_used});
-    auto small = w.job(w.spec("req-2", JobKind::Array, 2, 3));
-    auto needs_gpu = w.job(w.spec("req-3", JobKind::Array, 1, 1, 1, Priority::Low));
+    ClusterFixture w;
+    auto gpu = w.add_machine("gpu", "gpu");
+    auto empty = w.add_machine("empty"), partly_used = w.add_machine("partly_used");
+    w.add_running_job(w.job_spec("req-1", JobKind::Array, 1, 5), {partly_used});
+    auto small = w.add_job(w.job_spec("req-2", JobKind::Array, 2, 3));
+    auto needs_gpu = w.add_job(w.job_spec("req-3", JobKind::Array, 1, 1, 1, Priority::Low));
     auto placed = place_waiting_jobs(w.cluster, any_machine, w.now);
     EXPECT_EQ(placed,
               (std::vector<Placement>{
@@ -352,25 +359,25 @@
 }
 
 TEST(Placement, PrefersMachineWithCachedImage) {
-    World w;
-    w.machine("m0");
-    auto m1 = w.machine("m1");
-    auto job = w.job(w.spec("req-1", JobKind::Array, 1, 3));
+    ClusterFixture w;
+    w.add_machine("m0");
+    auto m1 = w.add_machine("m1");
+    auto job = w.add_job(w.job_spec("req-1", JobKind::Array, 1, 3));
     w.cluster.machines[m1]->cached_images = {w.cluster.jobs[job]->spec.image};
     EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now)[0].machine, m1);
 }
 
 // Returns a random cluster with jobs. With `few_shapes`, many jobs have the same shape, so that
 // they share a queue of machines; otherwise hardly any two jobs do.
-World random_cluster(unsigned seed, bool few_shapes = false) {
+ClusterFixture random_cluster(unsigned seed, bool few_shapes = false) {
     std::mt19937 random(seed);
     auto random_below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
-    World w;
+    ClusterFixture w;
     auto& names = w.cluster.names;
     std::vector<Index> machines;
     for (uint32_t i = 0, n = 5 + random_below(60); i < n; ++i) {
-        machines.push_back(w.machine("m" + std::to_string(i), random_below(3) ? "std" : "gpu",
-                                     random_below(2) ? "a" : "b", random_below(3) == 0));
+        machines.push_back(w.add_machine("m" + std::to_string(i), random_below(3) ? "std" : "gpu",
+                                         random_below(2) ? "a" : "b", random_below(3) == 0));
         auto& machine = *w.cluster.machines[machines.back()];
         for (uint32_t k = random_below(3); k > 0; --k)
             machine.cached_images.push_back(
@@ -382,9 +389,9 @@
     for (uint32_t n = 1; n <= 30; ++n) {
         auto kind = random_below(3) ? JobKind::Array : JobKind::Gang;
         auto spec =
-            w.spec("req-" + std::to_string(n), kind, 1 + random_below(12),
-                   0.5 * (1 + random_below(few_shapes ? 2 : 9)), random_below(3) ? 0 : 1,
-                   static_cast<Priority>(random_below(4)), random_below(4) ? "blue" : "red");
+            w.job_spec("req-" + std::to_string(n), kind, 1 + random_below(12),
+                       0.5 * (1 + random_below(few_shapes ? 2 : 9)), random_below(3) ? 0 : 1,
+                       static_cast<Priority>(random_below(4)), random_below(4) ? "blue" : "red");
         spec.demand.mem = 1000 * (1 + random_below(few_shapes ? 1 : 12));
         spec.image = names.images.intern("i" + std::to_string(random_below(few_shapes ? 2 : 4)));
         spec.image_gb = random_below(2);
@@ -393,7 +400,7 @@
         spec.spread = !spec.one_zone && random_below(5) == 0;
         if (random_below(6) == 0) spec.zone = names.zones.find("b");
         if (random_below(6) == 0) spec.types = {names.types.find("gpu")};
-        auto job_index = w.job(spec);
+        auto job_index = w.add_job(spec);
         auto& job = *w.cluster.jobs[job_index];
         if (random_below(4) == 0) job.failed_machines = {machines[random_below(machines.size())]};
         if (kind == JobKind::Array && !spec.spread && random_below(2)) {
@@ -431,36 +438,37 @@
 }
 
 TEST(JobOrder, RanksGuaranteesThenStartDeadlines) {
-    World w;
+    ClusterFixture w;
     // Team red has a guarantee of 16 CPUs: req-1 is within it, but req-1 and req-2 together are
     // not.
-    auto small = w.job(w.spec("req-1", JobKind::Array, 4, 2, 0, Priority::Low, "red"));
-    auto above_guarantee = w.job(w.spec("req-2", JobKind::Array, 8, 2, 0, Priority::Low, "red"));
-    auto high = w.job(w.spec("req-3", JobKind::Array, 1, 1, 0, Priority::High, "blue"));
+    auto small = w.add_job(w.job_spec("req-1", JobKind::Array, 4, 2, 0, Priority::Low, "red"));
+    auto above_guarantee =
+        w.add_job(w.job_spec("req-2", JobKind::Array, 8, 2, 0, Priority::Low, "red"));
+    auto high = w.add_job(w.job_spec("req-3", JobKind::Array, 1, 1, 0, Priority::High, "blue"));
     EXPECT_TRUE(w.cluster.jobs[small]->guaranteed);
     EXPECT_FALSE(w.cluster.jobs[above_guarantee]->guaranteed);
     EXPECT_EQ(waiting_jobs(w.cluster, w.now), (std::vector<Index>{small, high, above_guarantee}));
     // Both jobs should start within 30 s. One has missed that already and no longer goes before the
     // other.
-    World world;
+    ClusterFixture world;
     world.cluster.classes.resize(world.cluster.names.classes.intern("class") + 1);
     world.cluster.classes.back().start_within_s = 30;
     world.cluster.classes.back().finish_within_s = {250};
-    auto missed = world.job(world.spec("req-1", JobKind::Array, 1, 1));
+    auto missed = world.add_job(world.job_spec("req-1", JobKind::Array, 1, 1));
     world.now += 40;
-    auto recent = world.job(world.spec("req-2", JobKind::Array, 1, 1));
+    auto recent = world.add_job(world.job_spec("req-2", JobKind::Array, 1, 1));
     EXPECT_EQ(waiting_jobs(world.cluster, world.now), (std::vector<Index>{recent, missed}));
 }
 
 TEST(Placement, PrefersEqualJobWithCachedImage) {
-    World w;
-    auto machine = w.machine("m0");
-    auto other = w.spec("req-1", JobKind::Array, 1, 5),
-         cached = w.spec("req-2", JobKind::Array, 1, 5);
+    ClusterFixture w;
+    auto machine = w.add_machine("m0");
+    auto other = w.job_spec("req-1", JobKind::Array, 1, 5),
+         cached = w.job_spec("req-2", JobKind::Array, 1, 5);
     other.image = w.cluster.names.images.intern("other");
     other.image_gb = cached.image_gb = 4;
-    w.job(other);
-    auto job = w.job(cached);
+    w.add_job(other);
+    auto job = w.add_job(cached);
     w.cluster.machines[machine]->cached_images = {cached.image};
     EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now),
               (std::vector<Placement>{{job, 0, machine, 1}}));
@@ -483,16 +491,16 @@
          3},
     };
     for (auto& row : rows) {
-        World w;
+        ClusterFixture w;
         std::vector<Index> machines;
         for (double free_cpus : {1.0, 1.0, 3.0}) {
-            machines.push_back(w.machine("m" + std::to_string(machines.size())));
-            w.running(
-                w.spec("req-9" + std::to_string(machines.size()), JobKind::Array, 1, 8 - free_cpus),
-                {machines.back()});
+            machines.push_back(w.add_machine("m" + std::to_string(machines.size())));
+            w.add_running_job(w.job_spec("req-9" + std::to_string(machines.size()), JobKind::Array,
+                                         1, 8 - free_cpus),
+                              {machines.back()});
         }
-        auto large = w.job(w.spec("req-1", JobKind::Array, 2, row.cpus, 0, row.priority));
-        auto small = w.job(w.spec("req-2", JobKind::Array, 3, 1));
+        auto large = w.add_job(w.job_spec("req-1", JobKind::Array, 2, row.cpus, 0, row.priority));
+        auto small = w.add_job(w.job_spec("req-2", JobKind::Array, 3, 1));
         w.cluster.jobs[small]->submitted_wall = 1;
         place_waiting_jobs(w.cluster, any_machine, w.now);
         if (row.priority == Priority::High && row.cpus == 2) {
@@ -515,15 +523,16 @@
     const Row rows[] = {{"four machines have capacity for both gangs: their share is held", 4, 4},
                         {"three machines have not: the rest of the limit is free", 3, 8}};
     for (auto& row : rows) {
-        World w;
+        ClusterFixture w;
         std::vector<Index> machines;
         for (int i = 0; i < row.machines; ++i)
-            machines.push_back(w.machine("m" + std::to_string(i)));
-        w.running(w.spec("req-1", JobKind::Gang, 2, 7, 0, Priority::High, "red"),
-                  {machines[0], machines[1]});
-        w.running(w.spec("req-2", JobKind::Array, 1, 2, 0, Priority::High, "blue"), {machines[2]});
-        w.job(w.spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High, "red"));
-        auto small = w.job(w.spec("req-4", JobKind::Array, 20, 1, 0, Priority::Low, "red"));
+            machines.push_back(w.add_machine("m" + std::to_string(i)));
+        w.add_running_job(w.job_spec("req-1", JobKind::Gang, 2, 7, 0, Priority::High, "red"),
+                          {machines[0], machines[1]});
+        w.add_running_job(w.job_spec("req-2", JobKind::Array, 1, 2, 0, Priority::High, "blue"),
+                          {machines[2]});
+        w.add_job(w.job_spec("req-3", JobKind::Gang, 2, 7, 0, Priority::High, "red"));
+        auto small = w.add_job(w.job_spec("req-4", JobKind::Array, 20, 1, 0, Priority::Low, "red"));
         place_waiting_jobs(w.cluster, any_machine, w.now);
         EXPECT_EQ(w.cluster.jobs[small]->placed, row.small_placed) << row.description;
     }
@@ -531,16 +540,16 @@
 
 TEST(Autoscaler, RequestsNothingInSilentZones) {
     // Machines requested in a zone that is partitioned off cost money but cannot be reached.
-    World w;
+    ClusterFixture w;
     for (int i = 0; i < 6; ++i) {
         auto& machine =
-            *w.cluster.machines[w.machine("m" + std::to_string(i), "std", i < 3 ? "a" : "b")];
+            *w.cluster.machines[w.add_machine("m" + std::to_string(i), "std", i < 3 ? "a" : "b")];
         machine.status = MachineStatus::Running;
         machine.up = i >= 3;
     }
-    auto spec = w.spec("req-1", JobKind::Array, 40, 8);
+    auto spec = w.job_spec("req-1", JobKind::Array, 40, 8);
     spec.estimate_s = 100;
-    w.job(spec);
+    w.add_job(spec);
     auto requests = plan_scale_out(w.cluster, any_machine, {0.3, 1}, w.now);
     ASSERT_FALSE(requests.empty());
     for (auto& request : requests) EXPECT_EQ(w.cluster.names.zones.name(request.zone), "b");
@@ -554,9 +563,9 @@
         size_t terminated;
     };
     for (auto& row : {Row{JobKind::Gang, 0}, Row{JobKind::Array, 1}}) {
-        World w;
-        w.machine("m0");
-        w.job(w.spec("req-1", row.kind, 2, 7));
+        ClusterFixture w;
+        w.add_machine("m0");
+        w.add_job(w.job_spec("req-1", row.kind, 2, 7));
         EXPECT_EQ(plan_scale_in(w.cluster, {0.3, 1}, w.now + 200).size(), row.terminated);
     }
 }
@@ -573,38 +582,38 @@
                         {"other zone", "std", "b", false, 0},
                         {"spot", "std", "a", true, 0}};
     for (auto& row : rows) {
-        World w;
-        w.machine("m0", row.type, row.zone, row.spot);
-        auto spec = w.spec("req-1", JobKind::Array, 1, 1);
+        ClusterFixture w;
+        w.add_machine("m0", row.type, row.zone, row.spot);
+        auto spec = w.job_spec("req-1", JobKind::Array, 1, 1);
         spec.types = {w.cluster.names.types.find("std")};
         spec.zone = w.cluster.names.zones.find("a");
         spec.spot = false;
-        w.job(spec);
+        w.add_job(spec);
         EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now).size(), row.placed)
             << row.description;
     }
 }
 
 TEST(Placement, PlacesGangsAtomicallyInOneZone) {
-    World w;
-    w.machine("a0", "std", "a");
-    auto b0 = w.machine("b0", "std", "b"), b1 = w.machine("b1", "std", "b");
-    auto spec = w.spec("req-1", JobKind::Gang, 2, 7);
+    ClusterFixture w;
+    w.add_machine("a0", "std", "a");
+    auto b0 = w.add_machine("b0", "std", "b"), b1 = w.add_machine("b1", "std", "b");
+    auto spec = w.job_spec("req-1", JobKind::Gang, 2, 7);
     spec.one_zone = true;
-    auto job = w.job(spec);
+    auto job = w.add_job(spec);
     EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now),
               (std::vector<Placement>{{job, 0, b0, 1}, {job, 1, b1, 1}}));
     spec.id = "req-2";
-    w.job(spec);
+    w.add_job(spec);
     EXPECT_TRUE(place_waiting_jobs(w.cluster, any_machine, w.now).empty());
 }
 
 TEST(Placement, GangWaitsForTasksOfItsPreviousAttempt) {
     // A task of the previous attempt that is still on its machine must not be started twice.
-    World w;
-    auto m0 = w.machine("m0"), m1 = w.machine("m1");
-    w.machine("m2");
-    auto job = w.running(w.spec("req-1", JobKind::Gang, 2, 4), {m0, m1});
+    ClusterFixture w;
+    auto m0 = w.add_machine("m0"), m1 = w.add_machine("m1");
+    w.add_machine("m2");
+    auto job = w.add_running_job(w.job_spec("req-1", JobKind::Gang, 2, 4), {m0, m1});
     w.cluster.jobs[job]->gang_attempt = 1;
     w.cluster.unassign(job, 0, w.now);
     EXPECT_TRUE(place_waiting_jobs(w.cluster, any_machine, w.now).empty());
@@ -615,32 +624,32 @@
 }
 
 TEST(Placement, PlacesAtMostHalfOfSpreadJobInOneZone) {
-    World w;
-    w.machine("a0", "std", "a");
-    auto spec = w.spec("req-1", JobKind::Array, 5, 1);
+    ClusterFixture w;
+    w.add_machine("a0", "std", "a");
+    auto spec = w.job_spec("req-1", JobKind::Array, 5, 1);
     spec.spread = true;
-    auto job = w.job(spec);
+    auto job = w.add_job(spec);
     EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now).size(), 3u);
-    w.machine("b0", "std", "b");
+    w.add_machine("b0", "std", "b");
     EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now).size(), 2u);
     EXPECT_EQ(w.cluster.jobs[job]->placed, 5u);
 }
 
 TEST(Placement, OneZoneJobWaitsWhileAZoneIsUnknown) {
     // After a change of leader, a task may be on a machine whose zone is not known yet.
-    World w;
-    w.machine("m0");
-    auto spec = w.spec("req-1", JobKind::Array, 2, 1);
+    ClusterFixture w;
+    w.add_machine("m0");
+    auto spec = w.job_spec("req-1", JobKind::Array, 2, 1);
     spec.one_zone = true;
-    auto job = w.job(spec);
+    auto job = w.add_job(spec);
     w.cluster.restore_placement(job, 0, w.cluster.add_machine("unknown", w.now), 1, 1);
     EXPECT_TRUE(place_waiting_jobs(w.cluster, any_machine, w.now).empty());
 }
 
 TEST(Quota, CountsTasksUntilTheyHaveEnded) {
-    World w;
-    for (int i = 0; i < 6; ++i) w.machine("m" + std::to_string(i));
-    auto job = w.job(w.spec("req-1", JobKind::Array, 6, 8, 0, Priority::Normal, "red"));
+    ClusterFixture w;
+    for (int i = 0; i < 6; ++i) w.add_machine("m" + std::to_string(i));
+    auto job = w.add_job(w.job_spec("req-1", JobKind::Array, 6, 8, 0, Priority::Normal, "red"));
     EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now).size(),
               4u);  // the limit is 32 CPUs
     // A task that is being stopped counts until it has ended.
@@ -654,11 +663,11 @@
 TEST(TeamLimitReservations, KeepsShareForLargeHigherPriorityJob) {
     // If a small task takes the place of each one that ends, the team's limit never has enough left
     // for a large job.
-    World w;
-    for (int i = 0; i < 6; ++i) w.machine("m" + std::to_string(i));
-    auto small = w.job(w.spec("req-1", JobKind::Array, 40, 1, 0, Priority::Low, "red"));
+    ClusterFixture w;
+    for (int i = 0; i < 6; ++i) w.add_machine("m" + std::to_string(i));
+    auto small = w.add_job(w.job_spec("req-1", JobKind::Array, 40, 1, 0, Priority::Low, "red"));
     EXPECT_EQ(place_waiting_jobs(w.cluster, any_machine, w.now).size(), 32u);
-    auto large = w.job(w.spec("req-2", JobKind::Array, 1, 7, 0, Priority::High, "red"));
+    auto large = w.add_job(w.job_spec("req-2", JobKind::Array, 1, 7, 0, Priority::High, "red"));
     for (uint32_t t = 0; t < 6; ++t) w.cluster.finish(small, t, w.now);
     EXPECT_TRUE(place_waiting_jobs(w.cluster, any_machine, w.now).empty());
     w.cluster.finish(small, 6, w.now);
@@ -667,10 +676,10 @@
 
 TEST(Placement, CpuTasksLeaveCpusForFreeGpus) {
     // Otherwise GPU machines, at their high price, fill up with CPU tasks while GPU jobs wait.
-    World w;
-    w.machine("gpu", "gpu");  // 8 CPUs, 4 GPUs
-    auto cpu_job = w.job(w.spec("req-2", JobKind::Array, 8, 1, 0, Priority::High));
-    auto gpu_job = w.job(w.spec("req-1", JobKind::Array, 2, 1.5, 1, Priority::Low));
+    ClusterFixture w;
+    w.add_machine("gpu", "gpu");  // 8 CPUs, 4 GPUs
+    auto cpu_job = w.add_job(w.job_spec("req-2", JobKind::Array, 8, 1, 0, Priority::High));
+    auto gpu_job = w.add_job(w.job_spec("req-1", JobKind::Array, 2, 1.5, 1, Priority::Low));
     place_waiting_jobs(w.cluster, any_machine, w.now);
     // On an otherwise empty GPU machine, CPU tasks would prevent its termination.
     EXPECT_EQ(w.cluster.jobs[cpu_job]->placed, 0u);
@@ -680,29 +689,29 @@
 }
 
 TEST(JobOrder, RanksGuaranteePriorityAndDeadline) {
-    World w;
-    auto no_deadline = w.job(w.spec("req-1", JobKind::Array, 1, 1, 0, Priority::Low));
-    auto deadline_spec = w.spec("req-2", JobKind::Array, 1, 1, 0, Priority::Low);
+    ClusterFixture w;
+    auto no_deadline = w.add_job(w.job_spec("req-1", JobKind::Array, 1, 1, 0, Priority::Low));
+    auto deadline_spec = w.job_spec("req-2", JobKind::Array, 1, 1, 0, Priority::Low);
     deadline_spec.deadline_s = 50;
-    auto deadline = w.job(deadline_spec);
-    auto guaranteed = w.job(w.spec("req-3", JobKind::Array, 1, 1, 0, Priority::Low, "red"));
-    auto high = w.job(w.spec("req-4", JobKind::Array, 1, 1, 0, Priority::High));
+    auto deadline = w.add_job(deadline_spec);
+    auto guaranteed = w.add_job(w.job_spec("req-3", JobKind::Array, 1, 1, 0, Priority::Low, "red"));
+    auto high = w.add_job(w.job_spec("req-4", JobKind::Array, 1, 1, 0, Priority::High));
     EXPECT_EQ(waiting_jobs(w.cluster, w.now),
               (std::vector<Index>{guaranteed, high, deadline, no_deadline}));
 }
 
 TEST(Autoscaler, RequestsOnlyMissingCapacity) {
-    World w;
+    ClusterFixture w;
     auto std_type = w.cluster.names.types.find("std");
     auto zone_a = w.cluster.names.zones.find("a"), zone_b = w.cluster.names.zones.find("b");
-    auto spec = w.spec("req-1", JobKind::Array, 17, 1);
+    auto spec = w.job_spec("req-1", JobKind::Array, 17, 1);
     spec.estimate_s = 300;
     spec.deadline_s = 330;  // too early for tasks to run one after another
-    w.job(spec);
+    w.add_job(spec);
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_a, true, 3}}));
     // A booting machine counts, whether the cloud's list includes it or not.
-    auto& machine = *w.cluster.machines[w.machine("m0", "std", "a", true)];
+    auto& machine = *w.cluster.machines[w.add_machine("m0", "std", "a", true)];
     machine.up = false;
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_a, true, 2}}));
@@ -715,18 +724,18 @@
 TEST(Autoscaler, OneZoneJobLeavesFullZone) {
     // The job must not queue for the only machine of zone a, where the cloud refuses more machines,
     // while zone b is empty.
-    World w;
+    ClusterFixture w;
     auto std_type = w.cluster.names.types.find("std");
     auto zone_a = w.cluster.names.zones.find("a"), zone_b = w.cluster.names.zones.find("b");
-    auto machine = w.machine("m0");
-    auto spec = w.spec("req-1", JobKind::Gang, 1, 7);
+    auto machine = w.add_machine("m0");
+    auto spec = w.job_spec("req-1", JobKind::Gang, 1, 7);
     spec.one_zone = true;
     spec.spot = false;
     spec.types = {std_type};
     spec.estimate_s = 300;
-    w.running(spec, {machine});
+    w.add_running_job(spec, {machine});
     spec.id = "req-2";
-    w.job(spec);
+    w.add_job(spec);
     w.cluster.capacity_refusals.push_back({w.now + 10, {std_type, zone_a, false}});
     EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now),
               (std::vector<ScaleOutRequest>{{std_type, zone_b, false, 1}}));
@@ -735,12 +744,12 @@
 TEST(Autoscaler, DoesNotRequestBootingMachinesAgain) {
     // If a booting machine were expected to be up later than a new one, each pass would request the
     // same machine again.
-    World w;
-    auto spec = w.spec("req-1", JobKind::Array, 1, 8);
+    ClusterFixture w;
+    auto spec = w.job_spec("req-1", JobKind::Array, 1, 8);
     spec.deadline_s = 1;
-    w.job(spec);
+    w.add_job(spec);
     ASSERT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now).size(), 1u);
-    auto& machine = *w.cluster.machines[w.machine("m0", "std", "a", true)];
+    auto& machine = *w.cluster.machines[w.add_machine("m0", "std", "a", true)];
     machine.up = false;
     machine.requested_at = w.now;
     for (double later : {0.0, 0.5, 10.0, 29.0, 40.0})
@@ -771,19 +780,19 @@
         {"running task far overdue", 1, 20, 60, 1, 400},
     };
     for (auto& row : rows) {
-        World w;
+        ClusterFixture w;
         auto types = std::vector<MachineType>{w.cluster.types[0].type, w.cluster.types[1].type};
         types[1].price = row.highest_price;
         w.cluster.set_types(types);
-        auto machine_index = w.machine("m0");
-        auto spec = w.spec("req-1", JobKind::Array, 1, 8);
+        auto machine_index = w.add_machine("m0");
+        auto spec = w.job_spec("req-1", JobKind::Array, 1, 8);
         spec.estimate_s = row.estimate_s;
-        auto job = w.running(spec, {machine_index});
+        auto job = w.add_running_job(spec, {machine_index});
         w.cluster.jobs[job]->tasks[0].running_at = static_cast<float>(w.now);
         w.now += row.ran_s;
         spec.id = "req-2";
         spec.deadline_s = row.deadline_s;
-        w.job(spec);
+        w.add_job(spec);
         EXPECT_EQ(plan_scale_out(w.cluster, any_machine, {}, w.now).size(), row.requests)
             << row.description;
         // A booting machine is not requested again.
@@ -797,12 +806,12 @@
 }
 
 TEST(Autoscaler, KeepsHeadroomForShortStartObjectives) {
-    World w;
-    auto spec = w.spec("req-1", JobKind::Gang, 2, 7);
+    ClusterFixture w;
+    auto spec = w.job_spec("req-1", JobKind::Gang, 2, 7);
     w.cluster.classes.resize(spec.job_class + 1);
     w.cluster.classes[spec.job_class].start_within_s = 15;
-    auto m0 = w.machine("m0"), m1 = w.machine("m1");
-    w.running(spec, {m0, m1});
+    auto m0 = w.add_machine("m0"), m1 = w.add_machine("m1");
+    w.add_running_job(spec, {m0, m1});
     // Both machines are in use: machines for another job of two tasks are requested before one
     // arrives.
     int requested_machines = 0;
@@ -810,8 +819,8 @@
         requested_machines += request.count;
     EXPECT_EQ(requested_machines, 2);
     // Idle machines are kept as headroom until no such job has arrived for a while.
-    w.machine("m2");
-    w.machine("m3");
+    w.add_machine("m2");
+    w.add_machine("m3");
     w.now += 100;
     EXPECT_TRUE(plan_scale_out(w.cluster, any_machine, {}, w.now).empty());
     EXPECT_TRUE(plan_scale_in(w.cluster, {0.3, 1}, w.now).empty());
@@ -820,10 +829,10 @@
 }
 
 TEST(Autoscaler, TerminatesIdleAndAbandonedMachines) {
-    World w;
-    auto idle = w.machine("idle"), busy = w.machine("busy"), abandoned = w.machine("abandoned"),
-         recently_up = w.machine("recently_up");
-    w.running(w.spec("req-1", JobKind::Array, 1, 1), {busy});
+    ClusterFixture w;
+    auto idle = w.add_machine("idle"), busy = w.add_machine("busy"),
+         abandoned = w.add_machine("abandoned"), recently_up = w.add_machine("recently_up");
+    w.add_running_job(w.job_spec("req-1", JobKind::Array, 1, 1), {busy});
     w.cluster.machines[abandoned]->abandoned = true;
     w.now += 61;
     w.cluster.machines[recently_up]->up_at = w.now;
@@ -850,13 +859,14 @@
         {"another team", 2, 8, Priority::Normal, "red", 2},
     };
     for (auto& row : rows) {
-        World w;
+        ClusterFixture w;
         for (int i = 0; i < 3; ++i)
-            w.running(w.spec("req-" + std::to_string(i), JobKind::Array, 1, 8, 0, Priority::Low),
-                      {w.machine("m" + std::to_string(i))});
-        w.job(w.spec("req-10", JobKind::Gang, 4, 8));
-        auto second =
-            w.job(w.spec("req-11", JobKind::Gang, row.tasks, row.cpus, 0, row.priority, row.team));
+            w.add_running_job(
+                w.job_spec("req-" + std::to_string(i), JobKind::Array, 1, 8, 0, Priority::Low),
+                {w.add_machine("m" + std::to_string(i))});
+        w.add_job(w.job_spec("req-10", JobKind::Gang, 4, 8));
+        auto second = w.add_job(
+            w.job_spec("req-11", JobKind::Gang, row.tasks, row.cpus, 0, row.priority, row.team));
         auto round = plan_preemption(w.cluster, test::any_machine, w.now);
         size_t evicted = 0;
         for (auto& eviction : round.evictions)
@@ -872,12 +882,11 @@
     for (unsigned seed = 1; seed <= 150; ++seed) {
         std::mt19937 random(seed);
         auto random_below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
-        World w;
+        ClusterFixture w;
         for (uint32_t i = 0, n = 10 + random_below(80); i < n; ++i) {
-            auto& machine =
-                *w.cluster
-                     .machines[w.machine("vm-" + std::to_string(i), random_below(3) ? "std" : "gpu",
-                                         random_below(2) ? "a" : "b", random_below(3) == 0)];
+            auto& machine = *w.cluster.machines[w.add_machine(
+                "vm-" + std::to_string(i), random_below(3) ? "std" : "gpu",
+                random_below(2) ? "a" : "b", random_below(3) == 0)];
             machine.up = random_below(4) > 0;
             machine.status = machine.up ? MachineStatus::Running : MachineStatus::Booting;
             machine.requested_at = w.now - random_below(30);
@@ -885,17 +894,17 @@
         uint32_t jobs = 5 + random_below(40), shapes = random_below(2) ? 3 : 30;
         for (uint32_t j = 0; j < jobs; ++j) {
             uint32_t shape = random_below(shapes);
-            auto spec =
-                w.spec("req-" + std::to_string(j), random_below(2) ? JobKind::Gang : JobKind::Array,
-                       1 + random_below(20), 1 + 0.2 * shape, shape % 3 == 0 ? 1 : 0,
-                       static_cast<Priority>(random_below(4)));
+            auto spec = w.job_spec("req-" + std::to_string(j),
+                                   random_below(2) ? JobKind::Gang : JobKind::Array,
+                                   1 + random_below(20), 1 + 0.2 * shape, shape % 3 == 0 ? 1 : 0,
+                                   static_cast<Priority>(random_below(4)));
             spec.spot = shape % 2;
             spec.one_zone = random_below(3) == 0;
             spec.spread = !spec.one_zone && random_below(4) == 0;
             spec.estimate_s = 10 + random_below(90);
             spec.deadline_s = random_below(2) ? -1 : random_below(200);
             if (random_below(5) == 0) spec.zone = w.cluster.names.zones.find("b");
-            w.job(std::move(spec));
+            w.add_job(std::move(spec));
             if (j == jobs / 2) place_waiting_jobs(w.cluster, test::any_machine, w.now, 1000);
         }
         auto expected = plan_scale_out(w.cluster, test::any_machine, {0.3, 2, 8}, w.now);
--- a/tests/downlink_test.cpp
+++ b/tests/downlink_test.cpp
@@ -5,13 +5,13 @@
 
 #include <random>
 
-#include "service.h"
+#include "service_fixture.h"
 
 namespace weirmill {
 namespace {
 
 namespace json = boost::json;
-using test::Service;
+using test::ServiceFixture;
 
 // The downlink state of one worker. The heartbeat interval is 2 s, the lease 18 s, and the
 // worker waits 4 s for a response and tries the other one of two controllers 1 s later.
@@ -173,10 +173,10 @@
 }
 
 // Returns the sum of a metric over the live controllers.
-double metric_sum(Service& s, const std::string& name) {
+double metric_sum(ServiceFixture& s, const std::string& name) {
     double sum = 0;
     for (size_t i = 0; i < s.nodes.size(); ++i) {
-        auto page = s.alive[i] ? s.ask_node(i, "GET", "/metrics", "") : std::nullopt;
+        auto page = s.alive[i] ? s.request_node(i, "GET", "/metrics", "") : std::nullopt;
         auto at = page ? page->body.find("\nweirmill_" + name + " ") : std::string::npos;
         if (at != std::string::npos) sum += std::stod(page->body.substr(at + name.size() + 11));
     }
@@ -184,81 +184,82 @@
 }
 
 // Returns the worker of a machine that runs a task of the job.
-std::shared_ptr<fakes::Worker> worker_running(Service& s, const std::string& job) {
+std::shared_ptr<fakes::Worker> worker_running(ServiceFixture& s, const std::string& job) {
     for (auto& [name, w] : s.cloud->workers)
-        if (!w->dead() && w->runs(job)) return w;
+        if (!w->dead() && w->is_running(job)) return w;
     return nullptr;
 }
 
 TEST(DownlinkService, LostMachineLosesWorkAndIsReplaced) {
     // Such a machine once kept its tasks, got new ones in each agent epoch and was never
     // terminated, because its heartbeats still arrived.
-    Service s(1);
+    ServiceFixture s(1);
     EXPECT_EQ(s.submit("req-1", "array", 1, {1.0}), 201);
-    ASSERT_TRUE(s.until([&] { return s.cloud->on_some_machine("req-1"); }));
+    ASSERT_TRUE(s.wait_until([&] { return s.cloud->is_running("req-1"); }));
     auto lost_worker = worker_running(s, "req-1");
     lost_worker->downlink_lost = true;
     s.cloud->jobs["req-1"].run_s = 3;
     EXPECT_EQ(s.submit("req-2", "array", 3, {0.2}), 201);
-    EXPECT_TRUE(s.done("req-1"));
-    EXPECT_TRUE(s.done("req-2"));
-    EXPECT_TRUE(s.until([&] { return metric_sum(s, "machines_deaf_total") > 0; }));
+    EXPECT_TRUE(s.wait_until_done("req-1"));
+    EXPECT_TRUE(s.wait_until_done("req-2"));
+    EXPECT_TRUE(s.wait_until([&] { return metric_sum(s, "machines_deaf_total") > 0; }));
     // Each task of this job fills a machine. No task is placed on the machine without a downlink
     // any more.
-    auto body = Service::with(Service::submission("req-3", "array", 4, 8), "expected_s", 1.0);
+    auto body = ServiceFixture::with_field(ServiceFixture::submission_body("req-3", "array", 4, 8),
+                                           "expected_s", 1.0);
     s.cloud->jobs["req-3"] = {0.2, false, 4, false, {}};
-    EXPECT_EQ(s.ask("POST", "/v2/runs", body).status, 201);
-    EXPECT_TRUE(s.done("req-3"));
-    EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
+    EXPECT_EQ(s.request_any_node("POST", "/v2/runs", body).status, 201);
+    EXPECT_TRUE(s.wait_until_done("req-3"));
+    EXPECT_TRUE(s.cloud->violations.empty()) << s.cloud->violations[0];
 }
 
 TEST(DownlinkService, RecoveredMachineIsUsedAgain) {
-    Service s(1);
+    ServiceFixture s(1);
     EXPECT_EQ(s.submit("req-1", "array", 1, {0.2}), 201);
-    EXPECT_TRUE(s.done("req-1"));
+    EXPECT_TRUE(s.wait_until_done("req-1"));
     for (auto& [name, w] : s.cloud->workers) w->downlink_lost = true;
     EXPECT_EQ(s.submit("req-2", "array", 1, {0.2}), 201);
-    EXPECT_TRUE(s.until([&] { return metric_sum(s, "machines_deaf") > 0; }));
+    EXPECT_TRUE(s.wait_until([&] { return metric_sum(s, "machines_deaf") > 0; }));
     for (auto& [name, w] : s.cloud->workers) w->downlink_lost = false;
-    EXPECT_TRUE(s.until([&] { return metric_sum(s, "machines_deaf") == 0; }));
-    EXPECT_TRUE(s.done("req-2"));
-    EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
+    EXPECT_TRUE(s.wait_until([&] { return metric_sum(s, "machines_deaf") == 0; }));
+    EXPECT_TRUE(s.wait_until_done("req-2"));
+    EXPECT_TRUE(s.cloud->violations.empty()) << s.cloud->violations[0];
 }
 
 TEST(DownlinkService, HeartbeatCopiesHaveNoEffect) {
     // Five old heartbeats are sent again with each heartbeat, to any controller, while jobs run and
     // the leader crashes. Each task starts once on a healthy machine, and no copy extends a lease.
-    Service s(3);
+    ServiceFixture s(3);
     EXPECT_EQ(s.submit("req-1", "array", 6, {2.0}), 201);
-    ASSERT_TRUE(s.until([&] { return s.cloud->starts.size() == 6; }));
+    ASSERT_TRUE(s.wait_until([&] { return s.cloud->task_starts.size() == 6; }));
     auto repeat_heartbeats = [&] {
-        for (auto& [name, w] : s.cloud->workers) w->copies = 5;
+        for (auto& [name, w] : s.cloud->workers) w->stale_copies = 5;
     };
     repeat_heartbeats();
     EXPECT_EQ(s.submit("req-2", "ensemble", 3, {0.5}), 201);
-    EXPECT_TRUE(s.done("req-2"));
+    EXPECT_TRUE(s.wait_until_done("req-2"));
     repeat_heartbeats();
     s.crash_leader();
     EXPECT_EQ(s.submit("req-3", "array", 6, {0.2}), 201);
-    EXPECT_TRUE(s.done("req-1"));
-    EXPECT_TRUE(s.done("req-3"));
-    for (auto& [task, n] : s.cloud->starts) EXPECT_EQ(n, 1) << task;
+    EXPECT_TRUE(s.wait_until_done("req-1"));
+    EXPECT_TRUE(s.wait_until_done("req-3"));
+    for (auto& [task, n] : s.cloud->task_starts) EXPECT_EQ(n, 1) << task;
     EXPECT_GT(metric_sum(s, "report_copies_total"), 0);
-    EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
+    EXPECT_TRUE(s.cloud->violations.empty()) << s.cloud->violations[0];
 }
 
 TEST(DownlinkService, RestartedMachineRunsItsTasksAgain) {
     // A restarted worker counts its heartbeats from the start. When these were taken for copies,
     // the tasks of the earlier process were believed to run forever.
-    Service s(1);
+    ServiceFixture s(1);
     EXPECT_EQ(s.submit("req-1", "array", 1, {1.5}), 201);
-    ASSERT_TRUE(s.until([&] { return s.cloud->on_some_machine("req-1"); }));
+    ASSERT_TRUE(s.wait_until([&] { return s.cloud->is_running("req-1"); }));
     auto worker = worker_running(s, "req-1");
-    ASSERT_TRUE(s.until([&] { return s.status("req-1") == "running"; }));
-    worker->begin_anew();
-    EXPECT_TRUE(s.done("req-1"));
-    EXPECT_EQ(s.cloud->starts["req-1/0"], 2);
-    EXPECT_TRUE(s.cloud->broken.empty()) << s.cloud->broken[0];
+    ASSERT_TRUE(s.wait_until([&] { return s.job_status("req-1") == "running"; }));
+    worker->restart();
+    EXPECT_TRUE(s.wait_until_done("req-1"));
+    EXPECT_EQ(s.cloud->task_starts["req-1/0"], 2);
+    EXPECT_TRUE(s.cloud->violations.empty()) << s.cloud->violations[0];
 }
 
 // Random interleavings of one worker, its heartbeats and copies of them in any order, responses
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -9,7 +9,7 @@
 #include "controller/stop_sender.h"
 #include "fixtures.h"
 #include "protocol/paths.h"
-#include "service.h"
+#include "service_fixture.h"
 #include "transport/http_client.h"
 #include "transport/http_server.h"
 #include "transport/peer_link.h"
@@ -152,10 +152,10 @@
     asio::io_context io{1};
     auto settings = small_settings();
     settings.heartbeat_interval_s = 60;  // avoids further heartbeats during the burst
-    fakes::State key_value_store(io);
+    fakes::StateService key_value_store(io);
     fakes::Cloud cloud(io, settings);
     settings.state = key_value_store.endpoint_for(0);
-    settings.cloud = cloud.at();
+    settings.cloud = cloud.endpoint();
     Properties properties;
     Metrics metrics;
     KvClient state(io, settings);
@@ -181,7 +181,7 @@
 }
 
 // Sends a heartbeat of every machine to this controller at once, each over a connection of its own.
-BurstReplies send_all_heartbeats(Service& s, size_t node, uint64_t fencing_token) {
+BurstReplies send_all_heartbeats(ServiceFixture& s, size_t node, uint64_t fencing_token) {
     BurstReplies burst;
     Endpoint at{"127.0.0.1", s.nodes[node]->api_port()};
     for (int i = 0; i < kMachines; ++i)
@@ -195,33 +195,33 @@
     return burst;
 }
 
-bool accepts_submission(Service& s) { return s.submit("req-1", "array", 1) == 201; }
+bool accepts_submission(ServiceFixture& s) { return s.submit("req-1", "array", 1) == 201; }
 
 TEST(RequestRouter, NewLeaderAnswers4000MachinesAtOnce) {
-    Service s(2);
-    ASSERT_TRUE(s.until([&] { return !s.leader().empty(); }));
+    ServiceFixture s(2);
+    ASSERT_TRUE(s.wait_until([&] { return !s.leader_name().empty(); }));
     s.crash_leader();
     ASSERT_TRUE(accepts_submission(s));
-    EXPECT_EQ(send_all_heartbeats(s, static_cast<size_t>(s.leader().back() - '0'), 0).statuses,
+    EXPECT_EQ(send_all_heartbeats(s, static_cast<size_t>(s.leader_name().back() - '0'), 0).statuses,
               kAllAccepted);
 }
 
 TEST(RequestRouter, FollowerRelays4000HeartbeatsAtOnce) {
-    Service s(2);
-    ASSERT_TRUE(s.until([&] { return !s.leader().empty(); }));
+    ServiceFixture s(2);
+    ASSERT_TRUE(s.wait_until([&] { return !s.leader_name().empty(); }));
     ASSERT_TRUE(accepts_submission(s));
-    size_t follower = s.leader() == "node-0" ? 1 : 0;
-    auto first = s.ask_node(1 - follower, "POST", std::string(paths::kHeartbeats),
-                            heartbeat_json(kMachines, 0));
+    size_t follower = s.leader_name() == "node-0" ? 1 : 0;
+    auto first = s.request_node(1 - follower, "POST", std::string(paths::kHeartbeats),
+                                heartbeat_json(kMachines, 0));
     ASSERT_TRUE(first && first->status == 200);
     auto fencing_token = json::parse(first->body).at("gavel").to_number<uint64_t>();
     bool relays = false;  // true once the follower knows the leader
     double end = steady_now() + 5;
     for (int i = 1; !relays && steady_now() < end; ++i) {
-        auto reply = s.ask_node(follower, "POST", std::string(paths::kHeartbeats),
-                                heartbeat_json(kMachines + i, fencing_token));
+        auto reply = s.request_node(follower, "POST", std::string(paths::kHeartbeats),
+                                    heartbeat_json(kMachines + i, fencing_token));
         relays = reply && reply->status == 200;
-        for (int k = 0; k < 50; ++k) s.turn();
+        for (int k = 0; k < 50; ++k) s.poll_once();
     }
     ASSERT_TRUE(relays);
     EXPECT_EQ(send_all_heartbeats(s, follower, fencing_token).statuses, kAllAccepted);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -200,9 +200,9 @@
 }
 
 TEST(Membership, LeaderCountsDirectAndRelayedWorkers) {
-    test::World w;
+    test::ClusterFixture w;
     auto times = LinkTimeouts::from_settings(w.settings);
-    for (int i = 0; i < 6; ++i) w.machine("vm-" + std::to_string(i));
+    for (int i = 0; i < 6; ++i) w.add_machine("vm-" + std::to_string(i));
     auto at = [&](int i) -> Machine& { return *w.cluster.machines[i]; };
     for (int i = 0; i < 6; ++i) at(i).last_heartbeat = at(i).last_direct_heartbeat = w.now;
     at(1).last_direct_heartbeat = w.now - times.direct_heartbeat_s - 1;  // now relayed
--- a/tests/overload_test.cpp
+++ b/tests/overload_test.cpp
@@ -12,26 +12,26 @@
 namespace weirmill {
 namespace {
 
-using test::World;
+using test::ClusterFixture;
 
 // A cluster of `std` machines and a job class `short` with objectives of 30 s and 60 s. Its jobs
-// are those of World::spec apart from what add_waiting_job sets.
-struct ClusterWithObjective : World {
+// are those of ClusterFixture::job_spec apart from what add_waiting_job sets.
+struct ClusterWithObjective : ClusterFixture {
     Index job_class = cluster.names.classes.intern("short");
     OverloadForecast forecast;
     int next_id = 0;
     explicit ClusterWithObjective(int machines) {
         cluster.classes.resize(cluster.names.classes.size());
         cluster.classes[job_class].finish_within_s = {30, 60};
-        for (int i = 0; i < machines; ++i) machine("vm-" + std::to_string(i));
+        for (int i = 0; i < machines; ++i) add_machine("vm-" + std::to_string(i));
     }
     Index add_waiting_job(uint32_t tasks, double estimate_s, const std::string& team = "blue",
                           JobKind kind = JobKind::Array) {
-        auto s = spec("req-" + std::to_string(100000 + next_id++), kind, tasks, 1, 0,
-                      Priority::Normal, team);
+        auto s = job_spec("req-" + std::to_string(100000 + next_id++), kind, tasks, 1, 0,
+                          Priority::Normal, team);
         s.job_class = job_class;
         s.estimate_s = estimate_s;
-        return job(s);
+        return add_job(s);
     }
     QueueForecast observe(const std::string& team = "blue") {
         forecast.observe(cluster, now);
@@ -163,7 +163,7 @@
     int missed;
     EXPECT_DOUBLE_EQ(c.cluster.due_time(*c.cluster.jobs[large], c.now, missed), c.now + 60);
     EXPECT_EQ(missed, 1);
-    for (int i = 0; i < 3; ++i) c.machine("more-" + std::to_string(i));
+    for (int i = 0; i < 3; ++i) c.add_machine("more-" + std::to_string(i));
     c.observe();
     EXPECT_EQ(c.cluster.jobs[large]->abandoned_deadlines, 0u);
 }
--- a/tests/pipeline_test.cpp
+++ b/tests/pipeline_test.cpp
@@ -5,20 +5,20 @@
 #include <random>
 
 #include "fixtures.h"
+#include "memory_kv_store.h"
 #include "scheduler/placement.h"
 #include "scheduler/preemption.h"
-#include "store.h"
 
 namespace weirmill {
 namespace {
 
-using test::Store;
-using test::World;
+using test::ClusterFixture;
+using test::MemoryKvStore;
 
 // Adds jobs with dependencies to the cluster state. Jobs are numbered in the order of their
 // addition.
 struct Pipeline {
-    World& world;
+    ClusterFixture& world;
     std::vector<Index> jobs;
     Index add(const std::vector<size_t>& dependencies, JobSpec spec) {
         std::vector<Index> dependency_indices;
@@ -26,15 +26,15 @@
             spec.dependencies.push_back(world.cluster.jobs[jobs[i]]->spec.id);
             dependency_indices.push_back(jobs[i]);
         }
-        auto index = world.job(std::move(spec));
+        auto index = world.add_job(std::move(spec));
         if (!dependency_indices.empty())
             world.cluster.set_dependencies(index, dependency_indices, world.now);
         jobs.push_back(index);
         return index;
     }
     Index add(const std::vector<size_t>& dependencies, Priority priority = Priority::Low) {
-        auto spec =
-            world.spec("req-" + std::to_string(jobs.size() + 1), JobKind::Array, 1, 1, 0, priority);
+        auto spec = world.job_spec("req-" + std::to_string(jobs.size() + 1), JobKind::Array, 1, 1,
+                                   0, priority);
         spec.estimate_s = 10;
         return add(dependencies, spec);
     }
@@ -63,7 +63,7 @@
         {"two dependants of one job", {{}, {0}, {0}}, {0}, {1, 2}},
     };
     for (auto& row : rows) {
-        World world;
+        ClusterFixture world;
         Pipeline pipeline{world, {}};
         for (auto& dependencies : row.graph) pipeline.add(dependencies);
         for (auto i : row.ended) pipeline.end_job(i, 2000 + static_cast<double>(i));
@@ -81,14 +81,14 @@
 }
 
 TEST(DependencyGraph, DueTimesCountFromReadinessOrSubmission) {
-    World world;
+    ClusterFixture world;
     auto class_index = world.cluster.names.classes.intern("class");
     world.cluster.classes.resize(class_index + 1);
     world.cluster.classes[class_index].finish_within_s = {100};
     Pipeline pipeline{world, {}};
     pipeline.add({});
     pipeline.add({});
-    auto spec = world.spec("req-9", JobKind::Array, 1, 1);
+    auto spec = world.job_spec("req-9", JobKind::Array, 1, 1);
     spec.deadline_s = 500;
     pipeline.add({0, 1}, spec);
     double start = world.now;
@@ -104,11 +104,11 @@
 }
 
 TEST(DependencyGraph, WaitingJobUsesNoTeamGuarantee) {
-    World world;  // team red is guaranteed 16 CPUs
+    ClusterFixture world;  // team red is guaranteed 16 CPUs
     Pipeline pipeline{world, {}};
-    pipeline.add({}, world.spec("req-1", JobKind::Array, 1, 8, 0, Priority::Low, "red"));
-    pipeline.add({0}, world.spec("req-2", JobKind::Array, 2, 8, 0, Priority::Low, "red"));
-    auto late = world.spec("req-3", JobKind::Array, 1, 8, 0, Priority::Low, "red");
+    pipeline.add({}, world.job_spec("req-1", JobKind::Array, 1, 8, 0, Priority::Low, "red"));
+    pipeline.add({0}, world.job_spec("req-2", JobKind::Array, 2, 8, 0, Priority::Low, "red"));
+    auto late = world.job_spec("req-3", JobKind::Array, 1, 8, 0, Priority::Low, "red");
     auto third = pipeline.add({}, late);
     EXPECT_TRUE(world.cluster.jobs[third]->guaranteed);
     pipeline.end_job(0, 1001);
@@ -116,13 +116,13 @@
 }
 
 TEST(DependencyGraph, PriorityAndDeadlinePropagateToDependencies) {
-    World world;
+    ClusterFixture world;
     world.cluster.classes.resize(world.cluster.names.classes.intern("class") + 1);
     Pipeline pipeline{world, {}};
     pipeline.add({});
     pipeline.add({0});
     pipeline.add({0});
-    auto last = world.spec("req-4", JobKind::Array, 1, 1, 0, Priority::High);
+    auto last = world.job_spec("req-4", JobKind::Array, 1, 1, 0, Priority::High);
     last.deadline_s = 100;
     last.estimate_s = 10;
     pipeline.add({1, 2}, last);
@@ -141,7 +141,7 @@
 TEST(DependencyGraph, TraversalIsLinearInEdges) {
     // A traversal that visits a job once for each path to it would take 2^30 steps for a chain of
     // 30 diamonds.
-    World world;
+    ClusterFixture world;
     Pipeline pipeline{world, {}};
     pipeline.add({});
     for (size_t i = 0; i < 30; ++i) {
@@ -155,7 +155,7 @@
     EXPECT_EQ(pipeline.job(0).effective_priority, Priority::High);
     EXPECT_EQ(world.cluster.dependencies().transitive_dependants(pipeline.jobs[0]).size(),
               pipeline.jobs.size() - 1);
-    World chain_world;
+    ClusterFixture chain_world;
     Pipeline chain{chain_world, {}};
     chain.add({});
     for (size_t i = 0; i < 3000; ++i) chain.add({i});
@@ -178,7 +178,7 @@
         {"equal", Normal, High, Normal, Low, false},
     };
     for (auto& row : rows) {
-        World world;
+        ClusterFixture world;
         Pipeline pipeline{world, {}};
         pipeline.add({}, row.own);
         pipeline.add({0}, row.dependant);
@@ -191,7 +191,7 @@
 
 // The parts of a leader that maintain the cluster state and the state log.
 struct TestLeader {
-    World world;
+    ClusterFixture world;
     StateLogLimits limits;
     StateLog state_log;
     std::set<Index> ending;
@@ -200,7 +200,7 @@
 
     Index submit(const std::string& id, const std::vector<std::string>& dependencies,
                  uint32_t tasks = 1) {
-        auto spec = world.spec(id, JobKind::Array, tasks, 0.01);
+        auto spec = world.job_spec(id, JobKind::Array, tasks, 0.01);
         std::vector<Index> dependency_indices;
         bool cancelled = false;
         for (auto& d : dependencies) {
@@ -252,13 +252,13 @@
         state_log.rejected(batch);
     }
     // Commits transactions until nothing is left to record. Returns their number.
-    int record_all(Store& store) {
+    int record_all(MemoryKvStore& store) {
         int transactions = 0;
         end_finished_jobs();
         for (; state_log.has_work() && transactions < 5000; ++transactions) {
             auto batch = state_log.next_batch(limits.txn_ops);
             if (batch.empty()) break;
-            test::expect_limits(batch, limits);
+            test::expect_within_limits(batch, limits);
             auto revision = store.apply(batch.txn);
             EXPECT_NE(revision, 0u);
             committed(batch, revision);
@@ -277,12 +277,12 @@
     for (unsigned seed = 1; seed <= 12; ++seed) {
         std::mt19937 random(seed);
         auto random_below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
-        Store store;
+        MemoryKvStore store;
         TestLeader leader(41, seed % 2 ? kTightLimits : StateLogLimits{12, 4});
         auto& cluster = leader.world.cluster;
         std::vector<Index> machines;
         for (int i = 0; i < 4; ++i)
-            machines.push_back(leader.world.machine("vm-00000" + std::to_string(i)));
+            machines.push_back(leader.world.add_machine("vm-00000" + std::to_string(i)));
         std::vector<CasTransaction> sent;
         int jobs = 0;
         for (int step = 0; step < 700; ++step) {
@@ -326,7 +326,7 @@
             auto batch = leader.state_log.next_batch(
                 1 + static_cast<int>(random_below(static_cast<size_t>(leader.limits.txn_ops))));
             if (batch.empty()) continue;
-            test::expect_limits(batch, leader.limits);
+            test::expect_within_limits(batch, leader.limits);
             if (random_below(8) == 0) {
                 leader.rejected(batch);
                 continue;
@@ -336,7 +336,7 @@
             sent.push_back(batch.txn);
             leader.committed(batch, revision);
             TestLeader restored(42, leader.limits);
-            store.load(restored.state_log, restored.world.now);
+            store.load_into(restored.state_log, restored.world.now);
             // Only the state of pipelines is compared: the new leader can't know placements that
             // are not recorded yet.
             for (auto& [id, index] : cluster.job_index) {
@@ -361,8 +361,9 @@
             cancelled_ends +=
                 key.starts_with("f/") && value.first.find("true") != std::string::npos;
         TestLeader restored(42, leader.limits);
-        store.load(restored.state_log, restored.world.now);
-        EXPECT_EQ(test::picture(restored.world.cluster), test::picture(cluster)) << "seed " << seed;
+        store.load_into(restored.state_log, restored.world.now);
+        EXPECT_EQ(test::describe_jobs(restored.world.cluster), test::describe_jobs(cluster))
+            << "seed " << seed;
         EXPECT_TRUE(store.keys.count(kLogKey)) << "no segment was deleted";
     }
     EXPECT_GT(cancelled_ends, 50);
@@ -373,7 +374,7 @@
     // The chain is too long for one transaction. After a crash of the leader after some of the
     // transactions, the next leader must find all jobs of the chain cancelled.
     for (size_t transactions_before_crash : {1u, 2u, 3u, 5u, 9u}) {
-        Store store;
+        MemoryKvStore store;
         TestLeader leader(41, kTightLimits);
         leader.submit("req-0", {});
         for (int i = 1; i <= 400; ++i) {
@@ -388,7 +389,7 @@
             leader.committed(batch, store.apply(batch.txn));
         }
         TestLeader next_leader(42, kTightLimits);
-        store.load(next_leader.state_log, next_leader.world.now);
+        store.load_into(next_leader.state_log, next_leader.world.now);
         size_t cancelled = 0;
         for (int i = 0; i <= 400; ++i) {
             auto* job = next_leader.world.cluster.find_job("req-" + std::to_string(i));
@@ -424,7 +425,7 @@
     };
     for (auto& row : rows)
         for (bool fail_over : {false, true}) {
-            Store store;
+            MemoryKvStore store;
             TestLeader leader(41, kTightLimits);
             auto first = leader.submit("req-1", {});
             leader.submit("req-3", {});  // a job that does not end
@@ -451,7 +452,7 @@
             leader.committed(batch, store.apply(batch.txn));
             if (!fail_over) leader.record_all(store);
             TestLeader next_leader(42, kTightLimits);
-            store.load(next_leader.state_log, next_leader.world.now);
+            store.load_into(next_leader.state_log, next_leader.world.now);
             store.keys[kLeaderKey].second = 42;
             next_leader.record_all(store);
             auto* job = next_leader.world.cluster.find_job("req-2");
@@ -467,7 +468,7 @@
 
 TEST(StateLogPipelines, MultiPartRecordDoesNotDelayOtherJobs) {
     for (bool rejects : {false, true}) {
-        Store store;
+        MemoryKvStore store;
         TestLeader leader(41, kTightLimits);
         std::vector<std::string> dependencies;
         for (int i = 1; i <= 1500; ++i) {
@@ -487,7 +488,7 @@
         for (int i = 0; leader.world.cluster.find_job("req-1")->record_revision == 0; ++i) {
             ASSERT_LT(i, 200);
             batch = leader.state_log.next_batch(kTightLimits.txn_ops);
-            test::expect_limits(batch, kTightLimits);
+            test::expect_within_limits(batch, kTightLimits);
             if (rejects && i % 5 == 1) {
                 leader.state_log.rejected(batch);
                 for (auto& entry : batch.entries)
@@ -507,7 +508,7 @@
         leader.record_all(store);
         EXPECT_TRUE(store.keys.count(kLogKey));
         TestLeader next_leader(42, kTightLimits);
-        store.load(next_leader.state_log, next_leader.world.now);
+        store.load_into(next_leader.state_log, next_leader.world.now);
         auto* job = next_leader.world.cluster.find_job("req-1");
         ASSERT_TRUE(job);
         EXPECT_TRUE(job->waits_for_dependencies);
--- a/tests/play_test.cpp
+++ b/tests/play_test.cpp
@@ -6,7 +6,7 @@
 #include <fstream>
 #include <random>
 
-#include "service.h"
+#include "service_fixture.h"
 #include "traces/stats.h"
 
 namespace weirmill::traces {
@@ -91,7 +91,7 @@
 
 // A service of three nodes with fakes of its environment, and jobs to play against it.
 struct PlayFixture {
-    test::Service service{3};
+    test::ServiceFixture service{3};
     std::filesystem::path folder;
     std::vector<PlayJob> jobs;
     PlayOptions options;
@@ -99,16 +99,16 @@
     explicit PlayFixture(int count) {
         auto pattern = (std::filesystem::temp_directory_path() / "weirmill-play-XXXXXX").string();
         folder = ::mkdtemp(pattern.data());
-        EXPECT_TRUE(service.until([&] { return !service.leader().empty(); }));
+        EXPECT_TRUE(service.wait_until([&] { return !service.leader_name().empty(); }));
         for (int i = 0; i < count; ++i) {
             auto id = "req-" + std::to_string(i + 1);
-            PlayJob job{0.05 * i, id, test::Service::submission(id, "array", 2), {}};
+            PlayJob job{0.05 * i, id, test::ServiceFixture::submission_body(id, "array", 2), {}};
             fakes::Job fake_job;
             fake_job.tasks = 2;
-            if (i % 5 == 4) job.dependencies = fake_job.awaits = {"req-" + std::to_string(i)};
+            if (i % 5 == 4) job.dependencies = fake_job.dependencies = {"req-" + std::to_string(i)};
             if (!job.dependencies.empty())
-                job.body =
-                    test::Service::with(job.body, "awaits", json::value_from(job.dependencies));
+                job.body = test::ServiceFixture::with_field(job.body, "awaits",
+                                                            json::value_from(job.dependencies));
             service.cloud->jobs[id] = fake_job;
             jobs.push_back(job);
         }
@@ -147,7 +147,8 @@
             EXPECT_EQ(progress.state, PlayState::Done) << id;
             EXPECT_EQ(progress.contradiction, "") << id;
         }
-        for (auto& job : jobs) EXPECT_EQ(service.state->keys().count("f/" + job.id), 1u) << job.id;
+        for (auto& job : jobs)
+            EXPECT_EQ(service.state_service->snapshot().count("f/" + job.id), 1u) << job.id;
     }
     bool finished = false;
 };
@@ -155,9 +156,9 @@
 TEST(TracePlay, EveryJobEndsOnceDespiteALeaderCrash) {
     PlayFixture fixture(40);
     auto player = fixture.play();
-    ASSERT_TRUE(fixture.service.until([&] { return player->progress().size() >= 15; }));
-    fixture.service.crash(fixture.service.leader().back() - '0');
-    ASSERT_TRUE(fixture.service.until([&] { return fixture.finished; }));
+    ASSERT_TRUE(fixture.service.wait_until([&] { return player->progress().size() >= 15; }));
+    fixture.service.crash(fixture.service.leader_name().back() - '0');
+    ASSERT_TRUE(fixture.service.wait_until([&] { return fixture.finished; }));
     fixture.expect_all_done(*player);
     for (auto& [id, progress] : player->progress()) EXPECT_EQ(progress.final_answers, 2u) << id;
     auto summary = player->summary();
@@ -173,9 +174,9 @@
 TEST(TracePlay, AStoppedPlayResumesFromItsLog) {
     PlayFixture fixture(30);
     auto first = fixture.play();
-    ASSERT_TRUE(fixture.service.until([&] { return first->progress().size() >= 15; }));
+    ASSERT_TRUE(fixture.service.wait_until([&] { return first->progress().size() >= 15; }));
     first->stop();
-    ASSERT_TRUE(fixture.service.until([&] { return fixture.finished; }));
+    ASSERT_TRUE(fixture.service.wait_until([&] { return fixture.finished; }));
     EXPECT_LT(fixture.count(*first, PlayState::Done), 30u);
     auto progress_at_stop = first->progress();
     // The last line of the log is cut off, as after a kill.
@@ -187,7 +188,7 @@
         EXPECT_EQ(state, progress_at_stop[id].state) << id;
     }
     auto second = fixture.play(resumed_states);
-    ASSERT_TRUE(fixture.service.until([&] { return fixture.finished; }));
+    ASSERT_TRUE(fixture.service.wait_until([&] { return fixture.finished; }));
     fixture.expect_all_done(*second);
     // Jobs that were accepted or in a final state are not submitted again.
     for (auto& [id, state] : resumed_states) {
@@ -199,22 +200,22 @@
 
 TEST(TracePlay, DependantsOfARefusedJobAreNotSent) {
     PlayFixture fixture(0);
-    auto refused =
-        test::Service::with(test::Service::submission("req-1", "array", 1), "consignor", "nobody");
-    auto dependant = test::Service::with(test::Service::submission("req-2", "array", 1), "awaits",
-                                         json::array{"req-1"});
-    auto unknown_dependency = test::Service::with(test::Service::submission("req-3", "array", 1),
-                                                  "awaits", json::array{"req-9"});
+    auto refused = test::ServiceFixture::with_field(
+        test::ServiceFixture::submission_body("req-1", "array", 1), "consignor", "nobody");
+    auto dependant = test::ServiceFixture::with_field(
+        test::ServiceFixture::submission_body("req-2", "array", 1), "awaits", json::array{"req-1"});
+    auto unknown_dependency = test::ServiceFixture::with_field(
+        test::ServiceFixture::submission_body("req-3", "array", 1), "awaits", json::array{"req-9"});
     fixture.jobs = {{0, "req-3", unknown_dependency, {"req-9"}},
                     {0, "req-2", dependant, {"req-1"}},
                     {1, "req-1", refused, {}}};
     fixture.options.max_in_flight = 1;  // jobs that wait for dependencies do not count
     auto player = fixture.play();
-    ASSERT_TRUE(fixture.service.until([&] { return fixture.finished; }));
+    ASSERT_TRUE(fixture.service.wait_until([&] { return fixture.finished; }));
     EXPECT_EQ(player->progress().at("req-1").state, PlayState::Refused);
     EXPECT_EQ(player->progress().at("req-2").state, PlayState::NotSent);
     EXPECT_EQ(player->progress().at("req-3").state, PlayState::NotSent);
-    EXPECT_EQ(fixture.service.state->count("f/"), 0u);
+    EXPECT_EQ(fixture.service.state_service->count_keys("f/"), 0u);
 }
 
 TEST(LoadStats, HistogramsCountEveryJob) {
@@ -275,7 +276,7 @@
     std::filesystem::path folder = ::mkdtemp(pattern.data());
     auto line = [](double submitted_s, const char* id) {
         return "{\"at_s\":" + std::to_string(submitted_s) +
-               ",\"submission\":" + test::Service::submission(id, "array", 1) + "}\n";
+               ",\"submission\":" + test::ServiceFixture::submission_body(id, "array", 1) + "}\n";
     };
     auto read = [&](const std::string& text) {
         auto path = (folder / "jobs").string();
--- a/tests/standby_test.cpp
+++ b/tests/standby_test.cpp
@@ -5,21 +5,21 @@
 #include <random>
 
 #include "fixtures.h"
+#include "memory_kv_store.h"
 #include "standby/forward_timeout.h"
 #include "standby/standby_decisions.h"
-#include "store.h"
 
 namespace weirmill {
 namespace {
 
 namespace json = boost::json;
-using test::Store;
-using test::World;
+using test::ClusterFixture;
+using test::MemoryKvStore;
 
 constexpr StateLogLimits kSmallLimits{12, 4};
 
 // Returns at most `max_items` log segments with keys after `after`.
-KvPage segment_page(const Store& store, const std::string& after, size_t max_items) {
+KvPage segment_page(const MemoryKvStore& store, const std::string& after, size_t max_items) {
     KvPage page;
     page.revision = store.revision;
     for (auto& [key, value] : store.keys) {
@@ -34,7 +34,7 @@
 }
 
 // Reads the log as StateLogFollower::read_log does, in small pages.
-void read_log(StateLogView& view, const Store& store) {
+void read_log(StateLogView& view, const MemoryKvStore& store) {
     for (int attempt = 0; attempt < 2; ++attempt) {
         std::string after = view.resume_after();
         bool first_page = true, complete = true;
@@ -60,10 +60,10 @@
          {Row{0, {{"leader", 41}, {"log", 0}, {segment_key(1), 0}, {"f/req-1", 0}, {"d/req-1", 0}}},
           Row{7,
               {{"leader", 41}, {"log", 0}, {segment_key(1), 0}, {"f/req-1", 0}, {"d/req-1", 7}}}}) {
-        World world;
+        ClusterFixture world;
         StateLog state_log(world.cluster, 41, kSmallLimits);
         auto job =
-            world.cluster.add_job(world.spec("req-1", JobKind::Array, 2, 1), 1000, world.now);
+            world.cluster.add_job(world.job_spec("req-1", JobKind::Array, 2, 1), 1000, world.now);
         state_log.queue_new_job(job, row.pending_version);
         auto batch = state_log.next_batch(12);
         std::map<std::string, uint64_t> conditions;
@@ -89,29 +89,29 @@
 }
 
 TEST(PendingRecords, ManyAdoptedJobsStayWithinTransactionLimits) {
-    World world;
+    ClusterFixture world;
     StateLog state_log(world.cluster, 41, kSmallLimits);
-    Store store;
+    MemoryKvStore store;
     for (int i = 0; i < 300; ++i) {
         auto id = "req-" + std::to_string(i);
         store.keys[pending_key(id)] = {"{}", 5};
         state_log.queue_new_job(
-            world.cluster.add_job(world.spec(id, JobKind::Array, 1, 0.01), 1000, world.now), 5);
+            world.cluster.add_job(world.job_spec(id, JobKind::Array, 1, 0.01), 1000, world.now), 5);
         state_log.queue_pending_deletion(pending_key(id), 5);
     }
-    test::flush(state_log, world.cluster, store, kSmallLimits, world.now);
+    test::commit_all(state_log, world.cluster, store, kSmallLimits, world.now);
     EXPECT_TRUE(store.keys.lower_bound(kPendingPrefix) == store.keys.lower_bound("d0"))
         << "pending records are left";
-    World new_world;
+    ClusterFixture new_world;
     StateLog loaded(new_world.cluster, 42, kSmallLimits);
-    store.load(loaded, new_world.now);
+    store.load_into(loaded, new_world.now);
     EXPECT_EQ(new_world.cluster.job_index.size(), 300u);
 }
 
 TEST(PendingRecords, RoundTripAndRejectMalformedRecords) {
-    World world;
+    ClusterFixture world;
     PendingRecord record{
-        submission_json(world.spec("req-1", JobKind::Gang, 3, 2), world.cluster.names), 1234.5,
+        submission_json(world.job_spec("req-1", JobKind::Gang, 3, 2), world.cluster.names), 1234.5,
         true};
     auto parsed = parse_pending_record(json::parse(pending_record(record)));
     EXPECT_EQ(parsed.job, record.job);
@@ -219,24 +219,24 @@
     for (unsigned seed = 1; seed <= 12; ++seed) {
         std::mt19937 random(seed);
         auto below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
-        World world;
-        Store store;
+        ClusterFixture world;
+        MemoryKvStore store;
         StateLog state_log(world.cluster, 41, kSmallLimits);
         // `frequent` is read often, `rare` so seldom that it misses whole segments.
         StateLogView frequent, rare;
         std::vector<Index> machines;
         for (int i = 0; i < 4; ++i)
-            machines.push_back(world.machine("vm-00000" + std::to_string(i)));
+            machines.push_back(world.add_machine("vm-00000" + std::to_string(i)));
         int jobs = 0, comparisons = 0, compactions = 0;
         uint64_t last_ends_read = 0;
         std::set<std::string> ended;
         for (int step = 0; step < 1200; ++step) {
             if (below(8) == 0 && world.cluster.job_index.size() < 10)
                 state_log.queue_new_job(
-                    world.cluster.add_job(world.spec("req-" + std::to_string(++jobs),
-                                                     JobKind::Array, 1 + below(50), 0.01),
+                    world.cluster.add_job(world.job_spec("req-" + std::to_string(++jobs),
+                                                         JobKind::Array, 1 + below(50), 0.01),
                                           1000, world.now));
-            test::live_on(world.cluster, state_log, machines, below, 300, world.now);
+            test::advance_randomly(world.cluster, state_log, machines, below, 300, world.now);
             auto batch = state_log.next_batch(2 + static_cast<int>(below(11)));
             if (batch.empty()) continue;
             auto revision = store.apply(batch.txn);
@@ -258,7 +258,7 @@
                 last_ends_read = frequent.job_ends_read();
             }
             if (below(400) != 0) continue;
-            test::flush(state_log, world.cluster, store, kSmallLimits, world.now);
+            test::commit_all(state_log, world.cluster, store, kSmallLimits, world.now);
             read_log(frequent, store);
             read_log(rare, store);
             ended.clear();
--- a/tests/state_log_test.cpp
+++ b/tests/state_log_test.cpp
@@ -4,19 +4,19 @@
 
 #include "fixtures.h"
 #include "leadership/election.h"
+#include "memory_kv_store.h"
 #include "scheduler/placement.h"
 #include "standby/state_log_view.h"
 #include "storage/kv_client.h"
-#include "store.h"
 
 namespace weirmill {
 namespace {
 
-using test::expect_limits;
-using test::flush;
-using test::picture;
-using test::Store;
-using test::World;
+using test::ClusterFixture;
+using test::commit_all;
+using test::describe_jobs;
+using test::expect_within_limits;
+using test::MemoryKvStore;
 
 uint64_t condition(const StateLogBatch& batch, const std::string& key) {
     for (auto& c : batch.txn.conditions)
@@ -27,9 +27,10 @@
 constexpr StateLogLimits kSmallLimits{12, 4};
 
 TEST(StateLog, ConditionsCoverLeaderHeadAndWrittenKeys) {
-    World world;
+    ClusterFixture world;
     StateLog state_log(world.cluster, 41, kSmallLimits);
-    auto index = world.cluster.add_job(world.spec("req-1", JobKind::Array, 2, 1), 1000, world.now);
+    auto index =
+        world.cluster.add_job(world.job_spec("req-1", JobKind::Array, 2, 1), 1000, world.now);
     state_log.queue_new_job(index);
     auto batch = state_log.next_batch(12);
     EXPECT_EQ(condition(batch, kLeaderKey), 41u);
@@ -37,7 +38,7 @@
     EXPECT_EQ(condition(batch, segment_key(1)), 0u);
     EXPECT_EQ(condition(batch, "f/req-1"), 0u);  // an ended job must not be recorded again
     state_log.committed(batch, 50);
-    world.cluster.place(index, 0, world.machine("m0"), 1, world.now);
+    world.cluster.place(index, 0, world.add_machine("m0"), 1, world.now);
     EXPECT_FALSE(world.cluster.task_recorded(*world.cluster.jobs[index], 0));
     batch = state_log.next_batch(12);
     EXPECT_EQ(condition(batch, segment_key(1)), 50u);
@@ -48,10 +49,10 @@
 }
 
 TEST(StateLog, ChangeDuringTransactionStaysUnrecorded) {
-    World world;
+    ClusterFixture world;
     StateLog state_log(world.cluster, 41, kSmallLimits);
-    auto index = world.job(world.spec("req-1", JobKind::Array, 2, 1));
-    auto machine = world.machine("m0");
+    auto index = world.add_job(world.job_spec("req-1", JobKind::Array, 2, 1));
+    auto machine = world.add_machine("m0");
     world.cluster.place(index, 0, machine, 1, world.now);
     auto batch = state_log.next_batch(12);
     world.cluster.place(index, 1, machine, 1, world.now);
@@ -63,10 +64,10 @@
 }
 
 TEST(StateLog, RejectedEntriesAreQueuedAgain) {
-    World world;
+    ClusterFixture world;
     StateLog state_log(world.cluster, 41, kSmallLimits);
-    auto index = world.job(world.spec("req-1", JobKind::Array, 3, 1));
-    auto machine = world.machine("m0");
+    auto index = world.add_job(world.job_spec("req-1", JobKind::Array, 3, 1));
+    auto machine = world.add_machine("m0");
     for (uint32_t t = 0; t < 3; ++t) world.cluster.place(index, t, machine, 1, world.now);
     auto batch = state_log.next_batch(12);
     state_log.rejected(batch);
@@ -76,11 +77,12 @@
 TEST(StateLog, OneChangeRecordsEntriesOfManyJobs) {
     // With one key for each job, the few changes per second that the key-value store accepts
     // limited the throughput of the service.
-    World world;
+    ClusterFixture world;
     StateLog state_log(world.cluster, 41, kSmallLimits);
-    auto machine = world.machine("m0");
+    auto machine = world.add_machine("m0");
     for (int i = 1; i <= 20; ++i) {
-        auto index = world.job(world.spec("req-" + std::to_string(i), JobKind::Array, 4, 0.01));
+        auto index =
+            world.add_job(world.job_spec("req-" + std::to_string(i), JobKind::Array, 4, 0.01));
         world.cluster.place(index, 0, machine, 1, world.now);
     }
     EXPECT_EQ(state_log.next_batch(12).txn.changes.size(), 1u);
@@ -88,13 +90,14 @@
 }
 
 TEST(StateLog, JobEndWritesFinalStateAndLogEntry) {
-    World world;
-    Store store;
+    ClusterFixture world;
+    MemoryKvStore store;
     StateLog state_log(world.cluster, 41, kSmallLimits);
-    auto index = world.cluster.add_job(world.spec("req-1", JobKind::Array, 1, 1), 1000, world.now);
+    auto index =
+        world.cluster.add_job(world.job_spec("req-1", JobKind::Array, 1, 1), 1000, world.now);
     state_log.queue_new_job(index);
-    flush(state_log, world.cluster, store, kSmallLimits, world.now);
-    world.cluster.place(index, 0, world.machine("m0"), 1, world.now);
+    commit_all(state_log, world.cluster, store, kSmallLimits, world.now);
+    world.cluster.place(index, 0, world.add_machine("m0"), 1, world.now);
     world.cluster.finish(index, 0, world.now);
     world.cluster.jobs[index]->ending = true;
     state_log.queue_job_end(index);
@@ -105,9 +108,9 @@
     EXPECT_EQ(condition(batch, "f/req-1"), 0u);
     EXPECT_EQ(parse_final(boost::json::parse(batch.txn.changes[1].value)).state, JobState::Done);
     state_log.committed(batch, store.apply(batch.txn));
-    World restored;
+    ClusterFixture restored;
     StateLog restored_log(restored.cluster, 42, kSmallLimits);
-    store.load(restored_log, restored.now);
+    store.load_into(restored_log, restored.now);
     EXPECT_EQ(restored.cluster.find_job("req-1"), nullptr);
     EXPECT_TRUE(restored.cluster.machine_index.empty());
 }
@@ -118,29 +121,30 @@
     for (unsigned seed = 1; seed <= 20; ++seed) {
         std::mt19937 random(seed);
         auto random_below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
-        World world;
-        Store store;
+        ClusterFixture world;
+        MemoryKvStore store;
         StateLog state_log(world.cluster, 41, kSmallLimits);
         std::vector<Index> machines;
         for (int i = 0; i < 6; ++i)
-            machines.push_back(world.machine("vm-00000" + std::to_string(i)));
+            machines.push_back(world.add_machine("vm-00000" + std::to_string(i)));
         std::vector<CasTransaction> sent;
         int jobs = 0;
         size_t most_segments = 0;
         for (int step = 0; step < 1500; ++step) {
             if (random_below(12) == 0 && world.cluster.job_index.size() < 12) {
-                auto spec = world.spec("req-" + std::to_string(++jobs), JobKind::Array,
-                                       1 + random_below(60), 0.01);
+                auto spec = world.job_spec("req-" + std::to_string(++jobs), JobKind::Array,
+                                           1 + random_below(60), 0.01);
                 state_log.queue_new_job(world.cluster.add_job(std::move(spec), 1000, world.now));
             }
-            test::live_on(world.cluster, state_log, machines, random_below, 400, world.now);
+            test::advance_randomly(world.cluster, state_log, machines, random_below, 400,
+                                   world.now);
             if (!sent.empty() && random_below(3) == 0) {
                 EXPECT_EQ(store.apply(sent[random_below(sent.size())]), 0u)
                     << "a late copy was applied, seed " << seed;
             }
             auto batch = state_log.next_batch(2 + static_cast<int>(random_below(11)));
             if (batch.empty()) continue;
-            expect_limits(batch, kSmallLimits);
+            expect_within_limits(batch, kSmallLimits);
             if (random_below(10) == 0) {
                 state_log.rejected(batch);
                 for (auto& entry : batch.entries)
@@ -154,13 +158,13 @@
             state_log.committed(batch, revision);
             for (auto& entry : batch.entries)
                 if (entry.kind == EntryKind::JobEnd) world.cluster.remove_job(entry.job, world.now);
-            most_segments = std::max(most_segments, store.segments());
+            most_segments = std::max(most_segments, store.segment_count());
         }
-        flush(state_log, world.cluster, store, kSmallLimits, world.now);
-        World restored;
+        commit_all(state_log, world.cluster, store, kSmallLimits, world.now);
+        ClusterFixture restored;
         StateLog restored_log(restored.cluster, 42, kSmallLimits);
-        store.load(restored_log, restored.now);
-        EXPECT_EQ(picture(restored.cluster), picture(world.cluster)) << "seed " << seed;
+        store.load_into(restored_log, restored.now);
+        EXPECT_EQ(describe_jobs(restored.cluster), describe_jobs(world.cluster)) << "seed " << seed;
         EXPECT_EQ(restored.cluster.teams[1].used, world.cluster.teams[1].used) << "seed " << seed;
         EXPECT_GT(jobs, 20);
         EXPECT_LT(most_segments, 40u);
@@ -180,18 +184,18 @@
         for (unsigned seed = 1; seed <= 40; ++seed) {
             std::mt19937 random(seed);
             auto random_below = [&](size_t n) { return static_cast<uint32_t>(random() % n); };
-            World world;
-            Store store;
+            ClusterFixture world;
+            MemoryKvStore store;
             StateLog state_log(world.cluster, 41, limits);
             state_log.allow_multi_part_records();
-            auto machine = world.machine("vm-000001");
+            auto machine = world.add_machine("vm-000001");
             // Jobs whose cancellation is recorded and may have been confirmed to users.
             std::map<std::string, Index> cancelled;
             int jobs = 0;
             for (int step = 0; step < 500; ++step) {
                 if (world.cluster.job_index.size() < 6) {
                     auto spec =
-                        world.spec("req-" + std::to_string(++jobs), JobKind::Array, 3, 0.01);
+                        world.job_spec("req-" + std::to_string(++jobs), JobKind::Array, 3, 0.01);
                     for (size_t n = 0; n < type_count; ++n)
                         spec.types.push_back(world.cluster.names.types.intern(std::string(90, 't') +
                                                                               std::to_string(n)));
@@ -232,11 +236,11 @@
                         cancelled.erase(id), world.cluster.remove_job(entry.job, world.now);
                 }
                 if (cancelled.empty()) continue;
-                World restored;
+                ClusterFixture restored;
                 StateLog restored_log(restored.cluster, 42, limits);
-                store.load(restored_log, restored.now);
+                store.load_into(restored_log, restored.now);
                 StateLogView view;
-                ASSERT_TRUE(view.apply_page(store.log(), true));
+                ASSERT_TRUE(view.apply_page(store.segment_page(), true));
                 for (auto& [id, index] : cancelled) {
                     auto* job = restored.cluster.find_job(id);
                     ASSERT_TRUE(job && job->cancel_durable)
@@ -260,16 +264,16 @@
           R"([["j",{}]])", R"([["p","req-2",0]])", R"([["p","req-2",-1,"x"]])",
           R"([["p","req-2",0,"{"],["j",{"id":"req-2","pieces":1,"at":1}]])",
           R"([["j",{"pieces":2,"at":1}]])", R"([["e","req-1","late"]])"}) {
-        World world;
+        ClusterFixture world;
         StateLog state_log(world.cluster, 41, kSmallLimits);
-        world.job(world.spec("req-1", JobKind::Array, 2, 1));
+        world.add_job(world.job_spec("req-1", JobKind::Array, 2, 1));
         EXPECT_THROW(
             state_log.load_segment({segment_key(5), boost::json::parse(value), 5, 0}, world.now),
             BadMessage)
             << value;
     }
     for (const char* key : {"w/", "w/x", "w/-1"}) {
-        World world;
+        ClusterFixture world;
         StateLog state_log(world.cluster, 41, kSmallLimits);
         EXPECT_THROW(state_log.load_segment({key, boost::json::array{}, 5, 0}, world.now),
                      BadMessage)
@@ -278,21 +282,21 @@
 }
 
 TEST(StateLog, LargestJobFitsSmallestLimits) {
-    World world;
-    Store store;
+    ClusterFixture world;
+    MemoryKvStore store;
     StateLog state_log(world.cluster, 41, kSmallLimits);
-    auto index =
-        world.cluster.add_job(world.spec("req-1", JobKind::Array, 100000, 0.001), 1000, world.now);
+    auto index = world.cluster.add_job(world.job_spec("req-1", JobKind::Array, 100000, 0.001), 1000,
+                                       world.now);
     state_log.queue_new_job(index);
-    flush(state_log, world.cluster, store, kSmallLimits, world.now);
-    auto machine = world.machine("vm-000001");
+    commit_all(state_log, world.cluster, store, kSmallLimits, world.now);
+    auto machine = world.add_machine("vm-000001");
     for (uint32_t t = 0; t < 100000; ++t)
         world.cluster.place(index, t, machine, 1000000, world.now);
-    flush(state_log, world.cluster, store, kSmallLimits, world.now);
+    commit_all(state_log, world.cluster, store, kSmallLimits, world.now);
     EXPECT_TRUE(world.cluster.task_recorded(*world.cluster.jobs[index], 99999));
-    World restored;
+    ClusterFixture restored;
     StateLog restored_log(restored.cluster, 42, kSmallLimits);
-    store.load(restored_log, restored.now);
+    store.load_into(restored_log, restored.now);
     ASSERT_NE(restored.cluster.find_job("req-1"), nullptr);
     EXPECT_EQ(restored.cluster.find_job("req-1")->placed, 100000u);
 }
@@ -300,7 +304,7 @@
 TEST(StateLog, WritesNewestValueOfSingleRecord) {
     // The machine types are such a record. Without it, a new leader could not schedule while the
     // cloud is unavailable.
-    World world;
+    ClusterFixture world;
     StateLog state_log(world.cluster, 41, kSmallLimits);
     state_log.load_single_record_version(kTypesKey, 9);
     state_log.queue_single_record(kTypesKey, R"({"n":1})");
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -8,9 +8,9 @@
 #include <cstring>
 
 #include "fixtures.h"
+#include "memory_kv_store.h"
 #include "old_peer.capnp.h"
 #include "old_records.h"
-#include "store.h"
 #include "transport/http_server.h"
 #include "transport/peer_link.h"
 
@@ -20,12 +20,12 @@
 namespace asio = boost::asio;
 namespace json = boost::json;
 using tcp = asio::ip::tcp;
-using test::Store;
-using test::World;
+using test::ClusterFixture;
+using test::MemoryKvStore;
 
 template <size_t N>
-Store store_of(const test::OldRecord (&records)[N]) {
-    Store store;
+MemoryKvStore store_of(const test::OldRecord (&records)[N]) {
+    MemoryKvStore store;
     for (auto& r : records) {
         store.keys[r.key] = {r.value, r.version};
         store.revision = std::max(store.revision, r.version);
@@ -34,12 +34,12 @@
 }
 
 // Repeats with this version the changes that the old version recorded in kOldRecords.
-void record_short_history(World& world, StateLog& state_log, Store& store) {
+void record_short_history(ClusterFixture& world, StateLog& state_log, MemoryKvStore& store) {
     constexpr StateLogLimits limits{12, 4};
-    auto flush = [&] { test::flush(state_log, world.cluster, store, limits, world.now); };
-    auto a =
-        world.cluster.add_job(world.spec("req-000001", JobKind::Array, 5, 1), 1000.25, world.now);
-    auto spec = world.spec("req-000002", JobKind::Gang, 2, 2, 1, Priority::High, "red");
+    auto flush = [&] { test::commit_all(state_log, world.cluster, store, limits, world.now); };
+    auto a = world.cluster.add_job(world.job_spec("req-000001", JobKind::Array, 5, 1), 1000.25,
+                                   world.now);
+    auto spec = world.job_spec("req-000002", JobKind::Gang, 2, 2, 1, Priority::High, "red");
     spec.types = {world.cluster.names.types.find("gpu")};
     spec.zone = world.cluster.names.zones.find("b");
     spec.one_zone = true;
@@ -49,12 +49,13 @@
     spec.checkpoint_duration_s = 4;
     spec.image_gb = 6.2;
     auto b = world.cluster.add_job(spec, 1001.5, world.now);
-    auto c =
-        world.cluster.add_job(world.spec("req-000003", JobKind::Service, 1, 1), 1002, world.now);
-    auto d = world.cluster.add_job(world.spec("req-000004", JobKind::Array, 1, 1), 1003, world.now);
+    auto c = world.cluster.add_job(world.job_spec("req-000003", JobKind::Service, 1, 1), 1002,
+                                   world.now);
+    auto d =
+        world.cluster.add_job(world.job_spec("req-000004", JobKind::Array, 1, 1), 1003, world.now);
     for (auto j : {a, b, c, d}) state_log.queue_new_job(j);
     flush();
-    auto m0 = world.machine("vm-000001"), m1 = world.machine("vm-000002", "gpu", "b");
+    auto m0 = world.add_machine("vm-000001"), m1 = world.add_machine("vm-000002", "gpu", "b");
     for (uint32_t t = 0; t < 4; ++t) world.cluster.place(a, t, m0, 1, world.now);
     for (uint32_t t = 0; t < 2; ++t) world.cluster.place(b, t, m1, 1, world.now);
     world.cluster.place(c, 0, m0, 1, world.now);
@@ -73,8 +74,8 @@
 }
 
 TEST(StateLogCompatibility, WritesSameRecordsAsOldVersion) {
-    World world;
-    Store store;
+    ClusterFixture world;
+    MemoryKvStore store;
     StateLog state_log(world.cluster, 41, {12, 4});
     record_short_history(world, state_log, store);
     store.keys.erase(kLeaderKey);
@@ -87,7 +88,7 @@
 
 // The old version rejects entry tags that it doesn't know. It ignores unknown fields and would so
 // lose their content. Neither may occur.
-void expect_readable_by_old_version(const Store& store) {
+void expect_readable_by_old_version(const MemoryKvStore& store) {
     const std::set<std::string> fields{"job", "at", "cancelled"};
     for (auto& [key, value] : store.keys) {
         if (!key.starts_with(kSegmentPrefix)) continue;
@@ -108,10 +109,10 @@
 
 TEST(StateLogCompatibility, LoadsAndRewritesRecordsOfOldVersion) {
     auto store = store_of(test::kOldCompactedRecords);
-    World world;
+    ClusterFixture world;
     StateLog state_log(world.cluster, 41, {4, 1});
-    store.load(state_log, world.now);
-    auto before = test::picture(world.cluster);
+    store.load_into(state_log, world.now);
+    auto before = test::describe_jobs(world.cluster);
     EXPECT_EQ(world.cluster.find_job("req-000001")->done, 10u);
     EXPECT_EQ(world.cluster.find_job("req-000001")->placed, 20u);
     EXPECT_TRUE(world.cluster.find_job("req-000002")->cancel_durable);
@@ -125,14 +126,14 @@
             world.cluster.unassign(j, t, world.now);
             world.cluster.place(j, t, m, 100 + i, world.now);
         }
-        test::flush(state_log, world.cluster, store, {4, 1}, world.now);
+        test::commit_all(state_log, world.cluster, store, {4, 1}, world.now);
     }
     EXPECT_FALSE(store.keys.count(oldest));
     expect_readable_by_old_version(store);
-    World fresh;
+    ClusterFixture fresh;
     StateLog next(fresh.cluster, 42, {4, 1});
-    store.load(next, fresh.now);
-    EXPECT_EQ(test::picture(fresh.cluster), test::picture(world.cluster));
+    store.load_into(next, fresh.now);
+    EXPECT_EQ(test::describe_jobs(fresh.cluster), test::describe_jobs(world.cluster));
 }
 
 std::string from_hex(const std::string& hex) {
@@ -262,53 +263,53 @@
 // Returns the record of a job that an older version could store, but that exceeds the lowered
 // limit on the size of a value.
 std::string oversized_job_record(const std::string& id) {
-    World world;
-    auto spec = world.spec(id, JobKind::Array, 3, 1);
+    ClusterFixture world;
+    auto spec = world.job_spec(id, JobKind::Array, 3, 1);
     for (int i = 0; i < 60; ++i)
         spec.types.push_back(
             world.cluster.names.types.intern("type-" + std::string(40, 'x') + std::to_string(i)));
     spec.image = world.cluster.names.images.intern(std::string(60, '"') + "\u00e9\u00e9");
-    auto j = world.job(spec);
+    auto j = world.add_job(spec);
     return job_record(*world.cluster.jobs[j], j, world.cluster);
 }
 
 TEST(StateLogLimits, ReadsOversizedValueAndNeverRewritesIt) {
     constexpr StateLogLimits lowered_limits{4, 2};
     for (bool dependencies : {false, true}) {
-        Store store;
+        MemoryKvStore store;
         auto entry = oversized_job_record("req-7");
         ASSERT_GT(entry.size(), 2048u);
         store.keys[segment_key(1)] = {"[" + entry + R"(,["t","req-7",[0,0,"d"]]])", 12};
-        World world;
+        ClusterFixture world;
         StateLog state_log(world.cluster, 41, lowered_limits);
-        store.load(state_log, world.now);
-        auto m = world.machine("vm-000001");
+        store.load_into(state_log, world.now);
+        auto m = world.add_machine("vm-000001");
         // Other jobs are submitted, run and end, while compaction rewrites the log repeatedly.
         for (int i = 1; i <= 300; ++i) {
-            auto spec = world.spec("req-1" + std::to_string(i), JobKind::Array, 20, 0.01);
+            auto spec = world.job_spec("req-1" + std::to_string(i), JobKind::Array, 20, 0.01);
             if (dependencies && i % 3 == 0) spec.dependencies = {"req-7"};
             auto j = world.cluster.add_job(std::move(spec), 1000, world.now);
             if (world.cluster.jobs[j]->waits_for_dependencies)
                 world.cluster.set_dependencies(j, {world.cluster.job_index.at("req-7")}, world.now);
             state_log.queue_new_job(j);
-            test::flush(state_log, world.cluster, store, lowered_limits, world.now);
+            test::commit_all(state_log, world.cluster, store, lowered_limits, world.now);
             EXPECT_NE(world.cluster.jobs[j]->record_revision, 0u);
             if (world.cluster.jobs[j]->waits_for_dependencies) continue;
             for (uint32_t t = 0; t < 20; ++t) world.cluster.place(j, t, m, 1, world.now);
-            test::flush(state_log, world.cluster, store, lowered_limits, world.now);
+            test::commit_all(state_log, world.cluster, store, lowered_limits, world.now);
             for (uint32_t t = 0; t < 20; ++t) world.cluster.finish(j, t, world.now);
             world.cluster.jobs[j]->ending = true;
             state_log.queue_job_end(j);
-            test::flush(state_log, world.cluster, store, lowered_limits, world.now);
+            test::commit_all(state_log, world.cluster, store, lowered_limits, world.now);
         }
         // The old version can't read a multi-part record and may still lead, so the segment stays
         // until a job has dependencies.
         EXPECT_EQ(store.keys.count(segment_key(1)), dependencies ? 0u : 1u);
         if (!dependencies) expect_readable_by_old_version(store);
-        World fresh;
+        ClusterFixture fresh;
         StateLog next(fresh.cluster, 42, lowered_limits);
-        store.load(next, fresh.now);
-        EXPECT_EQ(test::picture(fresh.cluster), test::picture(world.cluster));
+        store.load_into(next, fresh.now);
+        EXPECT_EQ(test::describe_jobs(fresh.cluster), test::describe_jobs(world.cluster));
         auto* job = fresh.cluster.find_job("req-7");
         ASSERT_TRUE(job);
         EXPECT_EQ(job->done, 1u);
@@ -324,13 +325,13 @@
 TEST(StateLogLimits, SplitsTransactionRejectedAsTooLarge) {
     // The key-value store lowers its limits without an announcement. The log once repeated the
     // rejected transaction forever, and all later changes waited behind it.
-    World world;
-    Store store;
+    ClusterFixture world;
+    MemoryKvStore store;
     StateLog state_log(world.cluster, 41, {24, 32});
-    auto m = world.machine("vm-000001");
+    auto m = world.add_machine("vm-000001");
     for (int i = 1; i <= 40; ++i) {
         auto j = world.cluster.add_job(
-            world.spec("req-" + std::to_string(i), JobKind::Array, 30, 0.001), 1000, world.now);
+            world.job_spec("req-" + std::to_string(i), JobKind::Array, 30, 0.001), 1000, world.now);
         state_log.queue_new_job(j);
     }
     constexpr StateLogLimits actual_limits{6, 2};
@@ -362,17 +363,17 @@
     EXPECT_GT(rejected_count, 0);
     EXPECT_LT(rejected_count, 8);
     EXPECT_FALSE(state_log.has_work());
-    World fresh;
+    ClusterFixture fresh;
     StateLog next(fresh.cluster, 42, actual_limits);
-    store.load(next, fresh.now);
+    store.load_into(next, fresh.now);
     EXPECT_EQ(fresh.cluster.job_index.size(), 40u);
-    EXPECT_EQ(test::picture(fresh.cluster), test::picture(world.cluster));
+    EXPECT_EQ(test::describe_jobs(fresh.cluster), test::describe_jobs(world.cluster));
     while (state_log.reduce_limits()) ++rejected_count;
     EXPECT_LT(rejected_count, 12);
 }
 
 TEST(StateLogLimits, OversizedRecordDoesNotBlockOthers) {
-    World world;
+    ClusterFixture world;
     StateLog state_log(world.cluster, 41, {4, 2});
     state_log.queue_single_record(kTypesKey, "\"" + std::string(3000, 'x') + "\"");
     state_log.queue_single_record(kRoundKey, R"({"number":1})");
@@ -387,24 +388,24 @@
     // The smallest transaction has four changes and sixteen conditions. New jobs, ended jobs, a
     // single record and deletions are queued at the same time.
     for (int ops : {4, 5, 8, 24}) {
-        World world;
-        Store store;
+        ClusterFixture world;
+        MemoryKvStore store;
         StateLogLimits limits{ops, 2};
         StateLog state_log(world.cluster, 41, limits);
         for (int i = 1; i <= 200; ++i)
             state_log.queue_new_job(world.cluster.add_job(
-                world.spec("req-" + std::to_string(i), JobKind::Array, 1, 0.01), 1, world.now));
-        test::flush(state_log, world.cluster, store, limits, world.now);
+                world.job_spec("req-" + std::to_string(i), JobKind::Array, 1, 0.01), 1, world.now));
+        test::commit_all(state_log, world.cluster, store, limits, world.now);
         for (Index j = 0; j < 200; ++j) {
             world.cluster.finish(j, 0, world.now);
             world.cluster.jobs[j]->ending = true;
             state_log.queue_job_end(j);
             state_log.queue_single_record(kRoundKey, R"({"number":1})");
             state_log.queue_new_job(world.cluster.add_job(
-                world.spec("req-" + std::to_string(1000 + j), JobKind::Array, 1, 0.01), 1,
+                world.job_spec("req-" + std::to_string(1000 + j), JobKind::Array, 1, 0.01), 1,
                 world.now));
         }
-        test::flush(state_log, world.cluster, store, limits, world.now);
+        test::commit_all(state_log, world.cluster, store, limits, world.now);
         EXPECT_EQ(world.cluster.job_index.size(), 200u) << ops;
         EXPECT_FALSE(state_log.has_work()) << ops;
     }
